--- a/bench/history_bench.cpp
+++ b/bench/history_bench.cpp
@@ -50,7 +50,7 @@
     origin_.token = 7;
     origin_.settings.teams = {{"t", 0, 0, 0, 0}};
     origin_.settings.cloud_calls_per_s = 3;
-    origin_.older_leases_end = now_ + std::chrono::seconds(60);
+    origin_.former_leases_end = now_ + std::chrono::seconds(60);
     for (int i = 0; i < machines; ++i) {
       char name[16];
       std::snprintf(name, sizeof name, "m-%06d", i);
@@ -61,7 +61,7 @@
       worker.next = now_ + milliseconds(i * 6000 / machines);
     }
     controller_ = core::make_controller(origin_, now_);
-    taken_over_at_ = now_;
+    elected_at_ = now_;
     sink_({7, now_, core::Event(origin_)}, *controller_, false);
     feed(core::CatalogKnown{{{"big", {64, 0, 512}, 60, 1, 3.7, 1.1, Seconds(20), {"a", "b"}}}});
   }
@@ -74,8 +74,8 @@
     const auto end = now_ + core::to_duration(length);
     while (now_ < end) step();
   }
-  const core::TakenOver& origin() const { return origin_; }
-  TimePoint taken_over_at() const { return taken_over_at_; }
+  const core::LeaderElected& origin() const { return origin_; }
+  TimePoint elected_at() const { return elected_at_; }
   std::uint64_t written() const { return written_; }
   std::uint64_t jobs_done() const { return jobs_done_; }
   std::size_t tasks_on_machines() const {
@@ -86,7 +86,7 @@
 
  private:
   struct Worker {
-    core::WorkerReport report;
+    core::Heartbeat report;
     std::map<core::TaskKey, TimePoint> ends;
     TimePoint next{};
   };
@@ -111,7 +111,7 @@
     if (actions.empty()) return;
     ++written_;
     sink_({7, now_, Acted{digests_ ? history::digest_of(actions) : 0}}, *controller_, true);
-    for (const auto& action : actions) std::visit([&](const auto& a) { carry_out(a); }, action);
+    for (const auto& action : actions) std::visit([&](const auto& a) { execute(a); }, action);
   }
 
   void submit() {
@@ -142,42 +142,43 @@
     ++worker.report.sequence;
     feed(core::MachineReported{worker.report});
   }
-  void carry_out(const core::SendOrders& orders) {
+  void execute(const core::SendCommands& orders) {
     auto& worker = workers_.at(orders.machine);
     for (const auto& command : orders.commands) {
       auto& tasks = worker.report.tasks;
-      const auto same = [&](const core::TaskReport& task) {
+      const auto same = [&](const core::TaskStatus& task) {
         return task.attempt == command.attempt;
       };
-      if (command.verb == core::Verb::start && std::none_of(tasks.begin(), tasks.end(), same)) {
+      if (command.type == core::CommandType::start &&
+          std::none_of(tasks.begin(), tasks.end(), same)) {
         tasks.push_back({command.task, command.attempt, core::TaskState::running, {}, false});
         worker.ends[command.task] = now_ + std::chrono::seconds(60);
-      } else if (command.verb == core::Verb::forget) {
+      } else if (command.type == core::CommandType::acknowledge) {
         std::erase_if(tasks, same);
         worker.ends.erase(command.task);
       }
     }
     ++worker.report.sequence;
-    feed(core::OrdersAnswered{orders.machine, worker.report});
+    feed(core::CommandsAnswered{orders.machine, worker.report});
   }
-  void carry_out(const core::SaveMachine& save) {
+  void execute(const core::SaveMachine& save) {
     feed(core::MachineSaved{save.record.id, true, true});
   }
-  void carry_out(const core::SaveProgress& save) { feed(core::ProgressSaved{save, true}); }
-  void carry_out(const core::FinishJob& finish) {
+  void execute(const core::SaveProgress& save) { feed(core::ProgressSaved{save, true}); }
+  void execute(const core::FinishJob& finish) {
     open_tasks_ -= 200;
     ++jobs_done_;
     feed(core::JobClosed{finish.job});
   }
   template <class Other>
-  void carry_out(const Other&) {}
+  void execute(const Other&) {}
 
   core::TaskIndex tasks_a_machine_;
   bool digests_;
   Sink sink_;
   TimePoint now_{std::chrono::hours(1)};
-  TimePoint taken_over_at_{};
-  core::TakenOver origin_;
+  TimePoint elected_at_{};
+  core::LeaderElected origin_;
   std::map<core::MachineId, Worker> workers_;
   std::unique_ptr<core::Controller> controller_;
   std::uint64_t written_ = 0;
@@ -210,7 +211,7 @@
                                                core::WallTime{});
   }
   void operator()(const Record& record, core::Controller& controller, bool between,
-                  const core::TakenOver& origin, TimePoint taken_over_at) {
+                  const core::LeaderElected& origin, TimePoint elected_at) {
     const auto written_from = core::Clock::now();
     if (const auto* event = std::get_if<core::Event>(&record.what))
       log_->record(record.token, record.at, *event);
@@ -223,7 +224,7 @@
     if (log_->saving())
       log_->continue_save();
     else if (log_->save_due(record.at))
-      log_->begin_save(controller, origin, taken_over_at, record.at, core::WallTime{});
+      log_->begin_save(controller, origin, elected_at, record.at, core::WallTime{});
     else
       return;
     const auto took = cpu_now() - begun;
@@ -252,13 +253,13 @@
     {
       Recorder recorder(path, std::nullopt, saves);
       Yard* yard_at = nullptr;
-      Yard yard(
-          50, 10, true, [&](const Record& record, core::Controller& controller, bool between) {
-            if (yard_at != nullptr)
-              recorder(record, controller, between, yard_at->origin(), yard_at->taken_over_at());
-            else
-              recorder(record, controller, between, {}, {});
-          });
+      Yard yard(50, 10, true,
+                [&](const Record& record, core::Controller& controller, bool between) {
+                  if (yard_at != nullptr)
+                    recorder(record, controller, between, yard_at->origin(), yard_at->elected_at());
+                  else
+                    recorder(record, controller, between, {}, {});
+                });
       yard_at = &yard;
       yard.run(records);
       jobs = yard.jobs_done();
@@ -295,7 +296,7 @@
   constexpr int kTimes = 3000;
   const auto begun = cpu_now();
   for (int i = 0; i < kTimes; ++i)
-    if (agent::parse_report(body).tasks.size() != tasks) std::abort();
+    if (agent::parse_heartbeat(body).tasks.size() != tasks) std::abort();
   return (cpu_now() - begun) / kTimes;
 }
 
@@ -317,10 +318,10 @@
     Yard* yard_at = nullptr;
     Yard yard(
         machines, tasks, on, [&](const Record& record, core::Controller& controller, bool between) {
-          static const core::TakenOver none;
+          static const core::LeaderElected none;
           if (recorder)
             (*recorder)(record, controller, between, yard_at != nullptr ? yard_at->origin() : none,
-                        yard_at != nullptr ? yard_at->taken_over_at() : TimePoint{});
+                        yard_at != nullptr ? yard_at->elected_at() : TimePoint{});
         });
     yard_at = &yard;
     const auto begun = cpu_now();
--- a/src/advice/spending.cpp
+++ b/src/advice/spending.cpp
@@ -4,7 +4,7 @@
 #include <numeric>
 #include <sstream>
 
-namespace violetpulley::advice {
+namespace violetpulley::diagnostics {
 
 namespace {
 
@@ -20,7 +20,7 @@
 }
 
 Use use_of(const core::Assignment& assignment) {
-  if (assignment.stop || assignment.abandoned) return Use::stopping;
+  if (assignment.stop || assignment.orphaned) return Use::stopping;
   return assignment.running_since ? Use::running : Use::fetching;
 }
 
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-void Spending::sample(const core::Fleet& fleet, core::TimePoint now) {
+void CostBreakdown::sample(const core::Fleet& fleet, core::TimePoint now) {
   const auto since = last_ ? core::Seconds(now - *last_) : core::Seconds(0);
   last_ = now;
   if (since <= core::Seconds(0)) return;
@@ -60,9 +60,9 @@
   }
 }
 
-double Spending::paid() const { return std::accumulate(paid_.begin(), paid_.end(), 0.0); }
+double CostBreakdown::paid() const { return std::accumulate(paid_.begin(), paid_.end(), 0.0); }
 
-std::string Spending::text() const {
+std::string CostBreakdown::text() const {
   static constexpr std::array<const char*, kUses> kNames{
       "running", "fetching", "stopping", "free beside work", "empty", "reserved", "booting"};
   std::ostringstream out;
@@ -74,4 +74,4 @@
   return out.str();
 }
 
-}  // namespace violetpulley::advice
+}  // namespace violetpulley::diagnostics
--- a/src/advice/spending.hpp
+++ b/src/advice/spending.hpp
@@ -7,12 +7,12 @@
 
 #include "core/controller.hpp"
 
-namespace violetpulley::advice {
+namespace violetpulley::diagnostics {
 
 enum class Use { running, fetching, stopping, beside, empty, reserved, booting };
 inline constexpr std::size_t kUses = 7;
 
-class Spending {
+class CostBreakdown {
  public:
   // The time since the last call is paid as things are now; the first one pays nothing.
   void sample(const core::Fleet& fleet, core::TimePoint now);
@@ -27,4 +27,4 @@
   std::array<double, kUses> paid_{};
 };
 
-}  // namespace violetpulley::advice
+}  // namespace violetpulley::diagnostics
--- a/src/advice/why.cpp
+++ b/src/advice/why.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace violetpulley::advice {
+namespace violetpulley::diagnostics {
 
 namespace {
 
@@ -22,9 +22,9 @@
   if (!machine.up()) return "booting";
   if (machine.notice_ends) return "taken_back";
   if (!machine.confirmed) return "unconfirmed";
-  if (machine.mute_since) return "not_reporting";
+  if (machine.outbound_partition_since) return "not_reporting";
   if (!core::reached(machine)) return "out_of_reach";
-  if (machine.clearing) return "clearing";
+  if (machine.draining) return "clearing";
   if (!machine.reserved_for.empty() && machine.reserved_for != job) return "reserved_for_a_gang";
   return nullptr;
 }
@@ -63,18 +63,18 @@
 };
 
 Situation situation_of(const core::Controller& controller, const std::vector<core::Team>& teams,
-                       const core::Job& job, core::TimePoint at, Advice& advice) {
+                       const core::Job& job, core::TimePoint at, Advice& diagnostics) {
   Situation out;
   auto mine = solver_job(job);
   solver::Room team_use;
   for (const auto& [id, machine] : controller.fleet().all()) {
     const auto* cause = set_aside_cause(machine, job.spec().id);
-    if (cause != nullptr) ++advice.set_aside[cause];
+    if (cause != nullptr) ++diagnostics.set_aside[cause];
     auto free = room(machine.capacity);
     const auto place = out.empty.machines.size();
     std::uint32_t here = 0;
     for (const auto& [key, assignment] : machine.tasks) {
-      if (key.job == job.spec().id && !assignment.abandoned) {
+      if (key.job == job.spec().id && !assignment.orphaned) {
         ++here;
         continue;
       }
@@ -95,7 +95,7 @@
     out.empty.machines.push_back(seen);
     if (cause == nullptr) {
       seen.room = free;
-      ++advice.machines;
+      ++diagnostics.machines;
     }
     out.now.machines.push_back(seen);
     mine.home.push_back(here);
@@ -195,4 +195,4 @@
   return out;
 }
 
-}  // namespace violetpulley::advice
+}  // namespace violetpulley::diagnostics
--- a/src/advice/why.hpp
+++ b/src/advice/why.hpp
@@ -6,7 +6,7 @@
 #include "core/controller.hpp"
 #include "solver/reasons.hpp"
 
-namespace violetpulley::advice {
+namespace violetpulley::diagnostics {
 
 struct Cause {
   std::string code;  // stable, for programs
@@ -33,4 +33,4 @@
                           const std::vector<core::MachineType>& types, const core::JobId& id,
                           core::TimePoint now);
 
-}  // namespace violetpulley::advice
+}  // namespace violetpulley::diagnostics
--- a/src/agent/agent_codec.cpp
+++ b/src/agent/agent_codec.cpp
@@ -5,10 +5,10 @@
 
 namespace violetpulley::agent {
 
+using core::CommandType;
 using core::ExitCause;
 using core::Seconds;
 using core::TaskState;
-using core::Verb;
 
 namespace {
 
@@ -27,7 +27,7 @@
   if (name == "fetching") return TaskState::fetching;
   if (name == "waiting") return TaskState::waiting;
   if (name == "running") return TaskState::running;
-  if (name == "flushing") return TaskState::saving;
+  if (name == "flushing") return TaskState::checkpointing;
   if (name == "exited") return TaskState::exited;
   throw std::invalid_argument("task state " + name);
 }
@@ -38,7 +38,7 @@
   if (name == "mates_gone") return ExitCause::peers_gone;
   if (name == "incomplete") return ExitCause::incomplete;
   if (name == "error") return ExitCause::error;
-  if (name == "no_room") return ExitCause::no_room;
+  if (name == "no_room") return ExitCause::no_capacity;
   if (name == "in_use") return ExitCause::busy;
   if (name == "no_such") return ExitCause::unknown;
   throw std::invalid_argument("exit cause " + name);
@@ -61,15 +61,15 @@
   for (const auto& command : commands) {
     Json item{{"cut", command.task.job + "/" + std::to_string(command.task.index)},
               {"try", command.attempt}};
-    switch (command.verb) {
-      case Verb::start:
+    switch (command.type) {
+      case CommandType::start:
         item["verb"] = "start";
         break;
-      case Verb::stop:
+      case CommandType::stop:
         item["verb"] = "kill";
         item["leeway_s"] = command.grace.count();
         break;
-      case Verb::forget:
+      case CommandType::acknowledge:
         item["verb"] = "reap";
         break;
     }
@@ -80,17 +80,17 @@
 
 }  // namespace
 
-core::WorkerReport parse_report(const std::string& body) {
+core::Heartbeat parse_heartbeat(const std::string& body) {
   const auto json = Json::parse(body);
-  core::WorkerReport report;
+  core::Heartbeat report;
   report.machine = name_at(json, "rig");
   report.endpoint = name_at(json, "endpoint");
   report.type = name_at(json, "bench");
   report.zone = name_at(json, "district");
   const auto spot = json.find("loaners");
   report.spot = spot != json.end() && !spot->is_null() && spot->get<bool>();
-  report.session = integer(json.at("shift"), "shift");
-  report.sequence = integer(json.at("tally"), "tally");
+  report.epoch = integer(json.at("shift"), "shift");
+  report.heartbeat_sequence = integer(json.at("tally"), "tally");
   const auto token = json.find("baton");
   if (token != json.end() && !token->is_null()) report.token = integer(*token, "baton");
   const auto notice = json.find("recall_s");
@@ -104,7 +104,7 @@
   if (!tasks->is_array()) throw std::invalid_argument("cuts must be a list");
   report.tasks.reserve(tasks->size());
   for (const auto& item : *tasks) {
-    core::TaskReport entry;
+    core::TaskStatus entry;
     entry.task = parse_task(item.at("cut").get<std::string>());
     entry.attempt = integer(item.at("try"), "try");
     entry.state = parse_state(item.at("status").get<std::string>());
@@ -117,13 +117,13 @@
   return report;
 }
 
-std::string response_body(core::Token token, const std::vector<core::Command>& commands) {
+std::string response_body(core::FencingToken token, const std::vector<core::Command>& commands) {
   return Json{{"baton", token}, {"orders", commands_to_json(commands)}}.dump();
 }
 
-std::string orders_body(core::Token token, std::uint64_t session,
-                        const std::vector<core::Command>& commands) {
-  return Json{{"baton", token}, {"shift", session}, {"orders", commands_to_json(commands)}}.dump();
+std::string commands_body(core::FencingToken token, std::uint64_t epoch,
+                          const std::vector<core::Command>& commands) {
+  return Json{{"baton", token}, {"shift", epoch}, {"orders", commands_to_json(commands)}}.dump();
 }
 
 }  // namespace violetpulley::agent
--- a/src/agent/agent_codec.hpp
+++ b/src/agent/agent_codec.hpp
@@ -10,9 +10,9 @@
 using Json = nlohmann::json;
 
 // Throws on anything malformed.
-core::WorkerReport parse_report(const std::string& body);
-std::string response_body(core::Token token, const std::vector<core::Command>& commands);
-std::string orders_body(core::Token token, std::uint64_t session,
-                        const std::vector<core::Command>& commands);
+core::Heartbeat parse_heartbeat(const std::string& body);
+std::string response_body(core::FencingToken token, const std::vector<core::Command>& commands);
+std::string commands_body(core::FencingToken token, std::uint64_t epoch,
+                          const std::vector<core::Command>& commands);
 
 }  // namespace violetpulley::agent
--- a/src/agent/orders_sender.cpp
+++ b/src/agent/orders_sender.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kMostCommands = 500;
 }  // namespace
 
-void OrdersSender::erase(const core::MachineId& machine) {
+void CommandSender::erase(const core::MachineId& machine) {
   const auto found = lines_.find(machine);
   if (found == lines_.end()) return;
   idle_.erase({found->second.used, machine});
@@ -24,11 +24,11 @@
 // One closed line for each new one is not enough: after a takeover every machine is asked at once,
 // all lines are busy, and what a burst opened stayed for ever. With as many lines as machines the
 // workers' own connections found no room for longer than a lease (docs/incidents/lines.md).
-void OrdersSender::close_down_to(std::size_t most) {
+void CommandSender::close_down_to(std::size_t most) {
   while (lines_.size() > most && !idle_.empty()) erase(core::MachineId(idle_.begin()->second));
 }
 
-void OrdersSender::send(const core::SendOrders& orders) {
+void CommandSender::send(const core::SendCommands& orders) {
   if (!lines_.contains(orders.machine)) close_down_to(most_lines_ - 1);
   auto& line = lines_[orders.machine];
   idle_.erase({line.used, orders.machine});
@@ -47,15 +47,15 @@
   }
   auto commands = orders.commands;
   if (commands.size() > kMostCommands) commands.resize(kMostCommands);
-  line.client->request({"POST", "/orders", orders_body(token_, orders.session, commands)},
+  line.client->request({"POST", "/orders", commands_body(token_, orders.epoch, commands)},
                        commands.empty() ? kAskTimeout : kTimeout,
                        [this, id = orders.machine](const std::optional<net::Response>& response) {
                          answered(id, response);
                        });
 }
 
-void OrdersSender::answered(const core::MachineId& id,
-                            const std::optional<net::Response>& response) {
+void CommandSender::answered(const core::MachineId& id,
+                             const std::optional<net::Response>& response) {
   if (const auto line = lines_.find(id); line != lines_.end() && line->second.client->idle())
     idle_.insert({line->second.used, id});
   close_down_to(most_lines_);
@@ -64,7 +64,7 @@
     return answered_(id, nullptr);
   }
   try {
-    const auto report = parse_report(response->body);
+    const auto report = parse_heartbeat(response->body);
     if (report.machine != id) {
       spdlog::warn("machine {}: {} answers at its endpoint, which proves nothing of it", id,
                    report.machine);
@@ -77,6 +77,6 @@
   }
 }
 
-void OrdersSender::drop(const core::MachineId& machine) { erase(machine); }
+void CommandSender::drop(const core::MachineId& machine) { erase(machine); }
 
 }  // namespace violetpulley::agent
--- a/src/agent/orders_sender.hpp
+++ b/src/agent/orders_sender.hpp
@@ -12,15 +12,16 @@
 
 namespace violetpulley::agent {
 
-class OrdersSender {
+class CommandSender {
  public:
   // No report: no answer, or nonsense.
-  using Answered = std::function<void(const core::MachineId&, const core::WorkerReport*)>;
+  using Answered = std::function<void(const core::MachineId&, const core::Heartbeat*)>;
 
-  OrdersSender(asio::io_context& io, core::Token token, std::size_t most_lines, Answered answered)
+  CommandSender(asio::io_context& io, core::FencingToken token, std::size_t most_lines,
+                Answered answered)
       : io_(io), token_(token), most_lines_(most_lines), answered_(std::move(answered)) {}
 
-  void send(const core::SendOrders& orders);
+  void send(const core::SendCommands& orders);
   void drop(const core::MachineId& machine);
   // At least one.
   void set_most_lines(std::size_t most) { most_lines_ = std::max<std::size_t>(1, most); }
@@ -37,7 +38,7 @@
   void close_down_to(std::size_t most);
   void erase(const core::MachineId& machine);
   asio::io_context& io_;
-  core::Token token_;
+  core::FencingToken token_;
   std::size_t most_lines_;
   std::uint64_t sends_ = 0;
   Answered answered_;
--- a/src/api/job_codec.cpp
+++ b/src/api/job_codec.cpp
@@ -109,7 +109,7 @@
   spec.spot_allowed = flag(field(body, "loaners"), "loaners");
   spec.estimate = Seconds(amount(field(body, "expect_s"), "expect_s", 0));
   spec.checkpoint_every = Seconds(amount(field(body, "mark_s"), "mark_s", 0));
-  spec.save_time = Seconds(amount(field(body, "stow_s"), "stow_s", 0));
+  spec.checkpoint_time = Seconds(amount(field(body, "stow_s"), "stow_s", 0));
   if (!absent(body, "due_s")) spec.deadline = Seconds(amount(body.at("due_s"), "due_s", 0));
   return spec;
 }
@@ -131,7 +131,7 @@
            {"loaners", spec.spot_allowed},
            {"expect_s", spec.estimate.count()},
            {"mark_s", spec.checkpoint_every.count()},
-           {"stow_s", spec.save_time.count()}};
+           {"stow_s", spec.checkpoint_time.count()}};
   if (!spec.types.empty()) out["benches"] = spec.types;
   if (spec.zone) out["district"] = *spec.zone;
   if (spec.deadline) out["due_s"] = spec.deadline->count();
--- a/src/api/operator_api.cpp
+++ b/src/api/operator_api.cpp
@@ -23,22 +23,22 @@
 
 }  // namespace
 
-std::string advice_text(const advice::Advice& advice) {
+std::string advice_text(const diagnostics::Advice& diagnostics) {
   Json causes = Json::array();
-  for (const auto& cause : advice.causes)
+  for (const auto& cause : diagnostics.causes)
     causes.push_back({{"code", cause.code}, {"text", cause.text}});
-  Json out{{"job", advice.job},
-           {"waiting", advice.waiting},
-           {"on_machines", advice.on_machines},
-           {"done", advice.done},
-           {"bound", advice.bound},
-           {"impossible", advice.impossible},
+  Json out{{"job", diagnostics.job},
+           {"waiting", diagnostics.waiting},
+           {"on_machines", diagnostics.on_machines},
+           {"done", diagnostics.done},
+           {"bound", diagnostics.bound},
+           {"impossible", diagnostics.impossible},
            {"causes", std::move(causes)},
-           {"machines", advice.machines},
-           {"set_aside", advice.set_aside},
-           {"rentable_types", advice.rentable_types},
+           {"machines", diagnostics.machines},
+           {"set_aside", diagnostics.set_aside},
+           {"rentable_types", diagnostics.rentable_types},
            {"fits_in_s", nullptr}};
-  if (advice.fits_in) out["fits_in_s"] = std::round(advice.fits_in->count() * 10) / 10;
+  if (diagnostics.fits_in) out["fits_in_s"] = std::round(diagnostics.fits_in->count() * 10) / 10;
   return out.dump();
 }
 
@@ -77,9 +77,10 @@
     if (passed_on) return respond(error(503, "this controller does not lead", kRetry));
     return pass_on(id, respond);
   }
-  const auto advice = advice::why(*controller, environment_.teams, environment_.types(), id, now);
-  if (!advice) return respond(error(404, "no such open job"));
-  respond({200, advice_text(*advice), {}});
+  const auto diagnostics =
+      diagnostics::why(*controller, environment_.teams, environment_.types(), id, now);
+  if (!diagnostics) return respond(error(404, "no such open job"));
+  respond({200, advice_text(*diagnostics), {}});
 }
 
 void OperatorApi::pass_on(const core::JobId& id, const net::Responder& respond) {
--- a/src/api/operator_api.hpp
+++ b/src/api/operator_api.hpp
@@ -14,7 +14,7 @@
 namespace violetpulley::api {
 
 // As the answer holds it.
-std::string advice_text(const advice::Advice& advice);
+std::string advice_text(const diagnostics::Advice& diagnostics);
 
 class OperatorApi {
  public:
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -29,9 +29,9 @@
 
 }  // namespace
 
-UserApi::UserApi(asio::io_context& /*io*/, store::StoreClient& store, store::JobMirror& mirror,
-                 Environment environment)
-    : store_(store), mirror_(mirror), environment_(std::move(environment)) {}
+UserApi::UserApi(asio::io_context& /*io*/, store::StoreClient& store,
+                 store::JobReplica& job_replica, Environment environment)
+    : store_(store), job_replica_(job_replica), environment_(std::move(environment)) {}
 
 UserApi::~UserApi() { *alive_ = false; }
 
@@ -60,23 +60,23 @@
 
 // A final state, once known, needs no barrier. Otherwise the mirror is brought to the present; a
 // job that it then lacks has ended or was never accepted, which its end key tells, read later.
-void UserApi::look_up(const core::JobId& id, Told told) {
+void UserApi::look_up(const core::JobId& id, Callback done) {
   const auto ended = ended_.find(id);
   if (ended != ended_.end())
-    return told(ended->second == FinalState::done ? Known::done : Known::cancelled);
-  mirror_.barrier(Urgency::user, [this, id, told = std::move(told)](bool fresh) {
-    if (!fresh) return told(std::nullopt);
-    if (mirror_.find(id) != nullptr) return told(Known::open);
+    return done(ended->second == FinalState::done ? Known::done : Known::cancelled);
+  job_replica_.barrier(Urgency::user, [this, id, done = std::move(done)](bool fresh) {
+    if (!fresh) return done(std::nullopt);
+    if (job_replica_.find(id) != nullptr) return done(Known::open);
     // A user waits for two seconds: behind a flood of questions it is told at once to come back.
-    if (store_.expected_read_wait() > kLongestWait) return told(std::nullopt);
+    if (store_.expected_read_wait() > kLongestWait) return done(std::nullopt);
     store_.get(store::kEndPrefix + id, Urgency::user,
-               [this, id, told, alive = alive_](store::GetResult result) {
+               [this, id, done, alive = alive_](store::GetResult result) {
                  if (!*alive) return;
-                 if (result.outcome == Outcome::not_found) return told(Known::absent);
-                 if (result.outcome != Outcome::ok) return told(std::nullopt);
-                 const bool done = result.item.value.value("state", "") == "done";
-                 remember(id, done ? FinalState::done : FinalState::cancelled);
-                 told(done ? Known::done : Known::cancelled);
+                 if (result.outcome == Outcome::not_found) return done(Known::absent);
+                 if (result.outcome != Outcome::ok) return done(std::nullopt);
+                 const bool finished = result.item.value.value("state", "") == "done";
+                 remember(id, finished ? FinalState::done : FinalState::cancelled);
+                 done(finished ? Known::done : Known::cancelled);
                });
   });
 }
@@ -102,7 +102,7 @@
   if (const auto found = body.find("id"); found != body.end() && found->is_string())
     id = found->get<std::string>();
   // A known id is recognised before the submission is looked at anew.
-  if (ended_.contains(id) || mirror_.find(id) != nullptr)
+  if (ended_.contains(id) || job_replica_.find(id) != nullptr)
     return refuse_unless_known(id, 400, "", respond);
   if (const auto wait = store_.expected_wait(); wait > kLongestWait)
     return respond(unavailable("too many submissions wait for the state service", turn(wait)));
@@ -148,7 +148,7 @@
           return respond(try_again());
         }
         record.revision = result.revision;
-        mirror_.note_opened(record);
+        job_replica_.note_opened(record);
         spdlog::debug(
             "job {} accepted in {} ms", job,
             std::chrono::ceil<std::chrono::milliseconds>(core::Clock::now() - came).count());
@@ -170,7 +170,7 @@
 }
 
 void UserApi::try_cancel(const core::JobId& id, int tries, const net::Responder& respond) {
-  const auto* record = mirror_.find(id);
+  const auto* record = job_replica_.find(id);
   if (record == nullptr) {
     return look_up(id, [this, id, tries, respond](std::optional<Known> known) {
       if (!known) return respond(try_again());
@@ -189,7 +189,7 @@
                   if (!*alive) return;
                   if (result.outcome == Outcome::ok) {
                     remember(id, FinalState::cancelled);
-                    mirror_.note_closed(id, result.revision);
+                    job_replica_.note_closed(id, result.revision);
                     spdlog::info("job {} cancelled", id);
                     return answer(id, Known::cancelled, respond);
                   }
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -19,7 +19,7 @@
     std::function<core::JobCounts(const core::JobId&)> counts;
   };
 
-  UserApi(asio::io_context& io, store::StoreClient& store, store::JobMirror& mirror,
+  UserApi(asio::io_context& io, store::StoreClient& store, store::JobReplica& job_replica,
           Environment environment);
   ~UserApi();
   UserApi(const UserApi&) = delete;
@@ -32,8 +32,8 @@
  private:
   // What the store holds about an id; empty: it could not tell.
   enum class Known { open, done, cancelled, absent };
-  using Told = std::function<void(std::optional<Known>)>;
-  void look_up(const core::JobId& id, Told told);
+  using Callback = std::function<void(std::optional<Known>)>;
+  void look_up(const core::JobId& id, Callback done);
   void answer(const core::JobId& id, Known known, const net::Responder& respond);
   std::chrono::seconds turn(core::Duration wait);
   void accept(core::JobSpec spec, const net::Responder& respond);
@@ -43,7 +43,7 @@
   void remember(const core::JobId& id, core::FinalState state);
 
   store::StoreClient& store_;
-  store::JobMirror& mirror_;
+  store::JobReplica& job_replica_;
   Environment environment_;
   std::unordered_map<core::JobId, core::FinalState> ended_;
   std::deque<core::JobId> ended_order_;
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -105,7 +105,8 @@
        false);
 }
 
-void CloudClient::rent(const core::Rent& request, std::function<void(core::RentalAnswer)> done) {
+void CloudClient::rent(const core::ScaleOut& request,
+                       std::function<void(core::ScaleOutResult)> done) {
   const Json body{{"hire", request.name},
                   {"bench", request.type},
                   {"district", request.zone},
@@ -113,8 +114,8 @@
                   {"number", request.count}};
   send({{"POST", "/rentals", body.dump()},
         [done = std::move(done)](std::optional<net::Response> response) {
-          using Kind = core::RentalAnswer::Kind;
-          core::RentalAnswer answer;
+          using Kind = core::ScaleOutResult::Kind;
+          core::ScaleOutResult answer;
           if (!response) return done(answer);
           answer.kind = Kind::refused;
           try {
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -21,7 +21,7 @@
     std::string body;  // as the cloud sent it
   };
   void catalog(std::function<void(std::optional<Catalog>)> done);
-  void rent(const core::Rent& request, std::function<void(core::RentalAnswer)> done);
+  void rent(const core::ScaleOut& request, std::function<void(core::ScaleOutResult)> done);
   void release(const std::vector<core::MachineId>& machines, std::function<void(bool)> done);
   void list(std::function<void(std::optional<std::vector<core::ListedMachine>>)> done);
 
--- a/src/commands/history.cpp
+++ b/src/commands/history.cpp
@@ -184,7 +184,7 @@
   }
   const auto events = contents.events();
   history::EventLog log(files, new_key, {}, contents, contents.history, replay.wall_now());
-  log.begin_save(*replay.controller(), replay.origin(), replay.taken_over_at(), replay.now(),
+  log.begin_save(*replay.controller(), replay.origin(), replay.elected_at(), replay.now(),
                  replay.wall_now());
   while (log.saving()) log.continue_save();
   log.prune(1);
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -82,13 +82,13 @@
   out.member = text_at(root, "", "member");
   out.zone = text_at(root, "", "site");
   out.public_address = address_at(root, "", "public_addr");
-  out.mesh_address = address_at(root, "", "mesh_addr");
+  out.peer_address = address_at(root, "", "mesh_addr");
   std::set<std::string> members{out.member};
   each_table(root, "", "siblings", [&](const toml::table& item, const std::string& at) {
-    out.siblings.push_back({text_at(item, at, "member"), text_at(item, at, "site"),
-                            address_at(item, at, "peer_addr")});
-    if (!members.insert(out.siblings.back().member).second)
-      fail(at + "member", "'" + out.siblings.back().member + "' is named twice");
+    out.peers.push_back({text_at(item, at, "member"), text_at(item, at, "site"),
+                         address_at(item, at, "peer_addr")});
+    if (!members.insert(out.peers.back().member).second)
+      fail(at + "member", "'" + out.peers.back().member + "' is named twice");
   });
   const auto& services = table_at(root, "", "services");
   out.cloud_address = address_at(services, "services.", "cloud");
@@ -138,7 +138,7 @@
   out.workers.cancel = core::Seconds(number_at(workers, w, "cancel_s", 1));
   out.workers.gang_wait = core::Seconds(number_at(workers, w, "gang_wait_s", 0, 30.0));
   out.workers.gang_peer = core::Seconds(number_at(workers, w, "gang_peer_s", 0, 4.0));
-  const auto least = core::Leadership::least_cancel(out.workers, out.clock_skew);
+  const auto least = core::Leadership::min_cancel_time(out.workers, out.clock_skew);
   if (out.workers.cancel < least) {
     std::ostringstream problem;
     problem << "must be at least " << std::fixed << std::setprecision(1)
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -14,10 +14,10 @@
   using std::runtime_error::runtime_error;
 };
 
-struct Sibling {
+struct Peer {
   std::string member;
   std::string zone;
-  std::string mesh_address;
+  std::string peer_address;
 };
 
 struct Objective {
@@ -32,8 +32,8 @@
   std::string member;
   std::string zone;
   std::string public_address;
-  std::string mesh_address;
-  std::vector<Sibling> siblings;
+  std::string peer_address;
+  std::vector<Peer> peers;
   std::string cloud_address;
   std::string state_address;
   std::vector<std::string> zones;
@@ -49,7 +49,7 @@
   core::Seconds cloud_list_lag{10};
   std::size_t max_sockets = 1000;
 
-  std::size_t nodes() const { return siblings.size() + 1; }
+  std::size_t nodes() const { return peers.size() + 1; }
 };
 
 // The operators' own file.
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -32,16 +32,16 @@
       {"bin_unit_s", seconds_field(out.bin_unit, {0.01, 3600})},
       {"round_s", seconds_field(out.round, {0.1, 60})},
       {"quick_round_s", seconds_field(out.quick_round, {0.02, 60})},
-      {"clearing_wait_s", seconds_field(out.clearing_wait, {1, 3600})},
-      {"clearing_use", plain(out.clearing_use, {0, 1})},
+      {"clearing_wait_s", seconds_field(out.consolidation_wait, {1, 3600})},
+      {"clearing_use", plain(out.consolidation_threshold, {0, 1})},
       {"idle_wait_s", seconds_field(out.idle_wait, {0, 3600})},
       {"boot_late_factor", plain(out.boot_late_factor, {1, 100})},
-      {"refused_rest_s", seconds_field(out.refused_rest, {0.5, 3600})},
+      {"refused_rest_s", seconds_field(out.refused_cooldown, {0.5, 3600})},
       {"silent_after_s", seconds_field(out.silent_after, {2, 3600})},
-      {"lost_after_takeover_s", seconds_field(out.lost_after_takeover, {3, 3600})},
+      {"lost_after_takeover_s", seconds_field(out.lost_after_failover, {3, 3600})},
       {"lost_after_s", seconds_field(out.lost_after, {3, 3600})},
-      {"dear_patience_s", seconds_field(out.dear_patience, {0, 3600})},
-      {"dear_idle_wait_s", seconds_field(out.dear_idle_wait, {0, 3600})},
+      {"dear_patience_s", seconds_field(out.on_demand_patience, {0, 3600})},
+      {"dear_idle_wait_s", seconds_field(out.on_demand_idle_wait, {0, 3600})},
       {"quarantine_errors",
        [&out](const YAML::Node& node, const std::string& name) {
          out.quarantine_errors = static_cast<int>(number(node, name, {1, 1000}));
@@ -51,7 +51,7 @@
       {"still_alive", plain(out.still_alive, {0, 1})},
       {"most_orders",
        [&out](const YAML::Node& node, const std::string& name) {
-         out.most_orders = static_cast<std::size_t>(number(node, name, {8, 100'000}));
+         out.max_commands_in_flight = static_cast<std::size_t>(number(node, name, {8, 100'000}));
        }},
       {"commit_starts", [&out](const YAML::Node& node,
                                const std::string& name) { out.commit_starts = flag(node, name); }},
--- a/src/core/actions.hpp
+++ b/src/core/actions.hpp
@@ -35,14 +35,14 @@
   }
 };
 
-struct SendOrders {
+struct SendCommands {
   MachineId machine;
   std::string endpoint;
-  std::uint64_t session = 0;
+  std::uint64_t epoch = 0;
   std::vector<Command> commands;
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.machine, s.endpoint, s.session, s.commands);
+    f(s.machine, s.endpoint, s.epoch, s.commands);
   }
 };
 struct SaveMachine {
@@ -113,7 +113,7 @@
     f(s.job, s.chunks);
   }
 };
-struct Rent {
+struct ScaleOut {
   std::string name;
   std::string type;
   std::string zone;
@@ -124,7 +124,7 @@
     f(s.name, s.type, s.zone, s.spot, s.count);
   }
 };
-struct Release {
+struct ScaleIn {
   std::vector<MachineId> machines;
   std::string cause;  // for the log: "3 idle, 1 silent"
   template <class S, class F>
@@ -134,10 +134,10 @@
 };
 struct Resign {
   std::string cause;
-  bool deaf = false;  // no machine is heard from: another controller may hear them
+  bool isolated = false;  // no machine is heard from: another controller may hear them
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.cause, s.deaf);
+    f(s.cause, s.isolated);
   }
 };
 
@@ -153,8 +153,8 @@
 };
 
 using Action =
-    std::variant<SendOrders, SaveMachine, DeleteMachine, SaveProgress, FinishJob, DeleteProgress,
-                 Rent, Release, Resign, SavePlacements, MarkPlacements, JobSuspected>;
+    std::variant<SendCommands, SaveMachine, DeleteMachine, SaveProgress, FinishJob, DeleteProgress,
+                 ScaleOut, ScaleIn, Resign, SavePlacements, MarkPlacements, JobSuspected>;
 
 inline constexpr TaskIndex kProgressChunk = 1000;
 
--- a/src/core/assignments.cpp
+++ b/src/core/assignments.cpp
@@ -15,7 +15,7 @@
   assignment.shape = spec.shape;
   assignment.estimate = estimate;
   assignment.checkpoint_every = spec.checkpoint_every;
-  assignment.save_time = spec.save_time;
+  assignment.checkpoint_time = spec.checkpoint_time;
   assignment.placed = now;
   return assignment;
 }
@@ -24,10 +24,10 @@
 void Assignments::drop(Machine& machine, const TaskKey& key, TimePoint now, bool stored) {
   const auto assignment = machine.tasks.find(key);
   if (assignment == machine.tasks.end()) return;
-  fleet_.touch(machine);
+  fleet_.before_change(machine);
   const auto found = jobs_.find(key.job);
-  if (found != jobs_.end()) jobs_.touch(found->second);
-  if (assignment->second.running_since && !assignment->second.abandoned && found != jobs_.end()) {
+  if (found != jobs_.end()) jobs_.before_change(found->second);
+  if (assignment->second.running_since && !assignment->second.orphaned && found != jobs_.end()) {
     auto& job = found->second;
     if (job.running > 0) --job.running;
     // What a restart need not repeat. Tasks of a gang save together.
@@ -57,7 +57,7 @@
 void Assignments::lost(const TaskKey& key) {
   const auto found = jobs_.find(key.job);
   if (found == jobs_.end() || key.index >= found->second.tasks.size()) return;
-  jobs_.touch(found->second);
+  jobs_.before_change(found->second);
   found->second.set_waiting(key.index);
   if (found->second.gang()) jobs_.note_broken(key.job);
   out_.want_placing();
@@ -66,19 +66,19 @@
 void Assignments::lose_all(Machine& machine, TimePoint now) {
   while (!machine.tasks.empty()) {
     const auto key = machine.tasks.begin()->first;
-    const bool abandoned = machine.tasks.begin()->second.abandoned;
+    const bool orphaned = machine.tasks.begin()->second.orphaned;
     drop(machine, key, now);
-    if (!abandoned) lost(key);
+    if (!orphaned) lost(key);
   }
-  fleet_.touch(machine);
+  fleet_.before_change(machine);
   machine.reported.clear();
-  recovery_.note_foreign(machine, now);
+  recovery_.update_unknown_tasks(machine, now);
 }
 
 void Assignments::runs_now(Assignment& assignment, Job* job, TimePoint now) {
   assignment.running_since = now;
-  if (job == nullptr || assignment.abandoned) return;
-  jobs_.touch(*job);
+  if (job == nullptr || assignment.orphaned) return;
+  jobs_.before_change(*job);
   ++job->running;
 }
 
--- a/src/core/beliefs.hpp
+++ b/src/core/beliefs.hpp
@@ -7,7 +7,7 @@
 
 namespace violetpulley::core {
 
-struct JobBelief {
+struct LearnedJob {
   JobId id;
   Seconds waited{0};  // since a leader first saw it
   std::vector<std::pair<TaskIndex, Seconds>> saved;
@@ -21,7 +21,7 @@
   }
 };
 
-struct MachineBelief {
+struct LearnedMachine {
   MachineId id;
   int errors = 0;
   std::vector<JobId> error_jobs;
@@ -33,8 +33,8 @@
   }
 };
 
-struct RestBelief {
-  OptionKey option;
+struct OfferingCooldown {
+  OfferingKey option;
   Seconds left{0};
 
   template <class S, class F>
@@ -43,22 +43,22 @@
   }
 };
 
-struct Beliefs {
+struct LearnedState {
   WallTime as_of{};
   Estimator estimates;
-  std::vector<JobBelief> jobs;
-  std::vector<MachineBelief> machines;
-  std::vector<RestBelief> resting;
+  std::vector<LearnedJob> jobs;
+  std::vector<LearnedMachine> machines;
+  std::vector<OfferingCooldown> cooldowns;
 
   bool empty() const {
-    return estimates.empty() && jobs.empty() && machines.empty() && resting.empty();
+    return estimates.empty() && jobs.empty() && machines.empty() && cooldowns.empty();
   }
   // Since it was written; a time of day that stepped back gives none.
   Seconds elapsed(WallTime now) const { return std::max(Seconds(0), Seconds(now - as_of)); }
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.as_of, s.estimates, s.jobs, s.machines, s.resting);
+    f(s.as_of, s.estimates, s.jobs, s.machines, s.cooldowns);
   }
 };
 
--- a/src/core/bindings.cpp
+++ b/src/core/bindings.cpp
@@ -2,20 +2,20 @@
 
 namespace violetpulley::core {
 
-void Bindings::bind(const std::vector<TaskKey>& group, const std::string& rental) {
+void Bindings::bind(const std::vector<TaskKey>& group, const std::string& request) {
   for (const auto& key : group) {
     auto& job = jobs_.at(key.job);
-    jobs_.touch(job);
-    job.tasks[key.index].bound = rental;
+    jobs_.before_change(job);
+    job.tasks[key.index].bound = request;
   }
 }
 
-void Bindings::rebind(std::vector<TaskKey> group, const std::string& rental,
+void Bindings::rebind(std::vector<TaskKey> group, const std::string& request,
                       const MachineId& machine) {
   for (const auto& key : group) {
     const auto job = jobs_.find(key.job);
-    if (job == jobs_.end() || job->second.tasks[key.index].bound != rental) continue;
-    jobs_.touch(job->second);
+    if (job == jobs_.end() || job->second.tasks[key.index].bound != request) continue;
+    jobs_.before_change(job->second);
     job->second.tasks[key.index].bound = machine;
   }
   if (!group.empty()) groups_[machine] = std::move(group);
@@ -25,7 +25,7 @@
   for (const auto& key : group) {
     const auto job = jobs_.find(key.job);
     if (job == jobs_.end() || job->second.tasks[key.index].bound != bound) continue;
-    jobs_.touch(job->second);
+    jobs_.before_change(job->second);
     job->second.tasks[key.index].bound.clear();
   }
   out_.want_placing();
--- a/src/core/bindings.hpp
+++ b/src/core/bindings.hpp
@@ -14,9 +14,9 @@
 
   bool holds(const MachineId& id) const { return groups_.contains(id); }
   // Tasks wait for a rental's answer.
-  void bind(const std::vector<TaskKey>& group, const std::string& rental);
+  void bind(const std::vector<TaskKey>& group, const std::string& request);
   // The rental has brought a machine for those that still wait for it.
-  void rebind(std::vector<TaskKey> group, const std::string& rental, const MachineId& machine);
+  void rebind(std::vector<TaskKey> group, const std::string& request, const MachineId& machine);
   void unbind(const std::vector<TaskKey>& group, const std::string& bound);
   // The machine is gone.
   void machine_gone(const MachineId& id);
--- a/src/core/catalog.hpp
+++ b/src/core/catalog.hpp
@@ -24,9 +24,9 @@
   const std::map<std::string, Team>& teams() const { return teams_; }
 
   // Ordinary machines of this type cost much more than spot ones. The type must be known.
-  bool dear(const std::string& type, bool spot) const {
+  bool expensive(const std::string& type, bool spot) const {
     const auto& prices = types_.at(type);
-    return !spot && prices.spot_price > 0 && is_dear(prices.price, prices.spot_price);
+    return !spot && prices.spot_price > 0 && is_expensive(prices.price, prices.spot_price);
   }
 
   // Gives a machine what its type says, if the type is known.
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -7,43 +7,45 @@
 
 namespace violetpulley::core {
 
-Controller::Controller(ControllerSettings settings, Token token, TimePoint now,
-                       TimePoint older_leases_end, const Inheritance& inheritance)
+Controller::Controller(ControllerSettings settings, FencingToken token, TimePoint now,
+                       TimePoint former_leases_end, const RecoveredState& recovered)
     : settings_(std::move(settings)),
       catalog_(settings_),
       jobs_(out_),
-      outlooks_(settings_, estimator_, now),
-      contact_(settings_, fleet_, now),
-      recovery_(out_, fleet_, older_leases_end, settings_.workers.lease),
+      forecaster_(settings_, estimator_, now),
+      failure_detector_(settings_, fleet_, now),
+      recovery_(out_, fleet_, former_leases_end, settings_.workers.lease),
       registry_(out_, fleet_),
-      orders_(settings_.sockets, settings_.tuning.most_orders, out_, fleet_, jobs_),
+      commands_(settings_.sockets, settings_.tuning.max_commands_in_flight, out_, fleet_, jobs_),
       assignments_(out_, fleet_, jobs_, recovery_),
-      starts_(settings_, catalog_, fleet_, jobs_, orders_, outlooks_, recovery_, token),
-      reckoning_(settings_, catalog_, fleet_, jobs_, recovery_, orders_, starts_, now),
-      market_(catalog_),
+      starts_(settings_, catalog_, fleet_, jobs_, commands_, forecaster_, recovery_, token),
+      reconciler_(settings_, catalog_, fleet_, jobs_, recovery_, commands_, starts_, now),
+      offerings_(catalog_),
       bindings_(out_, jobs_),
       scarcity_(catalog_, jobs_),
-      preemption_(settings_, out_, fleet_, jobs_, orders_, starts_, bindings_),
-      gangs_(settings_, out_, catalog_, fleet_, jobs_, orders_, starts_, outlooks_, market_,
+      preemption_(settings_, out_, fleet_, jobs_, commands_, starts_, bindings_),
+      gangs_(settings_, out_, catalog_, fleet_, jobs_, commands_, starts_, forecaster_, offerings_,
              bindings_, preemption_),
-      rentals_(settings_, out_, catalog_, fleet_, jobs_, starts_, outlooks_, market_, bindings_,
-               scarcity_, gangs_, registry_, token),
-      watch_(settings_, out_, catalog_, fleet_, contact_, orders_, recovery_, reckoning_,
-             assignments_, registry_, now),
-      reports_(settings_, out_, catalog_, fleet_, contact_, jobs_, estimator_, outlooks_, recovery_,
-               reckoning_, registry_, orders_, assignments_, gangs_, token),
-      clearing_(settings_, catalog_, fleet_, jobs_, orders_, bindings_, scarcity_, watch_),
-      replicas_(settings_, out_, fleet_, jobs_, orders_, starts_, bindings_),
-      standing_(settings_, fleet_, jobs_, starts_, outlooks_, bindings_),
-      placing_(settings_, out_, catalog_, fleet_, jobs_, recovery_, reckoning_, orders_, outlooks_,
-               starts_, bindings_, scarcity_, preemption_, gangs_, rentals_, standing_) {
-  for (const auto& record : inheritance.jobs) {
+      scale_out_(settings_, out_, catalog_, fleet_, jobs_, starts_, forecaster_, offerings_,
+                 bindings_, scarcity_, gangs_, registry_, token),
+      watch_(settings_, out_, catalog_, fleet_, failure_detector_, commands_, recovery_,
+             reconciler_, assignments_, registry_, now),
+      heartbeats_(settings_, out_, catalog_, fleet_, failure_detector_, jobs_, estimator_,
+                  forecaster_, recovery_, reconciler_, registry_, commands_, assignments_, gangs_,
+                  token),
+      consolidation_(settings_, catalog_, fleet_, jobs_, commands_, bindings_, scarcity_, watch_),
+      replicas_(settings_, out_, fleet_, jobs_, commands_, starts_, bindings_),
+      starvation_guard_(settings_, fleet_, jobs_, starts_, forecaster_, bindings_),
+      placing_(settings_, out_, catalog_, fleet_, jobs_, recovery_, reconciler_, commands_,
+               forecaster_, starts_, bindings_, scarcity_, preemption_, gangs_, scale_out_,
+               starvation_guard_) {
+  for (const auto& record : recovered.jobs) {
     jobs_.open(record, now);
-    jobs_.at(record.spec.id).carried_over = record.revision < token;
+    jobs_.at(record.spec.id).from_former_leader = record.revision < token;
   }
-  for (const auto& progress : inheritance.progress) jobs_.inherit(progress);
-  if (inheritance.placements_marked) jobs_.inherit_placements(inheritance.placements);
-  for (const auto& record : inheritance.machines) {
+  for (const auto& progress : recovered.progress) jobs_.restore_progress(progress);
+  if (recovered.placements_marked) jobs_.restore_placements(recovered.placements);
+  for (const auto& record : recovered.machines) {
     auto& machine = fleet_.add(record.id);
     machine.endpoint = record.endpoint;
     machine.type = record.type;
@@ -56,15 +58,15 @@
     machine.up_since = now;
     recovery_.expect(machine);
   }
-  reckoning_.begin();
-  believe(inheritance.beliefs, now);
+  reconciler_.begin();
+  apply_learned_state(recovered.learned_state, now);
   recovery_.check(now);
 }
 
 void Controller::set_catalog(std::vector<MachineType> types) {
   catalog_.set_types(std::move(types));
   for (auto& [id, machine] : fleet_.all()) {
-    fleet_.touch(machine);
+    fleet_.before_change(machine);
     catalog_.apply(machine);
   }
   out_.want_placing();
@@ -76,11 +78,11 @@
   each_on_machines(fleet_, found->second,
                    [&](Machine& machine, const TaskKey& key, Assignment& assignment) {
                      // A start that was not committed was never sent and never will be.
-                     if (!orders_.committed(key, assignment))
+                     if (!commands_.committed(key, assignment))
                        return assignments_.drop(machine, key, now);
-                     fleet_.touch(machine);
-                     assignment.abandoned = true;
-                     orders_.stop(machine, assignment, now);
+                     fleet_.before_change(machine);
+                     assignment.orphaned = true;
+                     commands_.stop(machine, assignment, now);
                    });
   gangs_.job_closed(id);
   jobs_.close(id);
@@ -93,10 +95,10 @@
   // What waited for it is sent now.
   each_on_machines(
       fleet_, found->second,
-      [&](const Machine& machine, const TaskKey&, const Assignment&) { orders_.want(machine); });
+      [&](const Machine& machine, const TaskKey&, const Assignment&) { commands_.want(machine); });
 }
 
-void Controller::release_answered(const std::vector<MachineId>& machines, bool ok, TimePoint now) {
+void Controller::scale_in_answered(const std::vector<MachineId>& machines, bool ok, TimePoint now) {
   for (const auto& id : machines) {
     auto* machine = fleet_.find(id);
     if (machine == nullptr) continue;
@@ -108,8 +110,8 @@
     assignments_.lose_all(*machine, now);
     gangs_.machine_gone(*machine);
     bindings_.machine_gone(id);
-    recovery_.accounted(id);
-    orders_.gone(*machine);
+    recovery_.confirm(id);
+    commands_.gone(*machine);
     registry_.released(id);
     fleet_.erase(id);
   }
@@ -129,88 +131,88 @@
       known->since = now - to_duration(listed.failed ? Seconds(0) : listed.age);
       catalog_.apply(*known);
     }
-    if (listed.failed) watch_.want_release(*known, "stopped", now);
+    if (listed.failed) watch_.request_release(*known, "stopped", now);
   }
 }
 
 void Controller::tick(TimePoint now, bool may_place, TimePoint proved) {
   recovery_.check(proved);
-  reckoning_.ask(now);
-  if (watch_.watch(now, may_place, proved)) clearing_.clear(now);
+  reconciler_.ask(now);
+  if (watch_.watch(now, may_place, proved)) consolidation_.consolidate(now);
   replicas_.gather(now);
-  gangs_.mend(now);
+  gangs_.restart_broken(now);
   if (may_place) placing_.round(now);
   jobs_.finish_complete(now);
   jobs_.persist(now);
   if (settings_.tuning.commit_starts) jobs_.persist_placements(!recovery_.recovering());
-  orders_.send(now);
+  commands_.send(now);
 }
 
 void Controller::before_changes(Fleet::BeforeChange machine, Jobs::BeforeChange job) {
-  fleet_.before_change(std::move(machine));
-  jobs_.before_change(std::move(job));
+  fleet_.set_change_observer(std::move(machine));
+  jobs_.set_change_observer(std::move(job));
 }
 
-Beliefs Controller::beliefs(TimePoint now, WallTime wall) const {
-  Beliefs out;
+LearnedState Controller::learned_state(TimePoint now, WallTime wall) const {
+  LearnedState out;
   out.as_of = wall;
   out.estimates = estimator_;
   const auto left = [now](TimePoint until) { return std::max(Seconds(0), Seconds(until - now)); };
   for (const auto& [id, job] : jobs_) {
-    JobBelief belief;
-    belief.id = id;
-    belief.waited = now - job.opened;
+    LearnedJob learned;
+    learned.id = id;
+    learned.waited = now - job.opened;
     for (TaskIndex i = 0; i < job.tasks.size(); ++i)
       if (job.tasks[i].saved > Seconds(0) && job.tasks[i].phase != Phase::done)
-        belief.saved.emplace_back(i, job.tasks[i].saved);
-    belief.failed_on.assign(job.failed_on.begin(), job.failed_on.end());
-    belief.failures = job.failures;
-    belief.pause = left(job.backoff_until);
-    out.jobs.push_back(std::move(belief));
+        learned.saved.emplace_back(i, job.tasks[i].saved);
+    learned.failed_on.assign(job.failed_on.begin(), job.failed_on.end());
+    learned.failures = job.failures;
+    learned.pause = left(job.backoff_until);
+    out.jobs.push_back(std::move(learned));
   }
   std::sort(out.jobs.begin(), out.jobs.end(),
-            [](const JobBelief& a, const JobBelief& b) { return a.id < b.id; });
+            [](const LearnedJob& a, const LearnedJob& b) { return a.id < b.id; });
   for (const auto& [id, machine] : fleet_.all())
     if (machine.errors > 0 || machine.quarantined)
       out.machines.push_back({id,
                               machine.errors,
                               {machine.error_jobs.begin(), machine.error_jobs.end()},
                               machine.quarantined});
-  for (const auto& [option, until] : market_.resting())
-    if (until > now) out.resting.push_back({option, left(until)});
+  for (const auto& [option, until] : offerings_.cooldowns())
+    if (until > now) out.cooldowns.push_back({option, left(until)});
   return out;
 }
 
 // Only hints: placing prefers other machines, waits or asks later. Whatever the beliefs say, what
 // is on machines follows from reports alone. Times are bounded by what the job itself tells, so
 // that a wrong time of day does no harm.
-void Controller::believe(const Beliefs& beliefs, TimePoint now) {
-  const auto elapsed = beliefs.elapsed(settings_.wall_at_start);
-  estimator_ = beliefs.estimates;
-  for (const auto& belief : beliefs.jobs) {
-    const auto found = jobs_.find(belief.id);
+void Controller::apply_learned_state(const LearnedState& learned_state, TimePoint now) {
+  const auto elapsed = learned_state.elapsed(settings_.wall_at_start);
+  estimator_ = learned_state.estimates;
+  for (const auto& learned : learned_state.jobs) {
+    const auto found = jobs_.find(learned.id);
     if (found == jobs_.end()) continue;
     auto& job = found->second;
     const auto most = std::max(Seconds(0), Seconds(settings_.wall_at_start - job.record.submitted));
-    job.opened = now - to_duration(std::clamp(belief.waited + elapsed, Seconds(0), most));
-    for (const auto& [index, saved] : belief.saved)
+    job.opened = now - to_duration(std::clamp(learned.waited + elapsed, Seconds(0), most));
+    for (const auto& [index, saved] : learned.saved)
       if (index < job.tasks.size() && saved > Seconds(0)) job.tasks[index].saved = saved;
-    job.failed_on.insert(belief.failed_on.begin(), belief.failed_on.end());
-    job.failures = belief.failures;
-    if (!belief.failed_on.empty()) job.last_failure = now;
-    const auto pause = std::clamp(belief.pause - elapsed, Seconds(0), kLongestPause);
+    job.failed_on.insert(learned.failed_on.begin(), learned.failed_on.end());
+    job.failures = learned.failures;
+    if (!learned.failed_on.empty()) job.last_failure = now;
+    const auto pause = std::clamp(learned.pause - elapsed, Seconds(0), kLongestPause);
     job.backoff_until = now + to_duration(pause);
   }
-  for (const auto& belief : beliefs.machines) {
-    auto* machine = fleet_.find(belief.id);
+  for (const auto& learned : learned_state.machines) {
+    auto* machine = fleet_.find(learned.id);
     if (machine == nullptr) continue;
-    machine->errors = belief.errors;
-    machine->error_jobs.insert(belief.error_jobs.begin(), belief.error_jobs.end());
-    machine->quarantined = belief.quarantined;
+    machine->errors = learned.errors;
+    machine->error_jobs.insert(learned.error_jobs.begin(), learned.error_jobs.end());
+    machine->quarantined = learned.quarantined;
   }
-  for (const auto& belief : beliefs.resting) {
-    const auto left = std::min(belief.left - elapsed, settings_.tuning.refused_rest);
-    if (left > Seconds(0)) market_.rest(belief.option, now + to_duration(left));
+  for (const auto& learned : learned_state.cooldowns) {
+    const auto left = std::min(learned.left - elapsed, settings_.tuning.refused_cooldown);
+    if (left > Seconds(0)) offerings_.start_cooldown(learned.option, now + to_duration(left));
   }
 }
 
@@ -226,7 +228,7 @@
   std::size_t unreported = 0;
   for (const auto& [id, job] : jobs_) {
     waiting += job.waiting.size();
-    if (recovery_.unaccounted(job)) unreported += job.waiting.size();
+    if (recovery_.blocked_on_reconciliation(job)) unreported += job.waiting.size();
     for (const auto index : job.waiting) bound += job.tasks[index].bound.empty() ? 0 : 1;
   }
   struct TypeUse {
@@ -238,7 +240,7 @@
     Resources capacity;
   };
   std::map<std::string, TypeUse> types;
-  std::size_t clearing = 0;
+  std::size_t draining = 0;
   std::size_t running = 0;
   std::size_t fetching = 0;
   for (const auto& [id, machine] : fleet_.all()) {
@@ -248,12 +250,12 @@
     if (machine.up()) use.capacity += machine.capacity;
     if (machine.up() && machine.tasks.empty()) ++use.empty;
     if (!machine.reserved_for.empty()) ++use.reserved;
-    if (machine.clearing) ++clearing;
+    if (machine.draining) ++draining;
     for (const auto& [key, task] : machine.tasks) ++(task.running_since ? running : fetching);
   }
   std::ostringstream text;
   text << "jobs=" << jobs_.table().size() << " waiting=" << waiting << " bound=" << bound
-       << " running=" << running << " fetching=" << fetching << " clearing=" << clearing;
+       << " running=" << running << " fetching=" << fetching << " clearing=" << draining;
   for (const auto& [name, use] : types) {
     text << " [" << name << " " << use.up << "+" << use.booting << " cpus " << use.used.cpus << "/"
          << use.capacity.cpus;
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -33,8 +33,8 @@
 
 class Controller {
  public:
-  Controller(ControllerSettings settings, Token token, TimePoint now, TimePoint older_leases_end,
-             const Inheritance& inheritance);
+  Controller(ControllerSettings settings, FencingToken token, TimePoint now,
+             TimePoint former_leases_end, const RecoveredState& recovered);
   // The parts refer to each other.
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
@@ -45,21 +45,23 @@
   void job_opened(const JobRecord& record, TimePoint now) { jobs_.open(record, now); }
   void job_closed(const JobId& id, TimePoint now);
 
-  void report(const WorkerReport& report, TimePoint now) { reports_.report(report, now); }
+  void report(const Heartbeat& report, TimePoint now) { heartbeats_.report(report, now); }
   // Every other controller has said, after it saw our key, that it does not lead.
-  void no_older_leader(TimePoint now) { recovery_.no_older_leader(now); }
+  void former_leaders_gone(TimePoint now) { recovery_.former_leaders_gone(now); }
   // Workers come to another controller.
-  void others_hear(TimePoint now) { contact_.others_hear(now); }
+  void note_peer_receives_heartbeats(TimePoint now) {
+    failure_detector_.note_peer_receives_heartbeats(now);
+  }
   // What others hear matters then.
-  bool cut_off_perhaps(TimePoint now) const {
-    return contact_.hears_nobody(now) || contact_.renews_nobody(now);
+  bool possibly_isolated(TimePoint now) const {
+    return failure_detector_.no_heartbeats(now) || failure_detector_.no_lease_renewals(now);
   }
   // Stops and forgets that travel in the answer to a report.
-  std::vector<Command> response_commands(const WorkerReport& report) const {
-    return orders_.response_commands(report.machine, {report.session, report.sequence});
+  std::vector<Command> response_commands(const Heartbeat& report) const {
+    return commands_.response_commands(report.machine, {report.epoch, report.heartbeat_sequence});
   }
-  void orders_answered(const MachineId& machine, const WorkerReport* report, TimePoint now) {
-    reports_.orders_answered(machine, report, now);
+  void commands_answered(const MachineId& machine, const Heartbeat* report, TimePoint now) {
+    heartbeats_.commands_answered(machine, report, now);
   }
 
   void machine_saved(const MachineId& id, bool with_endpoint, bool ok) {
@@ -68,10 +70,10 @@
   void progress_saved(const SaveProgress& saved, bool ok) { jobs_.progress_saved(saved, ok); }
   void placements_saved(const JobId& job, std::uint64_t version);
   void finish_answered(const JobId& job, TimePoint retry) { jobs_.finish_answered(job, retry); }
-  void rental_answered(const std::string& name, const RentalAnswer& answer, TimePoint now) {
-    rentals_.answered(name, answer, now);
+  void scale_out_answered(const std::string& name, const ScaleOutResult& answer, TimePoint now) {
+    scale_out_.answered(name, answer, now);
   }
-  void release_answered(const std::vector<MachineId>& machines, bool ok, TimePoint now);
+  void scale_in_answered(const std::vector<MachineId>& machines, bool ok, TimePoint now);
   void cloud_listed(const std::vector<ListedMachine>& machines, TimePoint now);
 
   // Deadlines, placing and scaling. `may_place`: leadership may still be served. `proved`: the
@@ -84,15 +86,15 @@
   const Jobs::Table& jobs() const { return jobs_.table(); }
   const Fleet& fleet() const { return fleet_; }
   const Estimator& estimator() const { return estimator_; }
-  const Market& market() const { return market_; }
+  const InstanceOfferings& offerings() const { return offerings_; }
   bool recovering() const { return recovery_.recovering(); }
-  const Reckoning& reckoning() const { return reckoning_; }
-  const Orders& orders() const { return orders_; }
+  const Reconciler& reconciler() const { return reconciler_; }
+  const CommandDispatcher& orders() const { return commands_; }
   // Machines looked at so far, each time counted; tests hold it against the events.
-  std::uint64_t looks() const { return out_.looks(); }
+  std::uint64_t inspections() const { return out_.inspections(); }
   std::string summary() const;
   // What the next leader may go by. `wall`: the time of day now.
-  Beliefs beliefs(TimePoint now, WallTime wall) const;
+  LearnedState learned_state(TimePoint now, WallTime wall) const;
 
   // Who takes a save is told of machines and jobs before they change or go.
   void before_changes(Fleet::BeforeChange machine, Jobs::BeforeChange job);
@@ -106,25 +108,25 @@
     visit("fleet", self.fleet_);
     visit("jobs", self.jobs_);
     visit("estimates", self.estimator_);
-    visit("contact", self.contact_);
+    visit("contact", self.failure_detector_);
     visit("recovery", self.recovery_);
-    visit("reckoning", self.reckoning_);
+    visit("reckoning", self.reconciler_);
     visit("registry", self.registry_);
-    visit("orders", self.orders_);
+    visit("orders", self.commands_);
     visit("starts", self.starts_);
-    visit("market", self.market_);
+    visit("market", self.offerings_);
     visit("bindings", self.bindings_);
     visit("scarcity", self.scarcity_);
     visit("gangs", self.gangs_);
-    visit("rentals", self.rentals_);
+    visit("rentals", self.scale_out_);
     visit("watch", self.watch_);
     visit("replicas", self.replicas_);
-    visit("standing", self.standing_);
+    visit("standing", self.starvation_guard_);
     visit("placing", self.placing_);
   }
 
  private:
-  void believe(const Beliefs& beliefs, TimePoint now);
+  void apply_learned_state(const LearnedState& learned_state, TimePoint now);
 
   const ControllerSettings settings_;
   Outbox out_;
@@ -132,25 +134,25 @@
   Fleet fleet_;
   Jobs jobs_;
   Estimator estimator_;
-  Outlooks outlooks_;
-  Contact contact_;
+  DeadlineForecaster forecaster_;
+  FailureDetector failure_detector_;
   Recovery recovery_;
   Registry registry_;
-  Orders orders_;
+  CommandDispatcher commands_;
   Assignments assignments_;
   Starts starts_;
-  Reckoning reckoning_;
-  Market market_;
+  Reconciler reconciler_;
+  InstanceOfferings offerings_;
   Bindings bindings_;
   Scarcity scarcity_;
   Preemption preemption_;
   Gangs gangs_;
-  Rentals rentals_;
+  ScaleOutPlanner scale_out_;
   MachineWatch watch_;
-  Reports reports_;
-  Clearing clearing_;
+  HeartbeatHandler heartbeats_;
+  Consolidation consolidation_;
   Replicas replicas_;
-  Standing standing_;
+  StarvationGuard starvation_guard_;
   Placing placing_;
 };
 
--- a/src/core/events.cpp
+++ b/src/core/events.cpp
@@ -29,7 +29,7 @@
 
 void apply(Controller& controller, const Event& event, TimePoint now) {
   const auto visit = [&]<typename T>(const T& e) {
-    if constexpr (std::is_same_v<T, TakenOver>) {
+    if constexpr (std::is_same_v<T, LeaderElected>) {
       throw std::logic_error("a takeover makes a controller, it is not applied to one");
     } else if constexpr (std::is_same_v<T, CatalogKnown>) {
       controller.set_catalog(e.types);
@@ -39,26 +39,26 @@
       controller.job_closed(e.id, now);
     } else if constexpr (std::is_same_v<T, MachineReported>) {
       controller.report(e.report, now);
-    } else if constexpr (std::is_same_v<T, OrdersAnswered>) {
-      controller.orders_answered(e.machine, e.report ? &*e.report : nullptr, now);
+    } else if constexpr (std::is_same_v<T, CommandsAnswered>) {
+      controller.commands_answered(e.machine, e.report ? &*e.report : nullptr, now);
     } else if constexpr (std::is_same_v<T, MachineSaved>) {
       controller.machine_saved(e.id, e.with_endpoint, e.ok);
     } else if constexpr (std::is_same_v<T, ProgressSaved>) {
       controller.progress_saved(e.saved, e.ok);
     } else if constexpr (std::is_same_v<T, FinishAnswered>) {
       controller.finish_answered(e.job, e.retry);
-    } else if constexpr (std::is_same_v<T, RentalAnswered>) {
-      controller.rental_answered(e.name, e.answer, now);
-    } else if constexpr (std::is_same_v<T, ReleaseAnswered>) {
-      controller.release_answered(e.machines, e.ok, now);
+    } else if constexpr (std::is_same_v<T, ScaleOutAnswered>) {
+      controller.scale_out_answered(e.name, e.answer, now);
+    } else if constexpr (std::is_same_v<T, ScaleInAnswered>) {
+      controller.scale_in_answered(e.machines, e.ok, now);
     } else if constexpr (std::is_same_v<T, CloudListed>) {
       controller.cloud_listed(e.machines, now);
     } else if constexpr (std::is_same_v<T, PlacementsSaved>) {
       controller.placements_saved(e.job, e.version);
-    } else if constexpr (std::is_same_v<T, OlderLeadersGone>) {
-      controller.no_older_leader(now);
-    } else if constexpr (std::is_same_v<T, OthersHear>) {
-      controller.others_hear(now);
+    } else if constexpr (std::is_same_v<T, FormerLeadersGone>) {
+      controller.former_leaders_gone(now);
+    } else if constexpr (std::is_same_v<T, PeerReceivesHeartbeats>) {
+      controller.note_peer_receives_heartbeats(now);
     } else {
       static_assert(std::is_same_v<T, Ticked>);
       controller.tick(now, e.may_place, e.proved);
@@ -67,9 +67,9 @@
   std::visit(visit, event);
 }
 
-std::unique_ptr<Controller> make_controller(const TakenOver& event, TimePoint now) {
-  return std::make_unique<Controller>(event.settings, event.token, now, event.older_leases_end,
-                                      event.inheritance);
+std::unique_ptr<Controller> make_controller(const LeaderElected& event, TimePoint now) {
+  return std::make_unique<Controller>(event.settings, event.token, now, event.former_leases_end,
+                                      event.recovered);
 }
 
 }  // namespace violetpulley::core
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -10,15 +10,15 @@
 namespace violetpulley::core {
 
 // The first event of every leader: a controller is made from it.
-struct TakenOver {
+struct LeaderElected {
   ControllerSettings settings;
-  Token token = 0;
-  TimePoint older_leases_end{};
-  Inheritance inheritance;
+  FencingToken token = 0;
+  TimePoint former_leases_end{};
+  RecoveredState recovered;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.settings, s.token, s.older_leases_end, s.inheritance);
+    f(s.settings, s.token, s.former_leases_end, s.recovered);
   }
 };
 struct CatalogKnown {
@@ -43,15 +43,15 @@
   }
 };
 struct MachineReported {
-  WorkerReport report;
+  Heartbeat report;
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.report);
   }
 };
-struct OrdersAnswered {
+struct CommandsAnswered {
   MachineId machine;
-  std::optional<WorkerReport> report;  // none: no answer came
+  std::optional<Heartbeat> report;  // none: no answer came
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.machine, s.report);
@@ -82,15 +82,15 @@
     f(s.job, s.retry);
   }
 };
-struct RentalAnswered {
+struct ScaleOutAnswered {
   std::string name;
-  RentalAnswer answer;
+  ScaleOutResult answer;
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.name, s.answer);
   }
 };
-struct ReleaseAnswered {
+struct ScaleInAnswered {
   std::vector<MachineId> machines;
   bool ok = false;
   template <class S, class F>
@@ -125,7 +125,7 @@
 
 // No older leader answers reports any more (docs/safety.md, "Older leaders that are known to be
 // gone").
-struct OlderLeadersGone {
+struct FormerLeadersGone {
   template <class S, class F>
   static void fields(S&, F&& f) {
     f();
@@ -133,7 +133,7 @@
 };
 
 // Workers come to another controller (docs/safety.md, "Liveness").
-struct OthersHear {
+struct PeerReceivesHeartbeats {
   template <class S, class F>
   static void fields(S&, F&& f) {
     f();
@@ -141,18 +141,18 @@
 };
 
 // New kinds go to the end: a record names its kind by its place here.
-using Event =
-    std::variant<TakenOver, CatalogKnown, JobOpened, JobClosed, MachineReported, OrdersAnswered,
-                 MachineSaved, ProgressSaved, FinishAnswered, RentalAnswered, ReleaseAnswered,
-                 CloudListed, Ticked, PlacementsSaved, OlderLeadersGone, OthersHear>;
+using Event = std::variant<LeaderElected, CatalogKnown, JobOpened, JobClosed, MachineReported,
+                           CommandsAnswered, MachineSaved, ProgressSaved, FinishAnswered,
+                           ScaleOutAnswered, ScaleInAnswered, CloudListed, Ticked, PlacementsSaved,
+                           FormerLeadersGone, PeerReceivesHeartbeats>;
 
 // In words, for tables and messages.
 const char* name_of(const Event& event);
 
-// Throws std::logic_error for TakenOver, which makes a controller instead.
+// Throws std::logic_error for LeaderElected, which makes a controller instead.
 void apply(Controller& controller, const Event& event, TimePoint now);
 
 // The controller that a takeover makes.
-std::unique_ptr<Controller> make_controller(const TakenOver& event, TimePoint now);
+std::unique_ptr<Controller> make_controller(const LeaderElected& event, TimePoint now);
 
 }  // namespace violetpulley::core
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -19,16 +19,17 @@
   return Seconds(std::fmod(ran.count(), assignment.checkpoint_every.count()));
 }
 
-bool worth_saving(const Assignment& assignment, TimePoint now) {
+bool worth_checkpointing(const Assignment& assignment, TimePoint now) {
   return assignment.checkpoint_every > Seconds(0) &&
-         unsaved(assignment, now) > assignment.save_time;
+         unsaved(assignment, now) > assignment.checkpoint_time;
 }
 
 Seconds cost_of_stop(const Assignment& assignment, TimePoint now) {
-  return worth_saving(assignment, now) ? assignment.save_time : unsaved(assignment, now);
+  return worth_checkpointing(assignment, now) ? assignment.checkpoint_time
+                                              : unsaved(assignment, now);
 }
 
-Resources Machine::free_soon() const {
+Resources Machine::free_after_stops() const {
   auto room = free();
   for (const auto& [key, assignment] : tasks)
     if (assignment.stop) room += assignment.resources;
@@ -59,12 +60,12 @@
 }
 
 void Fleet::erase(const MachineId& id) {
-  if (const auto* machine = find(id)) touch(*machine);
+  if (const auto* machine = find(id)) before_change(*machine);
   machines_.erase(id);
 }
 
 void Fleet::assign(Machine& machine, const TaskKey& task, Assignment assignment) {
-  touch(machine);
+  before_change(machine);
   machine.used += assignment.resources;
   team_use_[assignment.team] += assignment.resources;
   machine.tasks.insert_or_assign(task, std::move(assignment));
@@ -73,7 +74,7 @@
 void Fleet::unassign(Machine& machine, const TaskKey& task) {
   const auto found = machine.tasks.find(task);
   if (found == machine.tasks.end()) return;
-  touch(machine);
+  before_change(machine);
   machine.used -= found->second.resources;
   team_use_[found->second.team] -= found->second.resources;
   machine.tasks.erase(found);
@@ -87,7 +88,7 @@
 
 void Fleet::touch_image(Machine& machine, const std::string& image, double gb, bool present) {
   if (image.empty()) return;
-  touch(machine);
+  before_change(machine);
   auto& images = machine.images;
   const auto found = std::find_if(images.begin(), images.end(),
                                   [&](const CachedImage& c) { return c.name == image; });
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -23,13 +23,13 @@
   Seconds saved{0};
   Seconds fetch{0};             // expected image fetch when placed
   Seconds checkpoint_every{0};  // 0: it never saves
-  Seconds save_time{0};
+  Seconds checkpoint_time{0};
   TimePoint placed{};
   std::optional<TimePoint> running_since;
   TaskState state = TaskState::fetching;
   bool seen = false;       // reported by the worker under this attempt
   bool stop = false;       // must go
-  bool abandoned = false;  // its job has ended; nothing waits for it
+  bool orphaned = false;   // its job has ended; nothing waits for it
   bool preempted = false;  // stopped to make room for others
   Seconds grace{0};        // for saving, when it is stopped
   std::optional<TimePoint> stop_since;
@@ -38,8 +38,8 @@
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.attempt, s.resources, s.team, s.job_class, s.image, s.shape, s.estimate, s.saved, s.fetch,
-      s.checkpoint_every, s.save_time, s.placed, s.running_since, s.state, s.seen, s.stop,
-      s.abandoned, s.preempted, s.grace, s.stop_since, s.record);
+      s.checkpoint_every, s.checkpoint_time, s.placed, s.running_since, s.state, s.seen, s.stop,
+      s.orphaned, s.preempted, s.grace, s.stop_since, s.record);
   }
 };
 
@@ -65,26 +65,28 @@
   double fetch_gb_per_s = 0;
   double price = 0;
 
-  std::uint64_t session = 0;
-  std::uint64_t sequence = 0;
+  std::uint64_t epoch = 0;
+  std::uint64_t heartbeat_sequence = 0;
   bool confirmed = false;   // answered under our token: its list is complete
   bool registered = false;  // the record with its endpoint is committed
   bool registering = false;
   TimePoint since{};  // rented, or first known
   std::optional<TimePoint> up_since;
-  std::optional<TimePoint> heard;            // Contact's, like the next four
-  std::optional<TimePoint> renewed;          // its last report of its own, which our answer renews
-  std::optional<TimePoint> mute_since;       // it answers orders and reports to nobody
-  std::optional<TimePoint> reached;          // our word arrived there, in this session
-  std::optional<TimePoint> unreached_since;  // the first order list since that was not answered
+  std::optional<TimePoint> last_heartbeat;  // Contact's, like the next four
+  std::optional<TimePoint>
+      last_lease_renewal;  // its last report of its own, which our answer renews
+  std::optional<TimePoint> outbound_partition_since;  // it answers orders and reports to nobody
+  std::optional<TimePoint> last_acknowledged;         // our word arrived there, in this session
+  std::optional<TimePoint>
+      unacknowledged_since;  // the first order list since that was not answered
   std::optional<TimePoint> notice_ends;
 
   std::map<TaskKey, Assignment> tasks;
-  std::vector<TaskReport> reported;
+  std::vector<TaskStatus> reported;
   std::vector<CachedImage> images;  // most recently used last
   bool images_changed = false;
 
-  bool clearing = false;
+  bool draining = false;
   bool quarantined = false;
   bool releasing = false;
   std::string release_cause;
@@ -96,28 +98,30 @@
   int errors = 0;
   std::set<JobId> error_jobs;
 
-  std::set<Attempt> in_doubt;  // started by orders without an answer: those may arrive once more
+  std::set<Attempt>
+      in_doubt_attempts;  // started by orders without an answer: those may arrive once more
   std::vector<Attempt> starts_in_flight;
-  bool orders_in_flight = false;
-  int unanswered = 0;  // orders in a row, asks among them
-  TimePoint next_orders{};
-  TimePoint orders_sent{};
+  bool commands_in_flight = false;
+  int unanswered_commands = 0;  // orders in a row, asks among them
+  TimePoint next_commands_at{};
+  TimePoint commands_sent_at{};
 
   bool up() const { return !endpoint.empty(); }
   Resources free() const { return capacity - used; }
   // With what is being stopped.
-  Resources free_soon() const;
+  Resources free_after_stops() const;
   // Time until its longest task is expected to end (its bin follows from it).
   Seconds remaining(TimePoint now) const;
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.id, s.endpoint, s.type, s.zone, s.spot, s.capacity, s.used, s.cache_gb, s.fetch_gb_per_s,
-      s.price, s.session, s.sequence, s.confirmed, s.registered, s.registering, s.since, s.up_since,
-      s.heard, s.notice_ends, s.tasks, s.reported, s.images, s.images_changed, s.clearing,
-      s.quarantined, s.releasing, s.release_cause, s.release_retry, s.underused_since,
-      s.sparse_since, s.idle_since, s.reserved_for, s.errors, s.error_jobs, s.in_doubt,
-      s.starts_in_flight, s.orders_in_flight, s.unanswered, s.next_orders, s.orders_sent, s.reached,
-      s.unreached_since, s.renewed, s.mute_since);
+      s.price, s.epoch, s.heartbeat_sequence, s.confirmed, s.registered, s.registering, s.since,
+      s.up_since, s.last_heartbeat, s.notice_ends, s.tasks, s.reported, s.images, s.images_changed,
+      s.draining, s.quarantined, s.releasing, s.release_cause, s.release_retry, s.underused_since,
+      s.sparse_since, s.idle_since, s.reserved_for, s.errors, s.error_jobs, s.in_doubt_attempts,
+      s.starts_in_flight, s.commands_in_flight, s.unanswered_commands, s.next_commands_at,
+      s.commands_sent_at, s.last_acknowledged, s.unacknowledged_since, s.last_lease_renewal,
+      s.outbound_partition_since);
   }
 };
 
@@ -127,7 +131,7 @@
 Seconds unsaved(const Assignment& assignment, TimePoint now);
 
 // Whether saving on a stop gains more than it takes; all else is stopped at once.
-bool worth_saving(const Assignment& assignment, TimePoint now);
+bool worth_checkpointing(const Assignment& assignment, TimePoint now);
 
 // What a stop costs: the run time to repeat, or the time to save it.
 Seconds cost_of_stop(const Assignment& assignment, TimePoint now);
@@ -146,15 +150,15 @@
   // changes a machine calls `touch` first (Captures in tests/history_test.cpp hold it against the
   // simulation).
   using BeforeChange = std::function<void(const Machine&)>;
-  void before_change(BeforeChange told) { before_change_ = std::move(told); }
-  void touch(const Machine& machine) {
+  void set_change_observer(BeforeChange told) { before_change_ = std::move(told); }
+  void before_change(const Machine& machine) {
     if (before_change_) before_change_(machine);
   }
   // Sets one field, if that changes it.
   template <class T>
   void set(Machine& machine, T Machine::*field, const T& value) {
     if (machine.*field == value) return;
-    touch(machine);
+    before_change(machine);
     machine.*field = value;
   }
 
--- a/src/core/gang_rooms.cpp
+++ b/src/core/gang_rooms.cpp
@@ -16,37 +16,38 @@
   return static_cast<TaskIndex>(std::max(0.0, places));
 }
 
-GangRoom* GangRooms::find(const JobId& gang) {
-  const auto found = rooms_.find(gang);
-  return found == rooms_.end() ? nullptr : &found->second;
+GangReservation* GangReservations::find(const JobId& gang) {
+  const auto found = reservations_.find(gang);
+  return found == reservations_.end() ? nullptr : &found->second;
 }
 
-GangRoom& GangRooms::open(const JobId& gang, const std::string& region, TimePoint now) {
-  auto& room = rooms_[gang];
+GangReservation& GangReservations::open(const JobId& gang, const std::string& region,
+                                        TimePoint now) {
+  auto& room = reservations_[gang];
   room.region = region;
   room.since = room.grown = now;
   return room;
 }
 
-void GangRooms::close(Fleet& fleet, const JobId& gang) {
-  const auto found = rooms_.find(gang);
-  if (found == rooms_.end()) return;
+void GangReservations::close(Fleet& fleet, const JobId& gang) {
+  const auto found = reservations_.find(gang);
+  if (found == reservations_.end()) return;
   for (const auto& id : found->second.machines)
     if (auto* machine = fleet.find(id)) fleet.set(*machine, &Machine::reserved_for, JobId{});
-  rooms_.erase(found);
+  reservations_.erase(found);
 }
 
-void GangRooms::claim(Fleet& fleet, const JobId& gang, Machine& machine) {
+void GangReservations::claim(Fleet& fleet, const JobId& gang, Machine& machine) {
   fleet.set(machine, &Machine::reserved_for, gang);
-  rooms_.at(gang).machines.insert(machine.id);
+  reservations_.at(gang).machines.insert(machine.id);
 }
 
-void GangRooms::release(Fleet& fleet, Machine& machine) {
+void GangReservations::release(Fleet& fleet, Machine& machine) {
   if (auto* room = find(machine.reserved_for)) room->machines.erase(machine.id);
   fleet.set(machine, &Machine::reserved_for, JobId{});
 }
 
-bool GangRooms::another_is_short(const std::string& region) const {
+bool GangReservations::another_is_short(const std::string& region) const {
   return std::any_of(short_regions_.begin(), short_regions_.end(), [&](const std::string& other) {
     return other.empty() || region.empty() || other == region;
   });
--- a/src/core/gang_rooms.hpp
+++ b/src/core/gang_rooms.hpp
@@ -10,7 +10,7 @@
 
 namespace violetpulley::core {
 
-struct GangRoom {
+struct GangReservation {
   std::string region;  // the zone to collect in; empty: any
   std::set<MachineId> machines;
   TaskIndex asked = 0;    // places on machines that are being rented
@@ -27,10 +27,10 @@
 // How many tasks of a job fit into what a machine has free.
 TaskIndex places_on(const Resources& free, const JobSpec& spec);
 
-class GangRooms {
+class GangReservations {
  public:
-  GangRoom* find(const JobId& gang);
-  GangRoom& open(const JobId& gang, const std::string& region, TimePoint now);
+  GangReservation* find(const JobId& gang);
+  GangReservation& open(const JobId& gang, const std::string& region, TimePoint now);
   void close(Fleet& fleet, const JobId& gang);
   void claim(Fleet& fleet, const JobId& gang, Machine& machine);
   void release(Fleet& fleet, Machine& machine);
@@ -48,11 +48,11 @@
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.rooms_, s.short_regions_);
+    f(s.reservations_, s.short_regions_);
   }
 
  private:
-  std::map<JobId, GangRoom> rooms_;
+  std::map<JobId, GangReservation> reservations_;
   std::set<std::string> short_regions_;
 };
 
--- a/src/core/gangs.cpp
+++ b/src/core/gangs.cpp
@@ -55,7 +55,7 @@
   TaskIndex left = spec.tasks;
   for (auto& place : found) {
     auto& here = use[place.machine->zone];
-    place.tasks = std::min({place.tasks, left, most_in_zone(spec) - here});
+    place.tasks = std::min({place.tasks, left, max_tasks_in_zone(spec) - here});
     if (place.tasks == 0) continue;
     here += place.tasks;
     left -= place.tasks;
@@ -76,7 +76,7 @@
   const auto& spec = job.spec();
   // Every machine that it may be on is accounted for: what is not seen of it is lost.
   if (job.waiting.size() < job.tasks.size()) jobs_.note_broken(spec.id);
-  if (!starts_.within_limit(spec, job.waiting.size())) return rooms_.close(fleet_, spec.id);
+  if (!starts_.within_limit(spec, job.waiting.size())) return reservations_.close(fleet_, spec.id);
   if (job.waiting.size() == job.tasks.size()) {
     std::vector<GangPlace> best;
     TaskIndex most_holders = 0;
@@ -89,7 +89,7 @@
       best = std::move(places);
       most_holders = holders;
     }
-    if (!best.empty() && start(job, best, now)) return rooms_.close(fleet_, spec.id);
+    if (!best.empty() && start(job, best, now)) return reservations_.close(fleet_, spec.id);
   }
   collect(job, open, now);
 }
@@ -109,7 +109,7 @@
   }
   if (spec.same_zone && zones.size() > 1) return false;
   for (const auto& [zone, count] : zones)
-    if (count > most_in_zone(spec)) return false;
+    if (count > max_tasks_in_zone(spec)) return false;
   const auto attempt = starts_.next_attempt();
   TaskIndex index = 0;
   for (const auto& place : places)
@@ -118,13 +118,13 @@
         jobs_.note_broken(spec.id);
         return false;
       }
-  jobs_.touch(job);
+  jobs_.before_change(job);
   job.attempt = attempt;
   return true;
 }
 
 bool Gangs::counts(const Machine& machine, TimePoint now) const {
-  if (machine.releasing || machine.clearing || machine.quarantined || machine.notice_ends)
+  if (machine.releasing || machine.draining || machine.quarantined || machine.notice_ends)
     return false;
   if (machine.up())
     return starts_.placeable(machine, now) ||
@@ -143,9 +143,9 @@
   std::tuple<bool, bool, TaskIndex> best_score{};
   for (const auto& region : regions(spec)) {
     const auto free = total(places_for(job, region, open, now));
-    const bool can_rent = market_.rentable(spec, region, now);
-    if (!can_rent && free < spec.tasks && rooms_.another_is_short(region)) continue;
-    const std::tuple score{free >= spec.tasks, can_rent, free};
+    const bool can_scale_out = offerings_.rentable(spec, region, now);
+    if (!can_scale_out && free < spec.tasks && reservations_.another_is_short(region)) continue;
+    const std::tuple score{free >= spec.tasks, can_scale_out, free};
     if (best && score <= best_score) continue;
     best = region;
     best_score = score;
@@ -155,42 +155,43 @@
 
 void Gangs::collect(Job& job, const std::vector<Machine*>& open, TimePoint now) {
   const auto& spec = job.spec();
-  auto* room = rooms_.find(spec.id);
+  auto* room = reservations_.find(spec.id);
   // Others wait beside what it keeps: if it gets nothing more, they have a turn.
-  if (room != nullptr && room->missing > 0 && room->asked == 0 && now - room->grown > kKeptFor) {
-    rooms_.close(fleet_, spec.id);
-    jobs_.touch(job);
-    job.backoff_until = now + kTurn;
+  if (room != nullptr && room->missing > 0 && room->asked == 0 &&
+      now - room->grown > kReservationTime) {
+    reservations_.close(fleet_, spec.id);
+    jobs_.before_change(job);
+    job.backoff_until = now + kReservationPause;
     return;
   }
   if (room != nullptr && room->missing > 0 && room->asked == 0 &&
-      !market_.rentable(spec, room->region, now)) {
-    const bool give_way = rooms_.another_is_short(room->region);
+      !offerings_.rentable(spec, room->region, now)) {
+    const bool give_way = reservations_.another_is_short(room->region);
     bool elsewhere = false;
     if (now - room->since > kMoveAfter)
       for (const auto& region : regions(spec))
-        elsewhere = elsewhere || (region != room->region && market_.rentable(spec, region, now));
+        elsewhere = elsewhere || (region != room->region && offerings_.rentable(spec, region, now));
     if (give_way || elsewhere) {
-      rooms_.close(fleet_, spec.id);
+      reservations_.close(fleet_, spec.id);
       room = nullptr;
     }
   }
   if (room == nullptr) {
     const auto region = choose_region(job, open, now);
     if (!region) return;
-    room = &rooms_.open(spec.id, *region, now);
+    room = &reservations_.open(spec.id, *region, now);
   }
   ZoneUse use;
   const auto add = [&](const std::string& zone, TaskIndex places) {
     auto& here = use[zone];
-    here = std::min(here + places, most_in_zone(spec));
+    here = std::min(here + places, max_tasks_in_zone(spec));
   };
   for (const auto& id : std::set<MachineId>(room->machines)) {
     auto* machine = fleet_.find(id);
     if (!counts(*machine, now))
-      rooms_.release(fleet_, *machine);
+      reservations_.release(fleet_, *machine);
     else
-      add(machine->zone, places_on(machine->free_soon(), spec));
+      add(machine->zone, places_on(machine->free_after_stops(), spec));
   }
   // Where its tasks of an attempt that has failed still end, their places come back.
   for (const auto& task : job.tasks)
@@ -207,45 +208,47 @@
   for (const auto& place : places_for(job, room->region, open, now)) {
     if (covered() >= spec.tasks) break;
     if (!place.machine->reserved_for.empty()) continue;
-    rooms_.claim(fleet_, spec.id, *place.machine);
+    reservations_.claim(fleet_, spec.id, *place.machine);
     room->grown = now;
     add(place.machine->zone, place.tasks);
   }
   const auto sum = covered();
   room->missing = spec.tasks > sum ? spec.tasks - sum : 0;
-  if (room->missing > 0 && room->asked == 0 && !market_.rentable(spec, room->region, now)) {
+  if (room->missing > 0 && room->asked == 0 && !offerings_.rentable(spec, room->region, now)) {
     std::set<std::string> zones;
     for (const auto& [name, type] : catalog_.types())
       zones.insert(type.zones.begin(), type.zones.end());
-    if (!rooms_.may_be_short(room->region, zones.size())) return rooms_.close(fleet_, spec.id);
-    rooms_.note_short(room->region);
-    preemption_.make_room_for_gang(job, *room, rooms_, now);
+    if (!reservations_.may_be_short(room->region, zones.size()))
+      return reservations_.close(fleet_, spec.id);
+    reservations_.note_short(room->region);
+    preemption_.preempt_for_gang(job, *room, reservations_, now);
   }
 }
 
 // The gang is one group over several machines: scored whole on type, zone and kind, and rented in
 // as few calls as can be.
-void Gangs::add_rentals(const std::vector<Candidate>& queue, ChosenRentals& chosen, TimePoint now) {
-  const auto options = market_.options(now);
+void Gangs::add_scale_out_groups(const std::vector<Candidate>& queue, ScaleOutPlan& chosen,
+                                 TimePoint now) {
+  const auto options = offerings_.options(now);
   for (const auto& candidate : queue) {
     if (!candidate.job->gang()) continue;
     const auto& job = *candidate.job;
     const auto& spec = job.spec();
-    const auto* room = rooms_.find(spec.id);
+    const auto* room = reservations_.find(spec.id);
     if (room == nullptr || room->missing == 0) continue;
     ZoneUse claimed;
     for (const auto& id : room->machines)
       if (const auto* machine = fleet_.find(id))
-        claimed[machine->zone] += places_on(machine->free_soon(), spec);
-    const RentalOption* best = nullptr;
+        claimed[machine->zone] += places_on(machine->free_after_stops(), spec);
+    const InstanceOffering* best = nullptr;
     double best_score = 0;
     for (const auto& option : options) {
       if (!room->region.empty() && option.zone != room->region) continue;
       if (!allowed_on(spec, option.type->name, option.zone, option.spot)) continue;
-      if (claimed[option.zone] >= most_in_zone(spec)) continue;
+      if (claimed[option.zone] >= max_tasks_in_zone(spec)) continue;
       const bool waited =
-          !spec.spot_allowed || outlooks_.age(job, now) > settings_.tuning.dear_patience;
-      if (!waited && catalog_.dear(option.type->name, option.spot)) continue;
+          !spec.spot_allowed || forecaster_.age(job, now) > settings_.tuning.on_demand_patience;
+      if (!waited && catalog_.expensive(option.type->name, option.spot)) continue;
       const auto places = std::min(places_on(option.type->capacity, spec), room->missing);
       if (places == 0) continue;
       const auto machines = (room->missing + places - 1) / places;
@@ -257,10 +260,10 @@
     if (best == nullptr) continue;
     auto& groups = chosen[{best->type->name, best->zone, best->spot}];
     const auto each = places_on(best->type->capacity, spec);
-    auto left = std::min(room->missing, most_in_zone(spec) - claimed[best->zone]);
+    auto left = std::min(room->missing, max_tasks_in_zone(spec) - claimed[best->zone]);
     while (left > 0) {
       const auto places = std::min(left, each);
-      groups.push_back({{}, spec.id, places, RentalRank::gang});
+      groups.push_back({{}, spec.id, places, ScaleOutRank::gang});
       left -= places;
     }
   }
@@ -268,14 +271,14 @@
 
 // All tasks of a gang that has lost one must be proven gone before it starts anew: those that have
 // not noticed are stopped. What saves is left to it.
-void Gangs::mend(TimePoint now) {
+void Gangs::restart_broken(TimePoint now) {
   for (const auto& id : jobs_.take_broken()) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end()) continue;
     each_on_machines(fleet_, found->second,
                      [&](Machine& machine, const TaskKey&, Assignment& assignment) {
-                       if (assignment.state != TaskState::saving)
-                         orders_.stop(machine, assignment, now);
+                       if (assignment.state != TaskState::checkpointing)
+                         commands_.stop(machine, assignment, now);
                      });
     out_.want_placing();
   }
@@ -287,26 +290,26 @@
     jobs_.task_done(job, i);
     if (i % kProgressChunk == 0) jobs_.progress_changed(job, i);
   }
-  rooms_.close(fleet_, job.spec().id);
+  reservations_.close(fleet_, job.spec().id);
 }
 
 void Gangs::asked(const JobId& gang, TaskIndex places) {
-  auto* room = rooms_.find(gang);
+  auto* room = reservations_.find(gang);
   if (room == nullptr) return;
   room->asked += places;
   room->missing -= std::min(room->missing, places);
 }
 
 void Gangs::answered(const JobId& gang, TaskIndex places) {
-  if (auto* room = rooms_.find(gang)) room->asked -= std::min(room->asked, places);
+  if (auto* room = reservations_.find(gang)) room->asked -= std::min(room->asked, places);
 }
 
 // A gang that has moved on leaves its machine to anyone.
 void Gangs::rented(const JobId& gang, Machine& machine) {
-  const auto* room = rooms_.find(gang);
+  const auto* room = reservations_.find(gang);
   if (room != nullptr && machine.reserved_for.empty() && machine.tasks.empty() &&
       (room->region.empty() || room->region == machine.zone))
-    rooms_.claim(fleet_, gang, machine);
+    reservations_.claim(fleet_, gang, machine);
 }
 
 }  // namespace violetpulley::core
--- a/src/core/gangs.hpp
+++ b/src/core/gangs.hpp
@@ -12,31 +12,32 @@
 class Gangs {
  public:
   Gangs(const ControllerSettings& settings, Outbox& out, const Catalog& catalog, Fleet& fleet,
-        Jobs& jobs, Orders& orders, Starts& starts, const Outlooks& outlooks, const Market& market,
-        const Bindings& bindings, Preemption& preemption)
+        Jobs& jobs, CommandDispatcher& orders, Starts& starts, const DeadlineForecaster& forecaster,
+        const InstanceOfferings& offerings, const Bindings& bindings, Preemption& preemption)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
         fleet_(fleet),
         jobs_(jobs),
-        orders_(orders),
+        commands_(orders),
         starts_(starts),
-        outlooks_(outlooks),
-        market_(market),
+        forecaster_(forecaster),
+        offerings_(offerings),
         bindings_(bindings),
         preemption_(preemption) {}
 
-  void new_round() { rooms_.new_round(); }
+  void new_round() { reservations_.new_round(); }
   void place(const Candidate& candidate, const std::vector<Machine*>& open, TimePoint now);
   // Groups of machines for what gangs still miss.
-  void add_rentals(const std::vector<Candidate>& queue, ChosenRentals& chosen, TimePoint now);
+  void add_scale_out_groups(const std::vector<Candidate>& queue, ScaleOutPlan& chosen,
+                            TimePoint now);
   // Gangs that have lost a task.
-  void mend(TimePoint now);
+  void restart_broken(TimePoint now);
   // One task has completed.
   void done(Job& job);
 
-  void job_closed(const JobId& id) { rooms_.close(fleet_, id); }
-  void machine_gone(Machine& machine) { rooms_.release(fleet_, machine); }
+  void job_closed(const JobId& id) { reservations_.close(fleet_, id); }
+  void machine_gone(Machine& machine) { reservations_.release(fleet_, machine); }
   // Places of a gang are being rented, and what came of it: the machine, or none.
   void asked(const JobId& gang, TaskIndex places);
   void answered(const JobId& gang, TaskIndex places);
@@ -44,7 +45,7 @@
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.rooms_);
+    f(s.reservations_);
   }
 
  private:
@@ -68,13 +69,13 @@
   const Catalog& catalog_;
   Fleet& fleet_;
   Jobs& jobs_;
-  Orders& orders_;
+  CommandDispatcher& commands_;
   Starts& starts_;
-  const Outlooks& outlooks_;
-  const Market& market_;
+  const DeadlineForecaster& forecaster_;
+  const InstanceOfferings& offerings_;
   const Bindings& bindings_;
   Preemption& preemption_;
-  GangRooms rooms_;
+  GangReservations reservations_;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/job_table.hpp
+++ b/src/core/job_table.hpp
@@ -27,7 +27,7 @@
 
 struct Job {
   JobRecord record;
-  bool carried_over = false;  // accepted before our takeover
+  bool from_former_leader = false;  // accepted before our takeover
   std::vector<Task> tasks;
   std::set<TaskIndex> waiting;
   std::set<TaskIndex> chunks_dirty;
@@ -56,7 +56,7 @@
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.record, s.carried_over, s.tasks, s.waiting, s.chunks_dirty, s.chunks_in_flight,
+    f(s.record, s.from_former_leader, s.tasks, s.waiting, s.chunks_dirty, s.chunks_in_flight,
       s.chunks_stored, s.done, s.running, s.finishing, s.finish_retry, s.opened, s.failed_on,
       s.failures, s.backoff_until, s.attempt, s.placed, s.placed_known, s.placed_version,
       s.placed_saved, s.begun, s.suspected, s.pause, s.last_failure);
--- a/src/core/jobs.cpp
+++ b/src/core/jobs.cpp
@@ -19,7 +19,7 @@
 void Jobs::close(const JobId& id) {
   const auto found = jobs_.find(id);
   auto& job = found->second;
-  touch(job);
+  before_change(job);
   // The end of a job that finishes takes them with it.
   if (auto chunks = job.chunks_written(); !chunks.empty() && !job.finishing)
     out_.push_back(DeleteProgress{id, std::move(chunks)});
@@ -30,7 +30,7 @@
   out_.want_placing();
 }
 
-void Jobs::inherit(const ProgressRecord& progress) {
+void Jobs::restore_progress(const ProgressRecord& progress) {
   const auto found = jobs_.find(progress.job);
   if (found == jobs_.end()) {
     out_.push_back(DeleteProgress{progress.job, {progress.chunk}});
@@ -49,7 +49,7 @@
   each(progress.restarted, [&](TaskIndex i) { job.tasks[i].restarted = true; });
 }
 
-void Jobs::inherit_placements(const std::vector<PlacementRecord>& records) {
+void Jobs::restore_placements(const std::vector<PlacementRecord>& records) {
   for (auto& [id, job] : jobs_) job.placed_known = job.records_starts();
   for (const auto& record : records) {
     const auto found = jobs_.find(record.job);
@@ -61,13 +61,13 @@
 }
 
 void Jobs::progress_changed(Job& job, TaskIndex index) {
-  touch(job);
+  before_change(job);
   job.chunks_dirty.insert(index / kProgressChunk);
   progress_dirty_.insert(job.spec().id);
 }
 
 void Jobs::task_done(Job& job, TaskIndex index) {
-  touch(job);
+  before_change(job);
   job.set_done(index);
   if (job.complete()) complete_.insert(job.spec().id);
 }
@@ -82,7 +82,7 @@
       continue;
     }
     auto& job = found->second;
-    touch(job);
+    before_change(job);
     for (auto chunk = job.chunks_dirty.begin(); chunk != job.chunks_dirty.end();) {
       if (job.chunks_in_flight.contains(*chunk)) {
         ++chunk;
@@ -105,7 +105,7 @@
     return;
   }
   auto& job = found->second;
-  touch(job);
+  before_change(job);
   job.chunks_in_flight.erase(saved.record.chunk);
   job.chunks_stored.insert(saved.record.chunk);
   if (!ok) {
@@ -117,7 +117,7 @@
 }
 
 std::uint64_t Jobs::record_start(Job& job, TaskIndex index, const MachineId& machine) {
-  touch(job);
+  before_change(job);
   job.placed.resize(job.tasks.size());
   // The version counts batches: all starts until the next one is written share it.
   if (placed_dirty_.insert(job.spec().id).second) ++job.placed_version;
@@ -128,7 +128,7 @@
 void Jobs::placements_saved(const JobId& id, std::uint64_t version) {
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return;
-  touch(found->second);
+  before_change(found->second);
   found->second.placed_saved = std::max(found->second.placed_saved, version);
 }
 
@@ -160,7 +160,7 @@
 void Jobs::finish_answered(const JobId& id, TimePoint retry) {
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return;
-  touch(found->second);
+  before_change(found->second);
   found->second.finishing = false;
   found->second.finish_retry = retry;
 }
@@ -169,7 +169,7 @@
   for (const auto& id : complete_) {
     auto& job = jobs_.at(id);
     if (job.finishing || now < job.finish_retry) continue;
-    touch(job);
+    before_change(job);
     job.finishing = true;
     out_.push_back(FinishJob{id, job.record.revision, job.chunks_written()});
   }
--- a/src/core/jobs.hpp
+++ b/src/core/jobs.hpp
@@ -28,8 +28,8 @@
 
   // The same for jobs as Fleet::touch for machines.
   using BeforeChange = std::function<void(const Job&)>;
-  void before_change(BeforeChange told) { before_change_ = std::move(told); }
-  void touch(const Job& job) {
+  void set_change_observer(BeforeChange told) { before_change_ = std::move(told); }
+  void before_change(const Job& job) {
     if (before_change_) before_change_(job);
   }
 
@@ -37,10 +37,10 @@
   // Forgets the job and the records of its progress.
   void close(const JobId& id);
   // What an earlier leader wrote about a job's tasks.
-  void inherit(const ProgressRecord& record);
+  void restore_progress(const ProgressRecord& record);
 
   // What marked records tell of older leaders' starts; jobs without a record were never started.
-  void inherit_placements(const std::vector<PlacementRecord>& records);
+  void restore_placements(const std::vector<PlacementRecord>& records);
 
   void task_done(Job& job, TaskIndex index);
   void progress_changed(Job& job, TaskIndex index);
--- a/src/core/leadership.hpp
+++ b/src/core/leadership.hpp
@@ -19,41 +19,41 @@
   }
   // The smallest `cancel_s` that leaves a leader time to serve: news are asked for every 0.8 s, and
   // one answer may stay away.
-  static Seconds least_cancel(const WorkerTimes& times, std::chrono::milliseconds clock_skew) {
+  static Seconds min_cancel_time(const WorkerTimes& times, std::chrono::milliseconds clock_skew) {
     auto bare = times;
     bare.cancel = Seconds(0);
-    return (times.lease + margin(bare, clock_skew) + kLeastServing) / 0.999;
+    return (times.lease + margin(bare, clock_skew) + kMinServingTime) / 0.999;
   }
 
   // The key was created by a transaction sent at `sent`; its revision is the token. What others
   // have confirmed meanwhile is another matter.
-  void won(Token token, std::uint64_t hold, TimePoint sent) {
+  void won(FencingToken token, std::uint64_t store_lease, TimePoint sent) {
     token_ = token;
-    hold_ = hold;
-    contact_ = sent;
-    informed_.reset();
+    store_lease_ = store_lease;
+    last_proven_ = sent;
+    fresh_until_.reset();
   }
   // A request sent at `sent` proved that the key is still ours, and nothing else.
-  void proved(TimePoint sent) {
-    if (leading() && sent > contact_) contact_ = sent;
+  void record_proof(TimePoint sent) {
+    if (leading() && sent > last_proven_) last_proven_ = sent;
   }
   // A read barrier over the jobs, sent at `sent`, was answered, and what it closed has reached the
   // core: no cancellation confirmed before `sent` is unknown here.
-  void informed(TimePoint sent) {
-    if (leading() && (!informed_ || sent > *informed_)) informed_ = sent;
+  void record_read_barrier(TimePoint sent) {
+    if (leading() && (!fresh_until_ || sent > *fresh_until_)) fresh_until_ = sent;
   }
   void lost() {
     token_ = 0;
-    informed_.reset();
+    fresh_until_.reset();
   }
 
   bool leading() const { return token_ != 0; }
-  Token token() const { return token_; }
-  std::uint64_t hold() const { return hold_; }
+  FencingToken token() const { return token_; }
+  std::uint64_t store_lease() const { return store_lease_; }
   // Led until: expiry of leases, takeovers and new jobs are judged by it.
-  TimePoint contact() const { return contact_; }
+  TimePoint last_proven() const { return last_proven_; }
   // Informed until; none: not since the key was won.
-  const std::optional<TimePoint>& informed() const { return informed_; }
+  const std::optional<TimePoint>& fresh_until() const { return fresh_until_; }
 
   // docs/safety.md, "Serving limit": informed + serving + lease + margin < informed + cancel.
   Seconds serving_time() const {
@@ -63,23 +63,23 @@
   // A renewed key alone must not do: a leader that was refused alone, while another node confirmed
   // cancellations, renewed its key at the end of an outage and started those tasks once more.
   bool may_serve(TimePoint now) const {
-    return leading() && informed_ && now - *informed_ < to_duration(serving_time()) &&
-           now - contact_ < to_duration(serving_time());
+    return leading() && fresh_until_ && now - *fresh_until_ < to_duration(serving_time()) &&
+           now - last_proven_ < to_duration(serving_time());
   }
   // Earliest time at which an unconfirmed machine's lease has run out under any older leader.
-  TimePoint older_leases_end(TimePoint takeover) const {
+  TimePoint former_leases_end(TimePoint takeover) const {
     return takeover + to_duration(serving_time() + times_.lease + 2 * margin_);
   }
 
  private:
-  static constexpr Seconds kLeastServing{2};
+  static constexpr Seconds kMinServingTime{2};
 
   WorkerTimes times_;
   Seconds margin_;
-  Token token_ = 0;
-  std::uint64_t hold_ = 0;
-  TimePoint contact_{};
-  std::optional<TimePoint> informed_;
+  FencingToken token_ = 0;
+  std::uint64_t store_lease_ = 0;
+  TimePoint last_proven_{};
+  std::optional<TimePoint> fresh_until_;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/limits.hpp
+++ b/src/core/limits.hpp
@@ -10,8 +10,8 @@
 // What is kept for one job beside others that wait, machines or its team's limit, is kept for so
 // long at a time, or since it last got more; then others have a turn. One due job after the other
 // kept a team's limit for 150 s, beside room for its small tasks (seed 1206 of Hunted).
-inline constexpr std::chrono::seconds kKeptFor{60};
-inline constexpr std::chrono::seconds kTurn{5};
+inline constexpr std::chrono::seconds kReservationTime{60};
+inline constexpr std::chrono::seconds kReservationPause{5};
 
 inline Resources limit_of(const Team& team) {
   const double none = std::numeric_limits<double>::infinity();
@@ -19,7 +19,7 @@
 }
 
 // How many tasks of a job one zone may have (PROTOCOL, `spread`).
-inline TaskIndex most_in_zone(const JobSpec& spec) {
+inline TaskIndex max_tasks_in_zone(const JobSpec& spec) {
   return spec.spread ? (spec.tasks + 1) / 2 : spec.tasks;
 }
 
--- a/src/core/machine_clearing.cpp
+++ b/src/core/machine_clearing.cpp
@@ -7,14 +7,14 @@
 
 namespace violetpulley::core {
 
-void Clearing::clear(TimePoint now) {
+void Consolidation::consolidate(TimePoint now) {
   const auto& tuning = settings_.tuning;
   for (auto& [id, machine] : fleet_.all()) {
     if (!machine.up() || machine.releasing || catalog_.types().empty()) continue;
     // A mute machine is idle because nothing is started there: how long it is waited for is
     // Contact's to decide. One that tasks are bound to waits for its turn: cleared, it took nobody,
     // and they waited for it for ever (seed 2647 of Hunted).
-    if (!machine.reserved_for.empty() || machine.mute_since || bindings_.holds(id)) {
+    if (!machine.reserved_for.empty() || machine.outbound_partition_since || bindings_.holds(id)) {
       fleet_.set(machine, &Machine::idle_since, {});
       fleet_.set(machine, &Machine::underused_since, {});
       continue;
@@ -24,17 +24,18 @@
     const bool only_limbo =
         std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
           const auto& task = entry.second;
-          return !task.seen && task.abandoned &&
+          return !task.seen && task.orphaned &&
                  now - task.placed > to_duration(settings_.workers.lease);
         });
     if (only_limbo && machine.confirmed) {
       if (!machine.idle_since) fleet_.set(machine, &Machine::idle_since, {now});
       // For work that may use no others, ordinary machines are not dear.
-      const bool dear_one = !scarcity_.ordinary_work() && catalog_.types().contains(machine.type) &&
-                            catalog_.dear(machine.type, machine.spot);
-      const auto wait = dear_one ? tuning.dear_idle_wait : tuning.idle_wait;
+      const bool expensive_offering = !scarcity_.ordinary_work() &&
+                                      catalog_.types().contains(machine.type) &&
+                                      catalog_.expensive(machine.type, machine.spot);
+      const auto wait = expensive_offering ? tuning.on_demand_idle_wait : tuning.idle_wait;
       const bool waited = now - *machine.idle_since >= to_duration(wait);
-      if (waited || machine.clearing) watch_.want_release(machine, "idle", now);
+      if (waited || machine.draining) watch_.request_release(machine, "idle", now);
       continue;
     }
     fleet_.set(machine, &Machine::idle_since, {});
@@ -42,14 +43,14 @@
     // of a gang stops them all (docs/design.md, "Services", "Gangs").
     const bool stays = std::any_of(machine.tasks.begin(), machine.tasks.end(),
                                    [](const auto& t) { return t.second.shape != Shape::array; });
-    if (stays || !underused(machine, tuning.clearing_use)) {
+    if (stays || !underused(machine, tuning.consolidation_threshold)) {
       fleet_.set(machine, &Machine::underused_since, {});
       continue;
     }
     if (!machine.underused_since) fleet_.set(machine, &Machine::underused_since, {now});
-    if (machine.clearing || now - *machine.underused_since < to_duration(tuning.clearing_wait))
+    if (machine.draining || now - *machine.underused_since < to_duration(tuning.consolidation_wait))
       continue;
-    fleet_.set(machine, &Machine::clearing, true);
+    fleet_.set(machine, &Machine::draining, true);
     const auto type = catalog_.types().find(machine.type);
     Seconds boot = type == catalog_.types().end() ? Seconds(60) : type->second.boot;
     Seconds fetch{0};
@@ -64,10 +65,10 @@
     for (auto& [key, assignment] : machine.tasks) {
       const auto job = jobs_.find(key.job);
       if (job == jobs_.end()) continue;
-      jobs_.touch(job->second);
+      jobs_.before_change(job->second);
       job->second.tasks[key.index].restarted = true;
       jobs_.progress_changed(job->second, key.index);
-      orders_.stop_saving(machine, key, assignment, settings_.workers.lease, now);
+      commands_.stop_with_checkpoint(machine, key, assignment, settings_.workers.lease, now);
     }
   }
 }
--- a/src/core/machine_clearing.hpp
+++ b/src/core/machine_clearing.hpp
@@ -8,27 +8,28 @@
 
 namespace violetpulley::core {
 
-class Clearing {
+class Consolidation {
  public:
-  Clearing(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet, Jobs& jobs,
-           Orders& orders, const Bindings& bindings, const Scarcity& scarcity, MachineWatch& watch)
+  Consolidation(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet,
+                Jobs& jobs, CommandDispatcher& orders, const Bindings& bindings,
+                const Scarcity& scarcity, MachineWatch& watch)
       : settings_(settings),
         catalog_(catalog),
         fleet_(fleet),
         jobs_(jobs),
-        orders_(orders),
+        commands_(orders),
         bindings_(bindings),
         scarcity_(scarcity),
         watch_(watch) {}
 
-  void clear(TimePoint now);
+  void consolidate(TimePoint now);
 
  private:
   const ControllerSettings& settings_;
   const Catalog& catalog_;
   Fleet& fleet_;
   Jobs& jobs_;
-  Orders& orders_;
+  CommandDispatcher& commands_;
   const Bindings& bindings_;
   const Scarcity& scarcity_;
   MachineWatch& watch_;
--- a/src/core/machine_watch.hpp
+++ b/src/core/machine_watch.hpp
@@ -13,25 +13,25 @@
 class MachineWatch {
  public:
   MachineWatch(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
-               Fleet& fleet, Contact& contact, Orders& orders, Recovery& recovery,
-               Reckoning& reckoning, Assignments& assignments, Registry& registry,
-               TimePoint takeover)
+               Fleet& fleet, FailureDetector& contact, CommandDispatcher& orders,
+               Recovery& recovery, Reconciler& reconciler, Assignments& assignments,
+               Registry& registry, TimePoint takeover)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
         fleet_(fleet),
-        contact_(contact),
-        orders_(orders),
+        failure_detector_(contact),
+        commands_(orders),
         recovery_(recovery),
-        reckoning_(reckoning),
+        reconciler_(reconciler),
         assignments_(assignments),
         registry_(registry),
-        takeover_(takeover) {}
+        elected_at_(takeover) {}
 
   // Looks at all machines when that is due, and tells whether it was.
   // `serving`: reports are taken in. `proved`: nobody else led by then.
   bool watch(TimePoint now, bool serving, TimePoint proved);
-  void want_release(Machine& machine, const std::string& cause, TimePoint now);
+  void request_release(Machine& machine, const std::string& cause, TimePoint now);
   // The cloud did not answer: it is asked again.
   void return_failed(Machine& machine, TimePoint now);
 
@@ -49,22 +49,22 @@
   Seconds boot_patience(const Machine& machine, double times) const;
   bool late_to_boot(const Machine& machine, TimePoint now) const;
   void note_boots(TimePoint now);
-  bool unsettled(const Machine& machine, TimePoint now) const;
+  bool holds_unconfirmed_cancellation(const Machine& machine, TimePoint now) const;
   bool may_hold_cancelled(const Machine& machine, TimePoint now) const;
-  void give_up(Machine& machine, TimePoint now);
+  void declare_dead(Machine& machine, TimePoint now);
   void release_machines(TimePoint now);
 
   const ControllerSettings& settings_;
   Outbox& out_;
   const Catalog& catalog_;
   Fleet& fleet_;
-  Contact& contact_;
-  Orders& orders_;
+  FailureDetector& failure_detector_;
+  CommandDispatcher& commands_;
   Recovery& recovery_;
-  Reckoning& reckoning_;
+  Reconciler& reconciler_;
   Assignments& assignments_;
   Registry& registry_;
-  TimePoint takeover_;
+  TimePoint elected_at_;
   TimePoint last_watch_{};
   TimePoint last_release_{};
   std::map<std::string, TypeBoots> boots_;  // by type, at the last look
--- a/src/core/market.hpp
+++ b/src/core/market.hpp
@@ -7,33 +7,33 @@
 
 namespace violetpulley::core {
 
-class Market {
+class InstanceOfferings {
  public:
-  explicit Market(const Catalog& catalog) : catalog_(catalog) {}
+  explicit InstanceOfferings(const Catalog& catalog) : catalog_(catalog) {}
 
   // Those asked for longest ago come first.
-  std::vector<RentalOption> options(TimePoint now) const;
+  std::vector<InstanceOffering> options(TimePoint now) const;
   // Whether a machine for the job can be rented in the zone; any zone if empty.
   bool rentable(const JobSpec& spec, const std::string& region, TimePoint now) const;
 
-  void asked(const OptionKey& option, TimePoint now) { last_rented_[option] = now; }
-  TimePoint last_asked(const OptionKey& option) const {
-    const auto found = last_rented_.find(option);
-    return found == last_rented_.end() ? TimePoint{} : found->second;
+  void asked(const OfferingKey& option, TimePoint now) { last_requested_[option] = now; }
+  TimePoint last_requested(const OfferingKey& option) const {
+    const auto found = last_requested_.find(option);
+    return found == last_requested_.end() ? TimePoint{} : found->second;
   }
   // Refused: not asked for until then.
-  void rest(const OptionKey& option, TimePoint until) { resting_[option] = until; }
-  const std::map<OptionKey, TimePoint>& resting() const { return resting_; }
+  void start_cooldown(const OfferingKey& option, TimePoint until) { cooldowns_[option] = until; }
+  const std::map<OfferingKey, TimePoint>& cooldowns() const { return cooldowns_; }
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.resting_, s.last_rented_);
+    f(s.cooldowns_, s.last_requested_);
   }
 
  private:
   const Catalog& catalog_;
-  std::map<OptionKey, TimePoint> resting_;
-  std::map<OptionKey, TimePoint> last_rented_;
+  std::map<OfferingKey, TimePoint> cooldowns_;
+  std::map<OfferingKey, TimePoint> last_requested_;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/order_window.hpp
+++ b/src/core/order_window.hpp
@@ -10,7 +10,7 @@
 
 namespace violetpulley::core {
 
-class OrderWindow {
+class InFlightWindow {
  public:
   // How many sockets orders may take. The window never falls below a quarter of that: in a storm of
   // reports answers are slow whatever is asked, and with a window of 32 it took ten seconds to ask
--- a/src/core/orders.hpp
+++ b/src/core/orders.hpp
@@ -13,22 +13,23 @@
 namespace violetpulley::core {
 
 // Session and sequence of a report.
-using ReportNumber = std::pair<std::uint64_t, std::uint64_t>;
+using HeartbeatNumber = std::pair<std::uint64_t, std::uint64_t>;
 
 // An order's way to the worker, with room to spare.
-inline constexpr Seconds kOrderTravels{1};
+inline constexpr Seconds kCommandTravelTime{1};
 
-class Orders {
+class CommandDispatcher {
  public:
   // `most`: order lists under way, if the operators set it.
-  Orders(const SocketBudget& sockets, std::size_t most, Outbox& out, Fleet& fleet, const Jobs& jobs)
+  CommandDispatcher(const SocketBudget& sockets, std::size_t most, Outbox& out, Fleet& fleet,
+                    const Jobs& jobs)
       : sockets_(sockets), most_(most), out_(out), fleet_(fleet), jobs_(jobs) {}
 
-  void want(const Machine& machine) { orders_due_.insert(machine.id); }
+  void want(const Machine& machine) { machines_due_.insert(machine.id); }
   std::vector<Command> commands_for(const Machine& machine, bool with_starts) const;
   // Stops and forgets that travel in the answer to a report, if it is the newest of its machine: a
   // late copy of one carries nothing.
-  std::vector<Command> response_commands(const MachineId& machine, ReportNumber report) const;
+  std::vector<Command> response_commands(const MachineId& machine, HeartbeatNumber report) const;
   // Sends what the window admits; the rest stays due. Stops come first, then tasks in the order in
   // which placing chose them, then machines that did not answer the last time.
   void send(TimePoint now);
@@ -43,26 +44,26 @@
     if (most_ > 0) shares.orders = std::min(shares.orders, most_);
     return shares;
   }
-  const OrderWindow& window() const { return window_; }
+  const InFlightWindow& window() const { return window_; }
   // A task of a job that was cancelled or has ended may be on it.
-  static bool cancelled_on(const Machine& machine);
+  static bool holds_cancelled_task(const Machine& machine);
   // Whether the start may have been sent.
   bool committed(const TaskKey& key, const Assignment& assignment) const;
 
   void stop(Machine& machine, Assignment& assignment, TimePoint now, Seconds grace = Seconds(0));
   // `available`: how long the task may take to save.
-  void stop_saving(Machine& machine, const TaskKey& key, Assignment& assignment, Seconds available,
-                   TimePoint now);
+  void stop_with_checkpoint(Machine& machine, const TaskKey& key, Assignment& assignment,
+                            Seconds available, TimePoint now);
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.orders_due_, s.window_);
+    f(s.machines_due_, s.window_);
   }
 
  private:
   // Smaller is more urgent: the rank, and within it the number of the oldest open start.
   using Urgency = std::pair<int, Attempt>;
-  bool forgettable(const Machine& machine, const TaskReport& entry) const;
+  bool acknowledgeable(const Machine& machine, const TaskStatus& entry) const;
   Urgency urgency(const Machine& machine) const;
   void send(Machine& machine, TimePoint now);
 
@@ -71,8 +72,8 @@
   Outbox& out_;
   Fleet& fleet_;
   const Jobs& jobs_;
-  std::set<MachineId> orders_due_;
-  OrderWindow window_;
+  std::set<MachineId> machines_due_;
+  InFlightWindow window_;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/outbox.hpp
+++ b/src/core/outbox.hpp
@@ -18,18 +18,18 @@
   bool placing_wanted() const { return placing_wanted_; }
 
   // Machines looked at, each time counted: what events cost.
-  void looked_at(std::uint64_t machines) { looks_ += machines; }
-  std::uint64_t looks() const { return looks_; }
+  void note_inspections(std::uint64_t machines) { inspections_ += machines; }
+  std::uint64_t inspections() const { return inspections_; }
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.placing_wanted_, s.looks_);
+    f(s.placing_wanted_, s.inspections_);
   }
 
  private:
   std::vector<Action> actions_;  // empty between events
   bool placing_wanted_ = true;
-  std::uint64_t looks_ = 0;
+  std::uint64_t inspections_ = 0;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/outlooks.cpp
+++ b/src/core/outlooks.cpp
@@ -9,18 +9,18 @@
 namespace violetpulley::core {
 
 // What is left of a task, as far as saves tell.
-Seconds Outlooks::estimate_left(const Job& job, TaskIndex index) const {
+Seconds DeadlineForecaster::estimate_left(const Job& job, TaskIndex index) const {
   return remaining_run_time(estimate(job.spec()), job.tasks[job.gang() ? 0 : index].saved);
 }
 
-Seconds Outlooks::age(const Job& job, TimePoint now) const {
+Seconds DeadlineForecaster::age(const Job& job, TimePoint now) const {
   const Seconds before = settings_.wall_at_start - job.record.submitted;
   // Never less than what was seen here: a wrong time of day must not hold a job back.
-  return std::max(Seconds(now - job.opened), before + Seconds(now - takeover_));
+  return std::max(Seconds(now - job.opened), before + Seconds(now - elected_at_));
 }
 
 // Until the job's deadline or the next aim of its class that it can still meet; infinite if none.
-Seconds Outlooks::time_left(const Job& job, TimePoint now) const {
+Seconds DeadlineForecaster::time_left(const Job& job, TimePoint now) const {
   const auto lived = age(job, now);
   const auto& spec = job.spec();
   Seconds best{std::numeric_limits<double>::infinity()};
@@ -34,9 +34,9 @@
   return best;
 }
 
-Outlook Outlooks::outlook(const Job& job, TimePoint now) const {
+DeadlineForecast DeadlineForecaster::forecast(const Job& job, TimePoint now) const {
   // A service has no time to be done by.
-  if (job.service() || std::isfinite(time_left(job, now).count())) return Outlook::in_time;
+  if (job.service() || std::isfinite(time_left(job, now).count())) return DeadlineForecast::in_time;
   const auto& spec = job.spec();
   const auto done = age(job, now) + estimate(spec);
   const bool late =
@@ -44,7 +44,7 @@
       std::any_of(settings_.late_aims.begin(), settings_.late_aims.end(), [&](const LateAim& aim) {
         return aim.job_class == spec.job_class && done < *spec.deadline * aim.times;
       });
-  return late ? Outlook::late : Outlook::hopeless;
+  return late ? DeadlineForecast::late : DeadlineForecast::missed;
 }
 
 }  // namespace violetpulley::core
--- a/src/core/outlooks.hpp
+++ b/src/core/outlooks.hpp
@@ -9,24 +9,25 @@
 namespace violetpulley::core {
 
 // What is left to gain: a deadline or an aim, an aim for being little late, or nothing.
-enum class Outlook { in_time, late, hopeless };
+enum class DeadlineForecast { in_time, late, missed };
 
-class Outlooks {
+class DeadlineForecaster {
  public:
-  Outlooks(const ControllerSettings& settings, const Estimator& estimator, TimePoint takeover)
-      : settings_(settings), estimator_(estimator), takeover_(takeover) {}
+  DeadlineForecaster(const ControllerSettings& settings, const Estimator& estimator,
+                     TimePoint takeover)
+      : settings_(settings), estimator_(estimator), elected_at_(takeover) {}
 
   Seconds estimate(const JobSpec& spec) const { return estimator_.estimate(spec); }
   Seconds estimate_left(const Job& job, TaskIndex index) const;
   // Since the job was submitted.
   Seconds age(const Job& job, TimePoint now) const;
   Seconds time_left(const Job& job, TimePoint now) const;
-  Outlook outlook(const Job& job, TimePoint now) const;
+  DeadlineForecast forecast(const Job& job, TimePoint now) const;
 
  private:
   const ControllerSettings& settings_;
   const Estimator& estimator_;
-  TimePoint takeover_;
+  TimePoint elected_at_;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/packer.cpp
+++ b/src/core/packer.cpp
@@ -7,7 +7,7 @@
 
 namespace violetpulley::core {
 
-double free_room(const Machine& machine) {
+double free_capacity(const Machine& machine) {
   const auto free = machine.free();
   return free.cpus + free.memory_gb * 0.01;
 }
@@ -36,9 +36,9 @@
     if (offer.machine == &machine) refresh(offer);
 }
 
-bool Packer::dear_per_cpu(const Machine& machine) const {
+bool Packer::expensive_per_cpu(const Machine& machine) const {
   return machine.capacity.cpus > 0 &&
-         is_dear(machine.price / machine.capacity.cpus, cheapest_per_cpu_);
+         is_expensive(machine.price / machine.capacity.cpus, cheapest_per_cpu_);
 }
 
 Packer::Choices::Choices(Packer& packer, const JobSpec& spec, Seconds estimate)
@@ -48,7 +48,7 @@
                                 const std::function<bool(const Machine&)>& may_use,
                                 int least_rank) {
   Choices out(*this, spec, estimate);
-  looks_ += offers_.size();
+  inspections_ += offers_.size();
   for (std::size_t i = 0; i < offers_.size(); ++i) {
     const auto& machine = *offers_[i].machine;
     if (!spec.per_task.fits_in(machine.free())) continue;
@@ -57,7 +57,7 @@
     Choices::Entry entry;
     entry.offer = i;
     entry.image_rank = rank;
-    entry.dear = dear_per_cpu(machine);
+    entry.expensive = expensive_per_cpu(machine);
     entry.breaks_whole = keep_whole_ && !machine.spot && machine.tasks.empty();
     out.place_in_order(entry);
     out.entries_.push_back(entry);
@@ -79,7 +79,7 @@
   if (a.image_rank != b.image_rank) return a.image_rank > b.image_rank;
   // Exception to the design: dear machines come after all cheaper ones, so that they run empty
   // and are returned first (docs/design.md, "Dear machines last").
-  if (a.dear != b.dear) return b.dear;
+  if (a.expensive != b.expensive) return b.expensive;
   // Exception to the design: most free room would spread small tasks over all machines and leave
   // none to a gang whose tasks need whole ones (docs/design.md, "Gangs").
   if (a.breaks_whole != b.breaks_whole) return b.breaks_whole;
@@ -89,11 +89,11 @@
   if (a.own_bin)
     return std::abs((x.remaining - estimate_).count()) <
            std::abs((y.remaining - estimate_).count());
-  return free_room(*x.machine) > free_room(*y.machine);
+  return free_capacity(*x.machine) > free_capacity(*y.machine);
 }
 
 Machine* Packer::Choices::best() {
-  packer_.looks_ += entries_.size();
+  packer_.inspections_ += entries_.size();
   constexpr auto kNone = std::numeric_limits<std::size_t>::max();
   auto best = kNone;
   for (std::size_t i = 0; i < entries_.size();) {
--- a/src/core/packer.hpp
+++ b/src/core/packer.hpp
@@ -34,7 +34,7 @@
       int image_rank = 0;
       int bin_order = 0;
       bool own_bin = false;
-      bool dear = false;
+      bool expensive = false;
       bool breaks_whole = false;  // it is empty, and kept so while there is other room
     };
     Choices(Packer& packer, const JobSpec& spec, Seconds estimate);
@@ -56,7 +56,7 @@
   void placed(Machine& machine);
 
   // How many machines were looked at, each time counted: what a round costs.
-  std::uint64_t looks() const { return looks_; }
+  std::uint64_t inspections() const { return inspections_; }
 
  private:
   struct Offer {
@@ -64,7 +64,7 @@
     Seconds remaining;
     int bin;
   };
-  bool dear_per_cpu(const Machine& machine) const;
+  bool expensive_per_cpu(const Machine& machine) const;
   void refresh(Offer& offer);
 
   Seconds unit_;
@@ -72,11 +72,11 @@
   double cheapest_per_cpu_ = std::numeric_limits<double>::infinity();
   bool keep_whole_ = false;
   std::vector<Offer> offers_;
-  std::uint64_t looks_ = 0;
+  std::uint64_t inspections_ = 0;
 };
 
 // Free room as one figure, for "most free room" among machines of different types.
-double free_room(const Machine& machine);
+double free_capacity(const Machine& machine);
 
 // What of a machine's image a task finds there: 0 nothing, 1 being fetched, 2 present.
 int image_rank(const Machine& machine, const std::string& image);
--- a/src/core/placing.cpp
+++ b/src/core/placing.cpp
@@ -62,7 +62,7 @@
            std::tie(b->record.submitted, b->spec().id);
   });
   std::vector<Candidate> queue;
-  auto leads = standing_.may_lead();
+  auto starts_ahead = starvation_guard_.starts_allowed_ahead();
   std::map<std::string, Resources> claimed;
   for (auto* job : by_age) {
     const auto& spec = job->spec();
@@ -71,27 +71,27 @@
     const auto waiting = spec.per_task * static_cast<double>(job->waiting.size());
     claim += waiting;
     const bool guaranteed = team != catalog_.teams().end() && covers(team->second, claim);
-    const auto estimate = outlooks_.estimate_left(*job, *job->waiting.begin());
+    const auto estimate = forecaster_.estimate_left(*job, *job->waiting.begin());
     const double size = spec.per_task.gpus > 0 ? waiting.gpus : waiting.cpus;
-    const bool aged =
-        job->gang() ? outlooks_.age(*job, now) > kGangAges : standing_.stands_whole(*job, now);
-    const bool due = leads > 0 && standing_.due(*job, now);
-    if (due) --leads;
-    queue.push_back({job, estimate, guaranteed, outlooks_.outlook(*job, now),
-                     estimate.count() * size, aged, due});
+    const bool aged = job->gang() ? forecaster_.age(*job, now) > kGangAges
+                                  : starvation_guard_.prioritized_whole(*job, now);
+    const bool starving = starts_ahead > 0 && starvation_guard_.starving(*job, now);
+    if (starving) --starts_ahead;
+    queue.push_back({job, estimate, guaranteed, forecaster_.forecast(*job, now),
+                     estimate.count() * size, aged, starving});
   }
   // The design's order is longest first. Before it come priority, for the deadlines, and work
   // within a team's guarantee (docs/design.md, "Order of the queue").
   std::stable_sort(queue.begin(), queue.end(), [](const Candidate& a, const Candidate& b) {
     const auto& x = a.job->spec();
     const auto& y = b.job->spec();
-    if (a.due != b.due) return a.due;
-    if (a.due) return a.job->record.submitted < b.job->record.submitted;
+    if (a.starving != b.starving) return a.starving;
+    if (a.starving) return a.job->record.submitted < b.job->record.submitted;
     if (x.priority != y.priority) return x.priority > y.priority;
     if (a.aged != b.aged) return a.aged;
     if (a.aged) return a.job->record.submitted < b.job->record.submitted;
     if (a.guaranteed != b.guaranteed) return a.guaranteed;
-    if (a.outlook != b.outlook) return a.outlook < b.outlook;
+    if (a.forecast != b.forecast) return a.forecast < b.forecast;
     return a.work < b.work;
   });
   return queue;
@@ -115,7 +115,7 @@
   auto& job = *candidate.job;
   const auto& spec = job.spec();
   if (job.gang() || job.waiting.empty() || starts_left_ == 0 || !starts_.within_limit(spec)) return;
-  const bool ahead = candidate.due;  // with one task; its others go with everybody else's
+  const bool ahead = candidate.starving;  // with one task; its others go with everybody else's
   if (ahead && job.begun) return;
   const bool tried = job.waiting.size() < job.tasks.size();
   if (job.suspected && tried) return;
@@ -126,13 +126,14 @@
   const bool waited = ahead || fetch < candidate.estimate * kFetchThatCounts ||
                       now - job.opened > to_duration(fetch * patience);
   const int least_rank = holders_only && !waited ? 1 : 0;
-  const bool patient = !ahead && outlooks_.age(job, now) < kWaitedEnough &&
-                       (scarcity_.narrow_waits() || now - job.opened < kReservationPatience);
+  const bool patient =
+      !ahead && forecaster_.age(job, now) < kWaitedEnough &&
+      (scarcity_.exclusive_demand_waiting() || now - job.opened < kReservationPatience);
   const auto barred = patient ? scarcity_.types_for_others(spec) : std::vector<std::string>{};
   // Exception to the design: empty ordinary machines are left to work that may use no others
   // (docs/design.md, "Ordinary machines").
   const bool leaves_ordinary = scarcity_.ordinary_work() && spec.spot_allowed &&
-                               outlooks_.age(job, now) < settings_.tuning.dear_patience;
+                               forecaster_.age(job, now) < settings_.tuning.on_demand_patience;
   // Where a job is bound to zones, each start changes what the next one may use.
   const bool zoned = spec.same_zone || spec.spread;
   for (bool started = true; started;) {
@@ -144,7 +145,7 @@
           return allowed_on(spec, m.type, m.zone, m.spot) &&
                  (m.reserved_for.empty() || m.reserved_for == spec.id) &&
                  !(leaves_ordinary && !m.spot && m.tasks.empty() &&
-                   catalog_.dear(m.type, m.spot)) &&
+                   catalog_.expensive(m.type, m.spot)) &&
                  std::find(barred.begin(), barred.end(), m.type) == barred.end() &&
                  !job.avoids(m.id, now) && zone_allowed(spec, zones, m.zone);
         },
@@ -158,7 +159,7 @@
         return;
       choices.placed(*machine);
       started = true;
-      standing_.started(ahead);
+      starvation_guard_.started(ahead);
       if (--starts_left_ == 0 || one) return;
     }
     if (!zoned) return;
@@ -167,25 +168,25 @@
 
 // Machines that are being cleared take no new tasks, for as long as what runs there runs on. Where
 // a job has waited beside one and could have had its room, it is cleared no longer.
-void Placing::reopen_cleared(const std::vector<Candidate>& queue, TimePoint now) {
-  std::vector<Machine*> cleared;
+void Placing::uncordon_draining(const std::vector<Candidate>& queue, TimePoint now) {
+  std::vector<Machine*> draining;
   for (auto& [id, machine] : fleet_.all())
-    if (machine.clearing && !machine.releasing) cleared.push_back(&machine);
-  if (cleared.empty()) return;
+    if (machine.draining && !machine.releasing) draining.push_back(&machine);
+  if (draining.empty()) return;
   for (const auto& candidate : queue) {
     const auto& job = *candidate.job;
     const auto& spec = job.spec();
-    if (job.gang() || job.waiting.empty() || outlooks_.age(job, now) < kWaitedEnough) continue;
+    if (job.gang() || job.waiting.empty() || forecaster_.age(job, now) < kWaitedEnough) continue;
     if (starts_.startable(job) == 0 || !starts_.within_limit(spec)) continue;
     const auto zones = starts_.zone_use(job);
     const auto fits = [&](const Machine* machine) {
-      return machine->clearing && spec.per_task.fits_in(machine->free()) &&
+      return machine->draining && spec.per_task.fits_in(machine->free()) &&
              allowed_on(spec, machine->type, machine->zone, machine->spot) &&
              zone_allowed(spec, zones, machine->zone) && !job.avoids(machine->id, now);
     };
-    const auto found = std::find_if(cleared.begin(), cleared.end(), fits);
-    if (found == cleared.end()) continue;
-    fleet_.set(**found, &Machine::clearing, false);
+    const auto found = std::find_if(draining.begin(), draining.end(), fits);
+    if (found == draining.end()) continue;
+    fleet_.set(**found, &Machine::draining, false);
     fleet_.set(**found, &Machine::underused_since, {});
     out_.want_placing();
   }
@@ -204,8 +205,8 @@
 void Placing::place(TimePoint now) {
   if (catalog_.types().empty()) return;
   recovery_.refresh();
-  scarcity_.note_narrow_types(now);
-  standing_.new_round();
+  scarcity_.note_exclusive_types(now);
+  starvation_guard_.new_round();
   const auto queue = waiting_jobs(now);
   scarcity_.note_waiting(std::any_of(queue.begin(), queue.end(), [&](const Candidate& candidate) {
     return std::any_of(catalog_.types().begin(), catalog_.types().end(), [&](const auto& entry) {
@@ -238,28 +239,28 @@
   for (auto* machine : open) packer.offer(*machine);
   place_bound(packer, now);
   gangs_.new_round();
-  starts_left_ = std::max(kLeastStarts, kStartsPerOrder * orders_.window().size());
+  starts_left_ = std::max(kLeastStarts, kStartsPerOrder * commands_.window().size());
   // Two passes: room first goes to tasks whose image is there, whatever their place in the queue,
   // unless a task has waited for as long as its fetch takes; then to the others.
   for (const bool holders_only : {true, false})
     for (const auto& candidate : queue) {
-      if (standing_.leaves_limit(candidate)) continue;
+      if (starvation_guard_.yields_quota(candidate)) continue;
       if (candidate.job->gang() && holders_only) gangs_.place(candidate, open, now);
       if (!packer.empty()) place_job(packer, candidate, holders_only, now);
-      if (candidate.due) standing_.passed(*candidate.job, now);
+      if (candidate.starving) starvation_guard_.note_not_started(*candidate.job, now);
     }
-  standing_.hold(queue, now);
-  if (starts_left_ > 0) reopen_cleared(queue, now);
-  preemption_.make_room_for_services(queue, now);
-  out_.looked_at(fleet_.all().size() + packer.looks());
-  reckoning_.note_cost(now);
+  starvation_guard_.reserve_machine(queue, now);
+  if (starts_left_ > 0) uncordon_draining(queue, now);
+  preemption_.preempt_for_services(queue, now);
+  out_.note_inspections(fleet_.all().size() + packer.inspections());
+  reconciler_.note_cost(now);
   // Nothing is rented before it is known what the fleet has: right after a start of all controllers
   // machines that had not been heard yet looked as if they were lacking.
   // Nor for tasks that only this round has left over.
   if (starts_left_ == 0)
     out_.want_placing();
-  else if (reckoning_.fleet_known(now))
-    rentals_.round(queue, now);
+  else if (reconciler_.fleet_known(now))
+    scale_out_.round(queue, now);
 }
 
 }  // namespace violetpulley::core
--- a/src/core/placing.hpp
+++ b/src/core/placing.hpp
@@ -15,25 +15,26 @@
 class Placing {
  public:
   Placing(const ControllerSettings& settings, Outbox& out, const Catalog& catalog, Fleet& fleet,
-          Jobs& jobs, Recovery& recovery, Reckoning& reckoning, const Orders& orders,
-          const Outlooks& outlooks, Starts& starts, Bindings& bindings, Scarcity& scarcity,
-          Preemption& preemption, Gangs& gangs, Rentals& rentals, Standing& standing)
+          Jobs& jobs, Recovery& recovery, Reconciler& reconciler, const CommandDispatcher& orders,
+          const DeadlineForecaster& forecaster, Starts& starts, Bindings& bindings,
+          Scarcity& scarcity, Preemption& preemption, Gangs& gangs, ScaleOutPlanner& rentals,
+          StarvationGuard& standing)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
         fleet_(fleet),
         jobs_(jobs),
         recovery_(recovery),
-        reckoning_(reckoning),
-        orders_(orders),
-        outlooks_(outlooks),
+        reconciler_(reconciler),
+        commands_(orders),
+        forecaster_(forecaster),
         starts_(starts),
         bindings_(bindings),
         scarcity_(scarcity),
         preemption_(preemption),
         gangs_(gangs),
-        rentals_(rentals),
-        standing_(standing) {}
+        scale_out_(rentals),
+        starvation_guard_(standing) {}
 
   // Holds a round if one is due.
   void round(TimePoint now);
@@ -45,7 +46,7 @@
 
  private:
   void place(TimePoint now);
-  void reopen_cleared(const std::vector<Candidate>& queue, TimePoint now);
+  void uncordon_draining(const std::vector<Candidate>& queue, TimePoint now);
   std::vector<Candidate> waiting_jobs(TimePoint now);
   void place_bound(Packer& packer, TimePoint now);
   void place_job(Packer& packer, const Candidate& candidate, bool holders_only, TimePoint now);
@@ -57,16 +58,16 @@
   Fleet& fleet_;
   Jobs& jobs_;
   Recovery& recovery_;
-  Reckoning& reckoning_;
-  const Orders& orders_;
-  const Outlooks& outlooks_;
+  Reconciler& reconciler_;
+  const CommandDispatcher& commands_;
+  const DeadlineForecaster& forecaster_;
   Starts& starts_;
   Bindings& bindings_;
   Scarcity& scarcity_;
   Preemption& preemption_;
   Gangs& gangs_;
-  Rentals& rentals_;
-  Standing& standing_;
+  ScaleOutPlanner& scale_out_;
+  StarvationGuard& starvation_guard_;
   TimePoint last_place_{};
   std::size_t starts_left_ = 0;  // in this round
 };
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -9,7 +9,7 @@
 
 bool Preemption::preemptible(const TaskKey& key, const Assignment& assignment,
                              Priority priority) const {
-  if (assignment.shape != Shape::array || assignment.stop || assignment.abandoned) return false;
+  if (assignment.shape != Shape::array || assignment.stop || assignment.orphaned) return false;
   const auto job = jobs_.find(key.job);
   return job != jobs_.end() && job->second.spec().priority < priority &&
          !job->second.tasks[key.index].restarted;
@@ -17,17 +17,17 @@
 
 void Preemption::preempt(Machine& machine, const TaskKey& key, Seconds available, TimePoint now) {
   auto& job = jobs_.at(key.job);
-  jobs_.touch(job);
-  fleet_.touch(machine);
+  jobs_.before_change(job);
+  fleet_.before_change(machine);
   job.tasks[key.index].restarted = true;
   jobs_.progress_changed(job, key.index);
   auto& assignment = machine.tasks.at(key);
   assignment.preempted = true;
-  orders_.stop_saving(machine, key, assignment, available, now);
+  commands_.stop_with_checkpoint(machine, key, assignment, available, now);
 }
 
 // Replicas that found no place get that of another task, at once and without a save: users wait.
-void Preemption::make_room_for_services(const std::vector<Candidate>& queue, TimePoint now) {
+void Preemption::preempt_for_services(const std::vector<Candidate>& queue, TimePoint now) {
   TaskIndex needed = 0;
   for (const auto& candidate : queue)
     if (candidate.job->service()) needed += starts_.startable(*candidate.job);
@@ -47,7 +47,7 @@
         victims.push_back({&machine, key, cost_of_stop(assignment, now)});
     }
   }
-  out_.looked_at(fleet_.all().size());
+  out_.note_inspections(fleet_.all().size());
   std::stable_sort(victims.begin(), victims.end(),
                    [](const Victim& a, const Victim& b) { return a.cost < b.cost; });
   for (const auto& candidate : queue) {
@@ -83,8 +83,8 @@
 
 // A gang that cannot rent what it misses gets whole machines on which only lesser work runs. They
 // are its own from the first stop on, so that no more is stopped than it asked for.
-void Preemption::make_room_for_gang(const Job& job, GangRoom& room, GangRooms& rooms,
-                                    TimePoint now) {
+void Preemption::preempt_for_gang(const Job& job, GangReservation& room,
+                                  GangReservations& reservations, TimePoint now) {
   const auto& spec = job.spec();
   struct Place {
     Machine* machine;
@@ -107,12 +107,12 @@
     const auto tasks = places_on(machine.capacity, spec);
     if (all && tasks > 0) places.push_back({&machine, tasks, cost});
   }
-  out_.looked_at(fleet_.all().size());
+  out_.note_inspections(fleet_.all().size());
   std::stable_sort(places.begin(), places.end(),
                    [](const Place& a, const Place& b) { return a.cost < b.cost; });
   for (const auto& place : places) {
     if (room.missing == 0) return;
-    rooms.claim(fleet_, spec.id, *place.machine);
+    reservations.claim(fleet_, spec.id, *place.machine);
     room.missing -= std::min(room.missing, place.tasks);
     std::vector<TaskKey> keys;
     for (const auto& [key, assignment] : place.machine->tasks) keys.push_back(key);
--- a/src/core/preemption.hpp
+++ b/src/core/preemption.hpp
@@ -13,17 +13,18 @@
 class Preemption {
  public:
   Preemption(const ControllerSettings& settings, Outbox& out, Fleet& fleet, Jobs& jobs,
-             Orders& orders, const Starts& starts, const Bindings& bindings)
+             CommandDispatcher& orders, const Starts& starts, const Bindings& bindings)
       : settings_(settings),
         out_(out),
         fleet_(fleet),
         jobs_(jobs),
-        orders_(orders),
+        commands_(orders),
         starts_(starts),
         bindings_(bindings) {}
 
-  void make_room_for_services(const std::vector<Candidate>& queue, TimePoint now);
-  void make_room_for_gang(const Job& job, GangRoom& room, GangRooms& rooms, TimePoint now);
+  void preempt_for_services(const std::vector<Candidate>& queue, TimePoint now);
+  void preempt_for_gang(const Job& job, GangReservation& room, GangReservations& reservations,
+                        TimePoint now);
 
  private:
   bool preemptible(const TaskKey& key, const Assignment& assignment, Priority priority) const;
@@ -33,7 +34,7 @@
   Outbox& out_;
   Fleet& fleet_;
   Jobs& jobs_;
-  Orders& orders_;
+  CommandDispatcher& commands_;
   const Starts& starts_;
   const Bindings& bindings_;
 };
--- a/src/core/prices.hpp
+++ b/src/core/prices.hpp
@@ -4,8 +4,10 @@
 
 namespace violetpulley::core {
 
-inline constexpr double kDearFactor = 1.8;
+inline constexpr double kExpensiveFactor = 1.8;
 
-inline bool is_dear(double price, double cheapest) { return price > kDearFactor * cheapest; }
+inline bool is_expensive(double price, double cheapest) {
+  return price > kExpensiveFactor * cheapest;
+}
 
 }  // namespace violetpulley::core
--- a/src/core/queue.hpp
+++ b/src/core/queue.hpp
@@ -10,10 +10,10 @@
   Job* job = nullptr;
   Seconds estimate{0};
   bool guaranteed = false;
-  Outlook outlook = Outlook::hopeless;
+  DeadlineForecast forecast = DeadlineForecast::missed;
   double work = 0;    // of its waiting tasks
   bool aged = false;  // a gang or a large job that has waited long: smaller ones pass it no more
-  bool due = false;   // it must begin now: it stands ahead of all others until it has
+  bool starving = false;  // it must begin now: it stands ahead of all others until it has
 };
 
 }  // namespace violetpulley::core
--- a/src/core/reckoning.cpp
+++ b/src/core/reckoning.cpp
@@ -15,16 +15,16 @@
 constexpr std::chrono::milliseconds kSaysMore{1200};
 }  // namespace
 
-void Reckoning::begin() {
-  std::map<OptionKey, std::size_t> held;  // tasks that may be on a machine of that kind
+void Reconciler::begin() {
+  std::map<OfferingKey, std::size_t> held;  // tasks that may be on a machine of that kind
   std::vector<std::pair<std::size_t, MachineId>> order;
   for (const auto& id : recovery_.unconfirmed()) {
     const auto& machine = *fleet_.find(id);
-    const OptionKey kind{machine.type, machine.zone, machine.spot};
+    const OfferingKey kind{machine.type, machine.zone, machine.spot};
     auto [entry, first] = held.try_emplace(kind, 0);
     if (first)
       for (const auto& [job_id, job] : jobs_.table())
-        if (job.carried_over && allowed_on(job.spec(), kind.type, kind.zone, kind.spot))
+        if (job.from_former_leader && allowed_on(job.spec(), kind.type, kind.zone, kind.spot))
           entry->second += job.waiting.size();
     order.emplace_back(entry->second, id);
   }
@@ -33,13 +33,13 @@
   for (auto& [weight, id] : order) queue_.push_back(std::move(id));
 }
 
-void Reckoning::ask(TimePoint now) {
-  if (queue_.empty() && told_.empty()) return;
-  auto room = orders_.room();
+void Reconciler::ask(TimePoint now) {
+  if (queue_.empty() && awaiting_second_heartbeat_.empty()) return;
+  auto room = commands_.room();
   const auto due = [&](const MachineId& id) {
     const auto* machine = fleet_.find(id);
     if (machine == nullptr || machine->confirmed) return;
-    orders_.want(*machine);
+    commands_.want(*machine);
     ++asked_;
     --room;
   };
@@ -47,50 +47,51 @@
     const auto id = std::move(queue_.front());
     queue_.pop_front();
     const auto* machine = fleet_.find(id);
-    if (machine != nullptr && machine->heard)
-      told_.emplace_back(*machine->heard + kSaysMore, id);
+    if (machine != nullptr && machine->last_heartbeat)
+      awaiting_second_heartbeat_.emplace_back(*machine->last_heartbeat + kSaysMore, id);
     else
       due(id);
   }
-  while (room > 0 && !told_.empty() && told_.front().first <= now) {
-    const auto id = std::move(told_.front().second);
-    told_.pop_front();
+  while (room > 0 && !awaiting_second_heartbeat_.empty() &&
+         awaiting_second_heartbeat_.front().first <= now) {
+    const auto id = std::move(awaiting_second_heartbeat_.front().second);
+    awaiting_second_heartbeat_.pop_front();
     due(id);
   }
 }
 
-bool Reckoning::fleet_known(TimePoint now) const {
+bool Reconciler::fleet_known(TimePoint now) const {
   if (!recovery_.recovering() ||
-      now - takeover_ > to_duration(settings_.tuning.lost_after_takeover))
+      now - elected_at_ > to_duration(settings_.tuning.lost_after_failover))
     return true;
   return std::all_of(recovery_.unconfirmed().begin(), recovery_.unconfirmed().end(),
                      [&](const MachineId& id) {
                        const auto* machine = fleet_.find(id);
-                       return machine == nullptr || machine->unanswered > 0;
+                       return machine == nullptr || machine->unanswered_commands > 0;
                      });
 }
 
 // A machine that is returned may be alive after all: then its tasks run anew, and another one has
 // to boot in its place. One that is gone costs nothing more. How many are still alive is an
 // assumption, on the high side: nearly each one on the days of the fleet sites was gone.
-Seconds Reckoning::price_of_return(const Machine& machine) const {
+Seconds Reconciler::cost_of_declaring_dead(const Machine& machine) const {
   JobSpec mean;
-  mean.per_task = held_need_;
+  mean.per_task = mean_blocked_resources_;
   mean.tasks = kProgressChunk;
   const auto type = catalog_.types().find(machine.type);
   const auto boot = type == catalog_.types().end() ? Seconds(60) : type->second.boot;
-  return (boot + held_run_ / 2.0) *
+  return (boot + mean_blocked_run_time_ / 2.0) *
          (settings_.tuning.still_alive * static_cast<double>(places_on(machine.capacity, mean)));
 }
 
-void Reckoning::judge(TimePoint now) {
-  impatient_ = false;
-  if (!recovery_.recovering() || now - takeover_ < kLeastPatience) return;
+void Reconciler::judge(TimePoint now) {
+  patience_exhausted_ = false;
+  if (!recovery_.recovering() || now - elected_at_ < kLeastPatience) return;
   struct Count {
     std::size_t up = 0;
     std::size_t silent = 0;
     // More that fall silent at once are more likely behind a cut than dead.
-    bool heard(double most) const {
+    bool last_heartbeat(double most) const {
       return static_cast<double>(silent) <= static_cast<double>(up) * most;
     }
   };
@@ -104,22 +105,22 @@
       ++count->up;
       if (silent(machine)) ++count->silent;
     }
-    if (silent(machine) && !machine.releasing) price += price_of_return(machine);
+    if (silent(machine) && !machine.releasing) price += cost_of_declaring_dead(machine);
   }
-  heard_zones_.clear();
+  responsive_zones_.clear();
   for (const auto& [zone, count] : zones)
-    if (count.heard(most)) heard_zones_.insert(zone);
-  impatient_ = all.heard(most) && cost_.total() >= price;
+    if (count.last_heartbeat(most)) responsive_zones_.insert(zone);
+  patience_exhausted_ = all.last_heartbeat(most) && cost_.total() >= price;
 }
 
-void Reckoning::note_cost(TimePoint now) {
+void Reconciler::note_cost(TimePoint now) {
   if (!recovery_.recovering() || (cost_noted_ && now - *cost_noted_ < kCostEvery)) return;
   const Seconds since = cost_noted_ ? Seconds(now - *cost_noted_) : Seconds(0);
   cost_noted_ = now;
   std::vector<const Machine*> open;
   for (const auto& [id, machine] : fleet_.all())
     if (machine.free().cpus > 0 && starts_.placeable(machine, now)) open.push_back(&machine);
-  RecoveryCost more;
+  ReconciliationCost more;
   Resources need;
   Seconds run{0};
   double tasks = 0;
@@ -143,11 +144,11 @@
     if (job.waiting.size() == job.tasks.size()) more.unseen += cost;
   }
   if (tasks <= 0) return;
-  held_need_ = need * (1 / tasks);
-  held_run_ = run / tasks;
+  mean_blocked_resources_ = need * (1 / tasks);
+  mean_blocked_run_time_ = run / tasks;
   // Each job was looked at as if it had the room to itself; together they have it only once.
   JobSpec mean;
-  mean.per_task = held_need_;
+  mean.per_task = mean_blocked_resources_;
   mean.tasks = static_cast<TaskIndex>(tasks);
   double room = 0;
   for (const auto* machine : open) room += places_on(machine->free(), mean);
--- a/src/core/reckoning.hpp
+++ b/src/core/reckoning.hpp
@@ -11,7 +11,7 @@
 namespace violetpulley::core {
 
 // What the wait has cost so far: time in which held-up tasks had room beside them, by shape.
-struct RecoveryCost {
+struct ReconciliationCost {
   Seconds arrays{0};
   Seconds gangs{0};
   Seconds replicas{0};
@@ -26,7 +26,7 @@
 
 // What differed between the state service and the reports, counted until the reckoning ends: a row
 // of the table in docs/reckoning.md each.
-struct Squared {
+struct ReconciliationStats {
   std::size_t adopted = 0;        // tasks found on machines
   std::size_t ended = 0;          // reported done and not stored as done
   std::size_t second_copies = 0;  // of a task that is known elsewhere or under another attempt
@@ -44,19 +44,19 @@
   }
 };
 
-class Reckoning {
+class Reconciler {
  public:
-  Reckoning(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet,
-            const Jobs& jobs, const Recovery& recovery, Orders& orders, const Starts& starts,
-            TimePoint takeover)
+  Reconciler(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet,
+             const Jobs& jobs, const Recovery& recovery, CommandDispatcher& orders,
+             const Starts& starts, TimePoint takeover)
       : settings_(settings),
         catalog_(catalog),
         fleet_(fleet),
         jobs_(jobs),
         recovery_(recovery),
-        orders_(orders),
+        commands_(orders),
         starts_(starts),
-        takeover_(takeover) {}
+        elected_at_(takeover) {}
 
   // Puts the machines that Recovery waits for in the order in which they are asked: those first
   // that most tasks may be on.
@@ -73,52 +73,53 @@
   // It was asked more than once, and no answer came, while others' did. One that was not asked yet
   // is not silent, however long the takeover is ago.
   bool silent(const Machine& machine) const {
-    return recovery_.waits_for(machine.id) && machine.unanswered >= 2;
+    return recovery_.is_unconfirmed(machine.id) && machine.unanswered_commands >= 2;
   }
   bool gives_up(const Machine& machine) const {
-    return impatient_ && silent(machine) && heard_zones_.contains(machine.zone);
+    return patience_exhausted_ && silent(machine) && responsive_zones_.contains(machine.zone);
   }
   // Every machine has answered or is silent: what is lacking now is lacking indeed.
   bool fleet_known(TimePoint now) const;
 
   // Adds to the cost what is held up now, when that is due.
   void note_cost(TimePoint now);
-  const RecoveryCost& cost() const { return cost_; }
+  const ReconciliationCost& cost() const { return cost_; }
 
-  void count(std::size_t Squared::*what) {
-    if (recovery_.recovering()) ++(squared_.*what);
+  void count(std::size_t ReconciliationStats::*what) {
+    if (recovery_.recovering()) ++(stats_.*what);
   }
-  const Squared& squared() const { return squared_; }
+  const ReconciliationStats& stats() const { return stats_; }
   std::size_t asked() const { return asked_; }
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.queue_, s.told_, s.asked_, s.cost_, s.cost_noted_, s.held_need_, s.held_run_, s.impatient_,
-      s.heard_zones_, s.squared_);
+    f(s.queue_, s.awaiting_second_heartbeat_, s.asked_, s.cost_, s.cost_noted_,
+      s.mean_blocked_resources_, s.mean_blocked_run_time_, s.patience_exhausted_,
+      s.responsive_zones_, s.stats_);
   }
 
  private:
-  Seconds price_of_return(const Machine& machine) const;
+  Seconds cost_of_declaring_dead(const Machine& machine) const;
 
   const ControllerSettings& settings_;
   const Catalog& catalog_;
   Fleet& fleet_;
   const Jobs& jobs_;
   const Recovery& recovery_;
-  Orders& orders_;
+  CommandDispatcher& commands_;
   const Starts& starts_;
-  TimePoint takeover_;
+  TimePoint elected_at_;
   std::deque<MachineId> queue_;
   std::deque<std::pair<TimePoint, MachineId>>
-      told_;  // reported under an older token, and when to ask
+      awaiting_second_heartbeat_;  // reported under an older token, and when to ask
   std::size_t asked_ = 0;
-  RecoveryCost cost_;
+  ReconciliationCost cost_;
   std::optional<TimePoint> cost_noted_;
-  Resources held_need_;  // of a held-up task, in the mean
-  Seconds held_run_{0};
-  bool impatient_ = false;
-  std::set<std::string> heard_zones_;
-  Squared squared_;
+  Resources mean_blocked_resources_;  // of a held-up task, in the mean
+  Seconds mean_blocked_run_time_{0};
+  bool patience_exhausted_ = false;
+  std::set<std::string> responsive_zones_;
+  ReconciliationStats stats_;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/recovery.cpp
+++ b/src/core/recovery.cpp
@@ -12,31 +12,31 @@
   if (!recovering_) return;
   // One that we have answered since, without knowing all that it runs, has its lease from us: its
   // report may have been answered unread, or an older order may have come after it.
-  if (proved >= older_leases_end_)
+  if (proved >= former_leases_end_)
     std::erase_if(unconfirmed_, [&](const MachineId& id) {
       const auto* machine = fleet_.find(id);
-      return machine == nullptr || !machine->heard ||
-             proved - *machine->heard > to_duration(whole_lease());
+      return machine == nullptr || !machine->last_heartbeat ||
+             proved - *machine->last_heartbeat > to_duration(full_lease());
     });
   if (!unconfirmed_.empty()) return;
   recovering_ = false;
   out_.want_placing();
 }
 
-void Recovery::no_older_leader(TimePoint now) {
-  older_leases_end_ = std::min(older_leases_end_, now + to_duration(whole_lease()));
+void Recovery::former_leaders_gone(TimePoint now) {
+  former_leases_end_ = std::min(former_leases_end_, now + to_duration(full_lease()));
 }
 
 // A task of an older job that was seen nowhere may be on an unconfirmed machine, if its job may run
 // there at all: no leader ever starts a task where its job does not allow it.
-bool Recovery::unaccounted(const Job& job) const {
-  if (!recovering_ || !job.carried_over) return false;
+bool Recovery::blocked_on_reconciliation(const Job& job) const {
+  if (!recovering_ || !job.from_former_leader) return false;
   if (job.placed_known) {
     return std::any_of(job.waiting.begin(), job.waiting.end(),
                        [&](TaskIndex i) { return recorded_in_doubt(job, i); });
   }
   return std::any_of(unconfirmed_kinds_.begin(), unconfirmed_kinds_.end(),
-                     [&](const OptionKey& kind) {
+                     [&](const OfferingKey& kind) {
                        return allowed_on(job.spec(), kind.type, kind.zone, kind.spot);
                      });
 }
@@ -48,14 +48,15 @@
 }
 
 bool Recovery::held(const Job& job, TaskIndex index) const {
-  if (!recovering_ || !job.carried_over) return false;
+  if (!recovering_ || !job.from_former_leader) return false;
   if (job.placed_known && !job.gang()) return recorded_in_doubt(job, index);
-  return unaccounted(job);
+  return blocked_on_reconciliation(job);
 }
 
 std::size_t Recovery::held(const Job& job) const {
-  if (!recovering_ || !job.carried_over) return 0;
-  if (!job.placed_known || job.gang()) return unaccounted(job) ? job.waiting.size() : 0;
+  if (!recovering_ || !job.from_former_leader) return 0;
+  if (!job.placed_known || job.gang())
+    return blocked_on_reconciliation(job) ? job.waiting.size() : 0;
   return static_cast<std::size_t>(std::count_if(job.waiting.begin(), job.waiting.end(),
                                                 [&](TaskIndex i) { return held(job, i); }));
 }
@@ -64,24 +65,25 @@
 // it holds; the same while one lists tasks whose job has ended and whose team is unknown.
 Resources Recovery::uncertain_use() const {
   Resources total;
-  for (const auto& [id, since] : foreign_)
+  for (const auto& [id, since] : unknown_tasks_since_)
     if (const auto* machine = fleet_.find(id)) total += machine->capacity;
   for (const auto& id : unconfirmed_)
-    if (const auto* machine = fleet_.find(id); machine != nullptr && !foreign_.contains(id))
+    if (const auto* machine = fleet_.find(id);
+        machine != nullptr && !unknown_tasks_since_.contains(id))
       total += machine->capacity;
   return total;
 }
 
 // Live tasks of jobs that are unknown here take room and count for a team that is unknown.
-void Recovery::note_foreign(Machine& machine, TimePoint now) {
+void Recovery::update_unknown_tasks(Machine& machine, TimePoint now) {
   const bool foreign =
-      std::any_of(machine.reported.begin(), machine.reported.end(), [&](const TaskReport& entry) {
+      std::any_of(machine.reported.begin(), machine.reported.end(), [&](const TaskStatus& entry) {
         return entry.state != TaskState::exited && !machine.tasks.contains(entry.task);
       });
   if (foreign)
-    foreign_.emplace(machine.id, now);
+    unknown_tasks_since_.emplace(machine.id, now);
   else
-    foreign_.erase(machine.id);
+    unknown_tasks_since_.erase(machine.id);
 }
 
 void Recovery::refresh() {
--- a/src/core/recovery.hpp
+++ b/src/core/recovery.hpp
@@ -15,18 +15,18 @@
 
 class Recovery {
  public:
-  // `older_leases_end`: when the leases that older leaders may have renewed have run out. `lease`:
+  // `former_leases_end`: when the leases that older leaders may have renewed have run out. `lease`:
   // of a worker.
-  Recovery(Outbox& out, Fleet& fleet, TimePoint older_leases_end, Seconds lease)
-      : out_(out), fleet_(fleet), older_leases_end_(older_leases_end), lease_(lease) {}
+  Recovery(Outbox& out, Fleet& fleet, TimePoint former_leases_end, Seconds lease)
+      : out_(out), fleet_(fleet), former_leases_end_(former_leases_end), lease_(lease) {}
 
   // No older leader answers reports any more: every other controller has said, after it saw our
   // key, that it does not lead. So what they may have renewed runs out a lease from now.
-  void no_older_leader(TimePoint now);
+  void former_leaders_gone(TimePoint now);
 
   // After so long without an answer of anybody a worker has ended its tasks: its lease, what a
   // clock may go wrong by, and the way of the last answer.
-  Seconds whole_lease() const { return lease_ * 1.001 + Seconds(1); }
+  Seconds full_lease() const { return lease_ * 1.001 + Seconds(1); }
 
   // A machine on which an older leader may have started tasks.
   void expect(const Machine& machine) {
@@ -34,8 +34,8 @@
     unconfirmed_kinds_.insert({machine.type, machine.zone, machine.spot});
   }
   // It has answered under our token, or is gone.
-  void accounted(const MachineId& id) { unconfirmed_.erase(id); }
-  bool waits_for(const MachineId& id) const { return unconfirmed_.contains(id); }
+  void confirm(const MachineId& id) { unconfirmed_.erase(id); }
+  bool is_unconfirmed(const MachineId& id) const { return unconfirmed_.contains(id); }
   std::size_t waiting() const { return unconfirmed_.size(); }
   const std::set<MachineId>& unconfirmed() const { return unconfirmed_; }
 
@@ -44,17 +44,17 @@
   void check(TimePoint proved);
   bool recovering() const { return recovering_; }
   // Whether any task of this job that was seen nowhere may be on a machine that has not answered.
-  bool unaccounted(const Job& job) const;
+  bool blocked_on_reconciliation(const Job& job) const;
   // Whether this task may. Of a gang with records, each if one may: it starts whole.
   bool held(const Job& job, TaskIndex index) const;
   std::size_t held(const Job& job) const;
 
-  void note_foreign(Machine& machine, TimePoint now);
+  void update_unknown_tasks(Machine& machine, TimePoint now);
   // Since when the machine has listed live tasks of jobs that are unknown here: they have ended, or
   // were cancelled under an older leader.
-  std::optional<TimePoint> foreign_since(const MachineId& id) const {
-    const auto found = foreign_.find(id);
-    return found == foreign_.end() ? std::nullopt : std::optional(found->second);
+  std::optional<TimePoint> unknown_tasks_since(const MachineId& id) const {
+    const auto found = unknown_tasks_since_.find(id);
+    return found == unknown_tasks_since_.end() ? std::nullopt : std::optional(found->second);
   }
 
   // Counts what is uncertain anew; `uncertain` holds until the next round.
@@ -63,8 +63,8 @@
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.older_leases_end_, s.recovering_, s.unconfirmed_, s.unconfirmed_kinds_, s.foreign_,
-      s.uncertain_);
+    f(s.former_leases_end_, s.recovering_, s.unconfirmed_, s.unconfirmed_kinds_,
+      s.unknown_tasks_since_, s.uncertain_);
   }
 
  private:
@@ -73,13 +73,13 @@
 
   Outbox& out_;
   Fleet& fleet_;
-  TimePoint older_leases_end_;
+  TimePoint former_leases_end_;
   Seconds lease_;
   bool recovering_ = true;
   std::set<MachineId> unconfirmed_;
-  std::set<OptionKey> unconfirmed_kinds_;  // type, zone and kind of those; may tell of too many
+  std::set<OfferingKey> unconfirmed_kinds_;  // type, zone and kind of those; may tell of too many
   // Machines that list tasks of jobs that are unknown here, and since when.
-  std::map<MachineId, TimePoint> foreign_;
+  std::map<MachineId, TimePoint> unknown_tasks_since_;
   Resources uncertain_;
 };
 
--- a/src/core/registry.cpp
+++ b/src/core/registry.cpp
@@ -10,7 +10,7 @@
   MachineRecord record{machine.id, machine.endpoint, machine.type, machine.zone, machine.spot, {}};
   for (const auto& image : machine.images)
     if (image.present) record.images.emplace_back(image.name, image.gb);
-  fleet_.touch(machine);
+  fleet_.before_change(machine);
   machine.images_changed = false;
   machine.registering = machine.up();
   out_.push_back(SaveMachine{std::move(record), machine.registered});
@@ -22,7 +22,7 @@
     if (ok) out_.push_back(DeleteMachine{id});
     return;
   }
-  fleet_.touch(*machine);
+  fleet_.before_change(*machine);
   if (with_endpoint) machine->registering = false;
   // A leader starts tasks only on machines whose record is committed with its endpoint: the
   // next leader must know every machine that it has to confirm.
--- a/src/core/rental_groups.hpp
+++ b/src/core/rental_groups.hpp
@@ -6,14 +6,14 @@
 namespace violetpulley::core {
 
 // Where fewer machines come than were asked for, those first in this order get them.
-enum class RentalRank { service, gang, array };
+enum class ScaleOutRank { service, gang, array };
 
 // What one machine of a rental is for: the tasks bound to it, or places of a gang.
-struct RentalGroup {
+struct ScaleOutGroup {
   std::vector<TaskKey> tasks;
   JobId gang;
   TaskIndex places = 0;
-  RentalRank rank = RentalRank::array;
+  ScaleOutRank rank = ScaleOutRank::array;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -21,6 +21,6 @@
   }
 };
 
-using ChosenRentals = std::map<OptionKey, std::vector<RentalGroup>>;
+using ScaleOutPlan = std::map<OfferingKey, std::vector<ScaleOutGroup>>;
 
 }  // namespace violetpulley::core
--- a/src/core/rentals.cpp
+++ b/src/core/rentals.cpp
@@ -7,25 +7,25 @@
 namespace violetpulley::core {
 
 namespace {
-constexpr std::size_t kMostMachinesPerRental = 50;  // PROTOCOL, POST /rentals
+constexpr std::size_t kMaxMachinesPerRequest = 50;  // PROTOCOL, POST /rentals
 }  // namespace
 
-void Rentals::round(const std::vector<Candidate>& queue, TimePoint now) {
+void ScaleOutPlanner::round(const std::vector<Candidate>& queue, TimePoint now) {
   if (now - last_scale_ < to_duration(settings_.tuning.round)) return;
-  auto left = leftovers(queue);
+  auto left = unplaced_tasks(queue);
   if (left.empty() && !scarcity_.gangs()) return;
   last_scale_ = now;
   scale(std::move(left), queue, now);
 }
 
 // The tasks that found no room and are not bound yet, in the order of the queue.
-std::vector<ScalerJob> Rentals::leftovers(const std::vector<Candidate>& queue) const {
+std::vector<ScalerJob> ScaleOutPlanner::unplaced_tasks(const std::vector<Candidate>& queue) const {
   std::vector<ScalerJob> left;
   std::map<std::string, Resources> room;  // tasks that could not start must not rent machines
   for (const auto& candidate : queue) {
     const auto& job = *candidate.job;
     const auto& spec = job.spec();
-    const auto limit = starts_.room_of(spec.team);
+    const auto limit = starts_.quota_left(spec.team);
     if (!limit || job.gang() || job.suspected) continue;
     auto& free = room.try_emplace(spec.team, *limit).first->second;
     ScalerJob entry{&spec, candidate.estimate, {}, {}};
@@ -42,8 +42,8 @@
         for (const auto& zone : type.zones) {
           const auto claimed = claims.find(zone);
           const TaskIndex here = claimed == claims.end() ? 0 : claimed->second;
-          const TaskIndex most = most_in_zone(spec);
-          entry.zone_room[zone] = most > here ? most - here : 0;
+          const TaskIndex most = max_tasks_in_zone(spec);
+          entry.zone_capacity[zone] = most > here ? most - here : 0;
         }
     }
     if (!entry.tasks.empty()) left.push_back(std::move(entry));
@@ -53,7 +53,7 @@
 
 // Where the job's tasks are or will be: those too that wait for machines which boot or are being
 // rented.
-ZoneUse Rentals::zone_claims(const Job& job) const {
+ZoneUse ScaleOutPlanner::zone_claims(const Job& job) const {
   auto use = starts_.zone_use(job);
   if (!job.spec().spread) return use;
   for (const auto index : job.waiting) {
@@ -61,28 +61,29 @@
     if (bound.empty()) continue;
     if (const auto* machine = fleet_.find(bound))
       ++use[machine->zone];
-    else if (const auto rental = rentals_.find(bound); rental != rentals_.end())
+    else if (const auto rental = requests_in_flight_.find(bound);
+             rental != requests_in_flight_.end())
       ++use[rental->second.request.zone];
   }
   return use;
 }
 
-void Rentals::scale(std::vector<ScalerJob> leftovers, const std::vector<Candidate>& queue,
-                    TimePoint now) {
-  std::stable_sort(leftovers.begin(), leftovers.end(),
+void ScaleOutPlanner::scale(std::vector<ScalerJob> unplaced_tasks,
+                            const std::vector<Candidate>& queue, TimePoint now) {
+  std::stable_sort(unplaced_tasks.begin(), unplaced_tasks.end(),
                    [](const auto& a, const auto& b) { return a.estimate > b.estimate; });
-  const auto may_rent = [&](const JobSpec& spec, const RentalOption& option) {
+  const auto may_use_offering = [&](const JobSpec& spec, const InstanceOffering& option) {
     const auto& job = jobs_.at(spec.id);
     // Exception to the design: a dear kind is rented only for work that has waited, since room on
     // a cheap machine may come first (docs/design.md, "Dear machines last").
     const bool waited =
-        !spec.spot_allowed || outlooks_.age(job, now) > settings_.tuning.dear_patience;
-    return (waited || !catalog_.dear(option.type->name, option.spot)) &&
+        !spec.spot_allowed || forecaster_.age(job, now) > settings_.tuning.on_demand_patience;
+    return (waited || !catalog_.expensive(option.type->name, option.spot)) &&
            !scarcity_.reserved_for_others(spec, option.type->name) &&
            zone_allowed(spec, starts_.zone_use(job), option.zone);
   };
-  Scaler scaler(std::move(leftovers), market_.options(now), may_rent);
-  ChosenRentals chosen;
+  Scaler scaler(std::move(unplaced_tasks), offerings_.options(now), may_use_offering);
+  ScaleOutPlan chosen;
   while (const auto choice = scaler.choose()) {
     const auto& option = scaler.option(*choice);
     auto& groups = chosen[{option.type->name, option.zone, option.spot}];
@@ -90,34 +91,36 @@
       auto tasks = scaler.take(*choice);
       const bool lasting = jobs_.at(tasks.front().job).service();
       groups.push_back(
-          {std::move(tasks), {}, 0, lasting ? RentalRank::service : RentalRank::array});
-    } while (groups.size() < kMostMachinesPerRental && scaler.repeats(*choice));
-    if (groups.size() >= kMostMachinesPerRental) scaler.exhaust(*choice);
+          {std::move(tasks), {}, 0, lasting ? ScaleOutRank::service : ScaleOutRank::array});
+    } while (groups.size() < kMaxMachinesPerRequest && scaler.repeats(*choice));
+    if (groups.size() >= kMaxMachinesPerRequest) scaler.exhaust(*choice);
   }
-  gangs_.add_rentals(queue, chosen, now);
+  gangs_.add_scale_out_groups(queue, chosen, now);
   // Requests are few a second: the option that was asked for longest ago comes first, so that
   // none starves behind another that fills one request after the other.
-  std::vector<OptionKey> order;
+  std::vector<OfferingKey> order;
   for (const auto& [option, groups] : chosen) order.push_back(option);
-  std::stable_sort(order.begin(), order.end(), [&](const OptionKey& x, const OptionKey& y) {
-    return market_.last_asked(x) < market_.last_asked(y);
+  std::stable_sort(order.begin(), order.end(), [&](const OfferingKey& x, const OfferingKey& y) {
+    return offerings_.last_requested(x) < offerings_.last_requested(y);
   });
   for (const auto& option : order) {
     auto& groups = chosen.at(option);
     if (!rate_.take(now)) break;
     // Where fewer machines come than were asked for, the first groups get them.
-    std::stable_sort(groups.begin(), groups.end(),
-                     [](const RentalGroup& a, const RentalGroup& b) { return a.rank < b.rank; });
-    if (groups.size() > kMostMachinesPerRental) groups.resize(kMostMachinesPerRental);
+    std::stable_sort(
+        groups.begin(), groups.end(),
+        [](const ScaleOutGroup& a, const ScaleOutGroup& b) { return a.rank < b.rank; });
+    if (groups.size() > kMaxMachinesPerRequest) groups.resize(kMaxMachinesPerRequest);
     send(option, std::move(groups), now);
   }
 }
 
-void Rentals::send(const OptionKey& option, std::vector<RentalGroup> groups, TimePoint now) {
-  market_.asked(option, now);
+void ScaleOutPlanner::send(const OfferingKey& option, std::vector<ScaleOutGroup> groups,
+                           TimePoint now) {
+  offerings_.asked(option, now);
   // The token and a counter make the name: no other request ever bears it.
-  Rental rental;
-  rental.request = {"r-" + std::to_string(token_) + "-" + std::to_string(next_rental_++),
+  PendingScaleOut rental;
+  rental.request = {"r-" + std::to_string(token_) + "-" + std::to_string(next_request_++),
                     option.type, option.zone, option.spot, static_cast<int>(groups.size())};
   rental.sent = now;
   for (const auto& group : groups) {
@@ -126,30 +129,31 @@
   }
   rental.groups = std::move(groups);
   out_.push_back(rental.request);
-  rentals_.emplace(rental.request.name, std::move(rental));
+  requests_in_flight_.emplace(rental.request.name, std::move(rental));
 }
 
-void Rentals::answered(const std::string& name, const RentalAnswer& answer, TimePoint now) {
-  const auto found = rentals_.find(name);
-  if (found == rentals_.end()) return;
+void ScaleOutPlanner::answered(const std::string& name, const ScaleOutResult& answer,
+                               TimePoint now) {
+  const auto found = requests_in_flight_.find(name);
+  if (found == requests_in_flight_.end()) return;
   auto rental = std::move(found->second);
-  rentals_.erase(found);
+  requests_in_flight_.erase(found);
   const auto& request = rental.request;
-  const OptionKey option{request.type, request.zone, request.spot};
-  const auto rest = now + to_duration(settings_.tuning.refused_rest);
-  if (answer.kind != RentalAnswer::Kind::rented) {
+  const OfferingKey option{request.type, request.zone, request.spot};
+  const auto rest = now + to_duration(settings_.tuning.refused_cooldown);
+  if (answer.kind != ScaleOutResult::Kind::rented) {
     // A refused pair rests and others are tried; with no answer, what was rented after all will
     // show up in the machine list.
-    market_.rest(option, answer.kind == RentalAnswer::Kind::no_capacity
-                             ? rest
-                             : now + to_duration(Seconds(3)));
+    offerings_.start_cooldown(option, answer.kind == ScaleOutResult::Kind::no_capacity
+                                          ? rest
+                                          : now + to_duration(Seconds(3)));
   } else if (answer.machines.size() < rental.groups.size()) {
-    market_.rest(option, rest);
+    offerings_.start_cooldown(option, rest);
   }
   for (std::size_t i = 0; i < rental.groups.size(); ++i) {
     auto& group = rental.groups[i];
     gangs_.answered(group.gang, group.places);
-    if (answer.kind != RentalAnswer::Kind::rented || i >= answer.machines.size()) {
+    if (answer.kind != ScaleOutResult::Kind::rented || i >= answer.machines.size()) {
       bindings_.unbind(group.tasks, name);
       continue;
     }
--- a/src/core/rentals.hpp
+++ b/src/core/rentals.hpp
@@ -9,7 +9,7 @@
 
 namespace violetpulley::core {
 
-struct RentalAnswer {
+struct ScaleOutResult {
   enum class Kind { rented, no_capacity, refused, unknown } kind = Kind::unknown;
   std::vector<MachineId> machines;
 
@@ -19,41 +19,42 @@
   }
 };
 
-class Rentals {
+class ScaleOutPlanner {
  public:
-  Rentals(const ControllerSettings& settings, Outbox& out, const Catalog& catalog, Fleet& fleet,
-          Jobs& jobs, const Starts& starts, const Outlooks& outlooks, Market& market,
-          Bindings& bindings, const Scarcity& scarcity, Gangs& gangs, Registry& registry,
-          Token token)
+  ScaleOutPlanner(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
+                  Fleet& fleet, Jobs& jobs, const Starts& starts,
+                  const DeadlineForecaster& forecaster, InstanceOfferings& offerings,
+                  Bindings& bindings, const Scarcity& scarcity, Gangs& gangs, Registry& registry,
+                  FencingToken token)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
         fleet_(fleet),
         jobs_(jobs),
         starts_(starts),
-        outlooks_(outlooks),
-        market_(market),
+        forecaster_(forecaster),
+        offerings_(offerings),
         bindings_(bindings),
         scarcity_(scarcity),
         gangs_(gangs),
         registry_(registry),
         token_(token),
-        rate_(settings.cloud_calls_per_s * kRentalsShare,
-              std::max(1.0, settings.cloud_calls_per_s * kRentalsShare)) {}
+        rate_(settings.cloud_calls_per_s * kScaleOutCallShare,
+              std::max(1.0, settings.cloud_calls_per_s * kScaleOutCallShare)) {}
 
   // Asks for machines, if the last time is long enough ago.
   void round(const std::vector<Candidate>& queue, TimePoint now);
-  void answered(const std::string& name, const RentalAnswer& answer, TimePoint now);
+  void answered(const std::string& name, const ScaleOutResult& answer, TimePoint now);
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.rentals_, s.next_rental_, s.rate_, s.last_scale_);
+    f(s.requests_in_flight_, s.next_request_, s.rate_, s.last_scale_);
   }
 
  private:
-  struct Rental {
-    Rent request;
-    std::vector<RentalGroup> groups;
+  struct PendingScaleOut {
+    ScaleOut request;
+    std::vector<ScaleOutGroup> groups;
     TimePoint sent{};
 
     template <class S, class F>
@@ -61,10 +62,11 @@
       f(s.request, s.groups, s.sent);
     }
   };
-  std::vector<ScalerJob> leftovers(const std::vector<Candidate>& queue) const;
+  std::vector<ScalerJob> unplaced_tasks(const std::vector<Candidate>& queue) const;
   ZoneUse zone_claims(const Job& job) const;
-  void scale(std::vector<ScalerJob> leftovers, const std::vector<Candidate>& queue, TimePoint now);
-  void send(const OptionKey& option, std::vector<RentalGroup> groups, TimePoint now);
+  void scale(std::vector<ScalerJob> unplaced_tasks, const std::vector<Candidate>& queue,
+             TimePoint now);
+  void send(const OfferingKey& option, std::vector<ScaleOutGroup> groups, TimePoint now);
 
   const ControllerSettings& settings_;
   Outbox& out_;
@@ -72,15 +74,15 @@
   Fleet& fleet_;
   Jobs& jobs_;
   const Starts& starts_;
-  const Outlooks& outlooks_;
-  Market& market_;
+  const DeadlineForecaster& forecaster_;
+  InstanceOfferings& offerings_;
   Bindings& bindings_;
   const Scarcity& scarcity_;
   Gangs& gangs_;
   Registry& registry_;
-  Token token_;
-  std::map<std::string, Rental> rentals_;
-  std::uint64_t next_rental_ = 1;
+  FencingToken token_;
+  std::map<std::string, PendingScaleOut> requests_in_flight_;
+  std::uint64_t next_request_ = 1;
   RateLimiter rate_;
   TimePoint last_scale_{};
 };
--- a/src/core/replicas.cpp
+++ b/src/core/replicas.cpp
@@ -23,13 +23,13 @@
   auto zones = starts_.zone_use(job);
   if (const auto here = zones.find(from.zone); here != zones.end()) --here->second;
   for (auto* machine : hosts) {
-    if (machine->id == from.id || machine->clearing) continue;
+    if (machine->id == from.id || machine->draining) continue;
     const auto claimed = taken.find(machine->id);
     const auto room = claimed == taken.end() ? machine->free() : machine->free() - claimed->second;
     if (!spec.per_task.fits_in(room) || image_rank(*machine, spec.image) < 2) continue;
     if (!allowed_on(spec, machine->type, machine->zone, machine->spot)) continue;
     if (spec.same_zone && machine->zone != from.zone) continue;
-    if (spec.spread && zones[machine->zone] + 1 > most_in_zone(spec)) continue;
+    if (spec.spread && zones[machine->zone] + 1 > max_tasks_in_zone(spec)) continue;
     return machine;
   }
   return nullptr;
@@ -45,7 +45,7 @@
   for (auto& [id, machine] : fleet_.all()) {
     const bool hosts = !machine.tasks.empty() &&
                        std::all_of(machine.tasks.begin(), machine.tasks.end(), [](const auto& t) {
-                         return t.second.shape == Shape::service && !t.second.abandoned;
+                         return t.second.shape == Shape::service && !t.second.orphaned;
                        });
     for (const auto& [key, task] : machine.tasks)
       if (task.shape == Shape::service) ++(task.running_since && !task.stop ? replicas : moving);
@@ -55,23 +55,23 @@
     }
     if (starts_.placeable(machine, now)) hosting.push_back(&machine);
     // At half of its room or less it is worth clearing: two such machines make one.
-    if (!underused(machine, settings_.tuning.clearing_use + 1e-6)) {
+    if (!underused(machine, settings_.tuning.consolidation_threshold + 1e-6)) {
       fleet_.set(machine, &Machine::sparse_since, {});
       continue;
     }
     if (!machine.sparse_since) fleet_.set(machine, &Machine::sparse_since, {now});
-    if (machine.clearing ||
-        (now - *machine.sparse_since >= to_duration(settings_.tuning.clearing_wait) &&
+    if (machine.draining ||
+        (now - *machine.sparse_since >= to_duration(settings_.tuning.consolidation_wait) &&
          starts_.placeable(machine, now)))
       sparse.push_back(&machine);
   }
-  out_.looked_at(fleet_.all().size());
+  out_.note_inspections(fleet_.all().size());
   for (const auto& [id, job] : jobs_)
     if (job.service()) moving += job.waiting.size();
   const auto most = std::max<std::size_t>(1, replicas / kReplicasPerMove);
   // Those being cleared come first, then those with the fewest replicas.
   std::stable_sort(sparse.begin(), sparse.end(), [](const Machine* a, const Machine* b) {
-    if (a->clearing != b->clearing) return a->clearing;
+    if (a->draining != b->draining) return a->draining;
     return a->tasks.size() < b->tasks.size();
   });
   for (auto* machine : sparse) {
@@ -87,15 +87,15 @@
       return true;
     });
     if (!all) {
-      fleet_.set(*machine, &Machine::clearing,
+      fleet_.set(*machine, &Machine::draining,
                  false);  // its replicas stay, and others may join them
       continue;
     }
-    fleet_.set(*machine, &Machine::clearing, true);
+    fleet_.set(*machine, &Machine::draining, true);
     for (auto& [key, assignment] : machine->tasks) {
       if (moving >= most) return;
       if (assignment.stop) continue;
-      orders_.stop(*machine, assignment, now);
+      commands_.stop(*machine, assignment, now);
       ++moving;
     }
   }
--- a/src/core/replicas.hpp
+++ b/src/core/replicas.hpp
@@ -12,12 +12,12 @@
 class Replicas {
  public:
   Replicas(const ControllerSettings& settings, Outbox& out, Fleet& fleet, const Jobs& jobs,
-           Orders& orders, const Starts& starts, const Bindings& bindings)
+           CommandDispatcher& orders, const Starts& starts, const Bindings& bindings)
       : settings_(settings),
         out_(out),
         fleet_(fleet),
         jobs_(jobs),
-        orders_(orders),
+        commands_(orders),
         starts_(starts),
         bindings_(bindings) {}
 
@@ -37,7 +37,7 @@
   Outbox& out_;
   Fleet& fleet_;
   const Jobs& jobs_;
-  Orders& orders_;
+  CommandDispatcher& commands_;
   const Starts& starts_;
   const Bindings& bindings_;
   TimePoint last_gather_{};
