--- a/src/core/reports.cpp
+++ b/src/core/reports.cpp
@@ -7,12 +7,12 @@
 using std::chrono::milliseconds;
 
 namespace {
-constexpr milliseconds kOrdersRetry{1000};
+constexpr milliseconds kCommandRetry{1000};
 constexpr milliseconds kAskRetry{100};
 constexpr Seconds kFirstPause{2};
 }  // namespace
 
-void Reports::take_in(const WorkerReport& report, Said said, TimePoint now) {
+void HeartbeatHandler::handle(const Heartbeat& report, HeartbeatSource said, TimePoint now) {
   if (report.token > token_) {
     out_.push_back(Resign{"worker " + report.machine + " has seen a higher token", false});
     return;
@@ -23,22 +23,23 @@
     if (registry_.was_released(report.machine)) return;
     known = &fleet_.add(report.machine);
     known->since = now;
-    reckoning_.count(&Squared::unregistered);
+    reconciler_.count(&ReconciliationStats::unregistered);
   }
   auto& machine = *known;
-  if (std::pair(report.session, report.sequence) <= std::pair(machine.session, machine.sequence))
-    return reckoning_.count(&Squared::late);
-  if (machine.session != 0 && report.session > machine.session) {
-    reckoning_.count(&Squared::new_sessions);
+  if (std::pair(report.epoch, report.heartbeat_sequence) <=
+      std::pair(machine.epoch, machine.heartbeat_sequence))
+    return reconciler_.count(&ReconciliationStats::late);
+  if (machine.epoch != 0 && report.epoch > machine.epoch) {
+    reconciler_.count(&ReconciliationStats::new_sessions);
     assignments_.lose_all(machine, now);
-    contact_.new_session(machine);
+    failure_detector_.agent_restarted(machine);
   }
-  fleet_.touch(machine);
-  if (report.session > machine.session) machine.in_doubt.clear();
+  fleet_.before_change(machine);
+  if (report.epoch > machine.epoch) machine.in_doubt_attempts.clear();
   const bool first = !machine.up();
-  machine.session = report.session;
-  machine.sequence = report.sequence;
-  contact_.heard(machine, said, now);
+  machine.epoch = report.epoch;
+  machine.heartbeat_sequence = report.heartbeat_sequence;
+  failure_detector_.record_heartbeat(machine, said, now);
   const bool moved =
       machine.type != report.type || machine.zone != report.zone || machine.spot != report.spot;
   if (machine.registered && machine.endpoint != report.endpoint) machine.registered = false;
@@ -51,24 +52,24 @@
   }
   if (first) {
     machine.up_since = now;
-    orders_.want(machine);
+    commands_.want(machine);
   }
   if (report.token == token_ && !machine.confirmed) {
     machine.confirmed = true;
-    contact_.arrived(machine, now);  // our token did
-    recovery_.accounted(machine.id);
+    failure_detector_.record_acknowledgement(machine, now);  // our token did
+    recovery_.confirm(machine.id);
     out_.want_placing();
   }
   // One that nobody waits for and that does not know us may be the copy of a report of a machine
   // that an older leader returned: neither a place for work, nor one that the next leader should
   // wait for, nor one that what it lists is on. Until it answers, only what ended is believed.
-  const bool known_truth = machine.confirmed || recovery_.waits_for(machine.id);
+  const bool known_truth = machine.confirmed || recovery_.is_unconfirmed(machine.id);
   if (machine.confirmed && !machine.registered && !machine.registering) registry_.save(machine);
   if (report.notice && !machine.notice_ends) {
     machine.notice_ends = now + to_duration(*report.notice);
     for (auto& [key, assignment] : machine.tasks)
       if (now + to_duration(remaining_of(assignment, now)) > *machine.notice_ends)
-        orders_.stop_saving(machine, key, assignment, *report.notice, now);
+        commands_.stop_with_checkpoint(machine, key, assignment, *report.notice, now);
     out_.want_placing();
   }
 
@@ -87,28 +88,28 @@
   for (const auto& key : gone) {
     // A machine that came back without its tasks may yet be sent a start that was held on its way,
     // and would run it anew. So it is started there again, where that start has no effect then.
-    if (machine.in_doubt.contains(machine.tasks.at(key).attempt)) {
+    if (machine.in_doubt_attempts.contains(machine.tasks.at(key).attempt)) {
       assignments_.unseen(machine, key, now);
       continue;
     }
-    const bool abandoned = machine.tasks.at(key).abandoned;
+    const bool orphaned = machine.tasks.at(key).orphaned;
     assignments_.drop(machine, key, now);
-    if (!abandoned) assignments_.lost(key);
+    if (!orphaned) assignments_.lost(key);
     out_.want_placing();
   }
   for (const auto& entry : report.tasks)
-    if (known_truth || entry.state == TaskState::exited) absorb_task(machine, entry, now);
-  if (known_truth) recovery_.note_foreign(machine, now);
+    if (known_truth || entry.state == TaskState::exited) update_assignment(machine, entry, now);
+  if (known_truth) recovery_.update_unknown_tasks(machine, now);
 }
 
-void Reports::absorb_task(Machine& machine, const TaskReport& entry, TimePoint now) {
+void HeartbeatHandler::update_assignment(Machine& machine, const TaskStatus& entry, TimePoint now) {
   const auto found = machine.tasks.find(entry.task);
   if (found == machine.tasks.end() || found->second.attempt != entry.attempt)
     return adopt(machine, entry, now);
   auto& assignment = found->second;
-  if (!assignment.seen) contact_.arrived(machine, now);  // its start did
+  if (!assignment.seen) failure_detector_.record_acknowledgement(machine, now);  // its start did
   assignment.seen = true;
-  if (entry.state == TaskState::exited) return absorb_exit(machine, entry, now);
+  if (entry.state == TaskState::exited) return handle_task_exit(machine, entry, now);
   assignment.state = entry.state;
   if (entry.state == TaskState::running && !assignment.running_since) {
     const auto found_job = jobs_.find(entry.task.job);
@@ -118,16 +119,16 @@
   }
 }
 
-void Reports::adopt(Machine& machine, const TaskReport& entry, TimePoint now) {
+void HeartbeatHandler::adopt(Machine& machine, const TaskStatus& entry, TimePoint now) {
   const auto found = jobs_.find(entry.task.job);
   if (found == jobs_.end() || entry.task.index >= found->second.tasks.size())
-    return reckoning_.count(&Squared::of_no_job);
+    return reconciler_.count(&ReconciliationStats::of_no_job);
   auto& job = found->second;
-  jobs_.touch(job);
+  jobs_.before_change(job);
   auto& task = job.tasks[entry.task.index];
   if (entry.state == TaskState::exited) {
     if (entry.cause == ExitCause::done && task.phase == Phase::waiting && !job.service()) {
-      reckoning_.count(&Squared::ended);
+      reconciler_.count(&ReconciliationStats::ended);
       if (job.gang()) return gangs_.done(job);
       jobs_.task_done(job, entry.task.index);
       jobs_.progress_changed(job, entry.task.index);
@@ -136,11 +137,11 @@
   }
   // A second copy: commands_for stops it.
   if (task.phase != Phase::waiting)
-    return reckoning_.count(task.phase == Phase::done ? &Squared::stored_done
-                                                      : &Squared::second_copies);
-  reckoning_.count(&Squared::adopted);
-  auto assignment =
-      assignment_of(job.spec(), entry.attempt, outlooks_.estimate_left(job, entry.task.index), now);
+    return reconciler_.count(task.phase == Phase::done ? &ReconciliationStats::stored_done
+                                                       : &ReconciliationStats::second_copies);
+  reconciler_.count(&ReconciliationStats::adopted);
+  auto assignment = assignment_of(job.spec(), entry.attempt,
+                                  forecaster_.estimate_left(job, entry.task.index), now);
   assignment.state = entry.state;
   assignment.seen = true;
   if (entry.state == TaskState::running) {
@@ -159,14 +160,14 @@
   }
 }
 
-void Reports::absorb_exit(Machine& machine, const TaskReport& entry, TimePoint now) {
+void HeartbeatHandler::handle_task_exit(Machine& machine, const TaskStatus& entry, TimePoint now) {
   const auto assignment = machine.tasks.at(entry.task);
   assignments_.drop(machine, entry.task, now, entry.stored);
   out_.want_placing();
   const auto found = jobs_.find(entry.task.job);
   if (found == jobs_.end()) return;
   auto& job = found->second;
-  jobs_.touch(job);
+  jobs_.before_change(job);
   const auto index = entry.task.index;
   if (entry.cause == ExitCause::done && job.service()) {
     // A replica runs until its job is cancelled; one that ends by itself is replaced, with a pause.
@@ -188,12 +189,12 @@
   job.set_waiting(index);
   if (job.gang()) jobs_.note_broken(entry.task.job);
   if (entry.cause == ExitCause::error) task_failed(machine, job, now);
-  if (entry.cause == ExitCause::unknown || entry.cause == ExitCause::no_room ||
+  if (entry.cause == ExitCause::unknown || entry.cause == ExitCause::no_capacity ||
       entry.cause == ExitCause::busy)
     job.backoff_until = std::max(job.backoff_until, now + std::chrono::seconds(1));
 }
 
-void Reports::task_failed(Machine& machine, Job& job, TimePoint now) {
+void HeartbeatHandler::task_failed(Machine& machine, Job& job, TimePoint now) {
   ++job.failures;
   job.failed_on.insert(machine.id);
   job.last_failure = now;
@@ -213,7 +214,7 @@
 
 // The pause grows with each try, of one task by then: with all of them each try cost as much as the
 // first.
-void Reports::all_failed(Job& job, TimePoint now) {
+void HeartbeatHandler::all_failed(Job& job, TimePoint now) {
   const auto pause = std::clamp(job.pause * 2, kFirstPause, kLongestPause);
   if (pause > job.pause) out_.push_back(JobSuspected{job.spec().id, job.failed_on.size(), pause});
   job.suspected = true;
@@ -221,39 +222,42 @@
   job.backoff_until = now + to_duration(pause);
 }
 
-void Reports::orders_answered(const MachineId& id, const WorkerReport* answer, TimePoint now) {
+void HeartbeatHandler::commands_answered(const MachineId& id, const Heartbeat* answer,
+                                         TimePoint now) {
   auto* machine = fleet_.find(id);
   if (machine == nullptr) return;
-  orders_.answered(*machine, answer != nullptr, now);
+  commands_.answered(*machine, answer != nullptr, now);
   if (answer == nullptr) {
-    contact_.missed(*machine, machine->orders_sent);
-    machine->in_doubt.insert(machine->starts_in_flight.begin(), machine->starts_in_flight.end());
+    failure_detector_.record_missed_response(*machine, machine->commands_sent_at);
+    machine->in_doubt_attempts.insert(machine->starts_in_flight.begin(),
+                                      machine->starts_in_flight.end());
     // One that is waited for is asked once more at once, so that a lost packet is told from a dead
     // machine.
-    const bool first = machine->unanswered == 1 && recovery_.waits_for(id);
-    machine->next_orders = now + (first ? kAskRetry : kOrdersRetry);
-    orders_.want(*machine);
+    const bool first = machine->unanswered_commands == 1 && recovery_.is_unconfirmed(id);
+    machine->next_commands_at = now + (first ? kAskRetry : kCommandRetry);
+    commands_.want(*machine);
     return;
   }
   const bool was_confirmed = machine->confirmed;
-  take_in(*answer, Said::answer, now);
+  handle(*answer, HeartbeatSource::answer, now);
   machine = fleet_.find(id);
   if (machine == nullptr) return;
   // It came back on the connection that we opened. An answer that a later report has overtaken
   // shows the same.
-  contact_.arrived(*machine, now);
+  failure_detector_.record_acknowledgement(*machine, now);
   out_.want_placing();
   if (!machine->confirmed) {
-    machine->next_orders = now + milliseconds(50);
-    orders_.want(*machine);
+    machine->next_commands_at = now + milliseconds(50);
+    commands_.want(*machine);
     return;
   }
-  const auto left = orders_.commands_for(*machine, true);
-  const bool urgent = std::any_of(left.begin(), left.end(),
-                                  [](const Command& c) { return c.verb != Verb::forget; });
+  const auto left = commands_.commands_for(*machine, true);
+  const bool urgent = std::any_of(left.begin(), left.end(), [](const Command& c) {
+    return c.type != CommandType::acknowledge;
+  });
   if (urgent) {
-    orders_.want(*machine);
-    machine->next_orders = was_confirmed ? now + milliseconds(500) : now;
+    commands_.want(*machine);
+    machine->next_commands_at = was_confirmed ? now + milliseconds(500) : now;
   }
 }
 
--- a/src/core/reports.hpp
+++ b/src/core/reports.hpp
@@ -10,38 +10,41 @@
 
 namespace violetpulley::core {
 
-class Reports {
+class HeartbeatHandler {
  public:
-  Reports(const ControllerSettings& settings, Outbox& out, const Catalog& catalog, Fleet& fleet,
-          Contact& contact, Jobs& jobs, Estimator& estimator, const Outlooks& outlooks,
-          Recovery& recovery, Reckoning& reckoning, Registry& registry, Orders& orders,
-          Assignments& assignments, Gangs& gangs, Token token)
+  HeartbeatHandler(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
+                   Fleet& fleet, FailureDetector& contact, Jobs& jobs, Estimator& estimator,
+                   const DeadlineForecaster& forecaster, Recovery& recovery, Reconciler& reconciler,
+                   Registry& registry, CommandDispatcher& orders, Assignments& assignments,
+                   Gangs& gangs, FencingToken token)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
         fleet_(fleet),
-        contact_(contact),
+        failure_detector_(contact),
         jobs_(jobs),
         estimator_(estimator),
-        outlooks_(outlooks),
+        forecaster_(forecaster),
         recovery_(recovery),
-        reckoning_(reckoning),
+        reconciler_(reconciler),
         registry_(registry),
-        orders_(orders),
+        commands_(orders),
         assignments_(assignments),
         gangs_(gangs),
         token_(token) {}
 
   // A report of the worker's own.
-  void report(const WorkerReport& report, TimePoint now) { take_in(report, Said::report, now); }
+  void report(const Heartbeat& report, TimePoint now) {
+    handle(report, HeartbeatSource::report, now);
+  }
   // `answer`: null if none came.
-  void orders_answered(const MachineId& id, const WorkerReport* answer, TimePoint now);
+  void commands_answered(const MachineId& id, const Heartbeat* answer, TimePoint now);
 
  private:
-  void take_in(const WorkerReport& report, Said said, TimePoint now);
-  void absorb_task(Machine& machine, const TaskReport& entry, TimePoint now);
-  void absorb_exit(Machine& machine, const TaskReport& entry, TimePoint now);
-  void adopt(Machine& machine, const TaskReport& entry, TimePoint now);
+  void handle(const Heartbeat& report, HeartbeatSource said, TimePoint now);
+  void update_assignment(Machine& machine, const TaskStatus& entry, TimePoint now);
+  void handle_task_exit(Machine& machine, const TaskStatus& entry, TimePoint now);
+  void adopt(Machine& machine, const TaskStatus& entry, TimePoint now);
   void task_failed(Machine& machine, Job& job, TimePoint now);
   void all_failed(Job& job, TimePoint now);
 
@@ -49,17 +52,17 @@
   Outbox& out_;
   const Catalog& catalog_;
   Fleet& fleet_;
-  Contact& contact_;
+  FailureDetector& failure_detector_;
   Jobs& jobs_;
   Estimator& estimator_;
-  const Outlooks& outlooks_;
+  const DeadlineForecaster& forecaster_;
   Recovery& recovery_;
-  Reckoning& reckoning_;
+  Reconciler& reconciler_;
   Registry& registry_;
-  Orders& orders_;
+  CommandDispatcher& commands_;
   Assignments& assignments_;
   Gangs& gangs_;
-  Token token_;
+  FencingToken token_;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/scaler.cpp
+++ b/src/core/scaler.cpp
@@ -15,8 +15,8 @@
          std::find(spec.types.begin(), spec.types.end(), type) != spec.types.end();
 }
 
-double rental_score(const Resources& used, const MachineType& type, double price,
-                    const Resources& smallest) {
+double offering_score(const Resources& used, const MachineType& type, double price,
+                      const Resources& smallest) {
   struct Dimension {
     double used;
     double capacity;
@@ -41,30 +41,32 @@
   return constraining->used / constraining->smallest / price;
 }
 
-Scaler::Scaler(std::vector<ScalerJob> leftovers, std::vector<RentalOption> options,
-               const MayRent& may_rent)
-    : leftovers_(std::move(leftovers)), options_(std::move(options)) {
+Scaler::Scaler(std::vector<ScalerJob> unplaced_tasks, std::vector<InstanceOffering> options,
+               const OfferingFilter& may_use_offering)
+    : unplaced_tasks_(std::move(unplaced_tasks)), options_(std::move(options)) {
   for (const auto& option : options_) {
     const auto& capacity = option.type->capacity;
     smallest_.cpus = std::min(smallest_.cpus, capacity.cpus);
     smallest_.memory_gb = std::min(smallest_.memory_gb, capacity.memory_gb);
     if (capacity.gpus > 0) smallest_.gpus = std::min(smallest_.gpus, capacity.gpus);
     std::vector<bool> rentable;
-    for (const auto& job : leftovers_)
+    for (const auto& job : unplaced_tasks_)
       rentable.push_back(allowed_on(*job.spec, option.type->name, option.zone, option.spot) &&
-                         job.spec->per_task.fits_in(capacity) && may_rent(*job.spec, option));
+                         job.spec->per_task.fits_in(capacity) &&
+                         may_use_offering(*job.spec, option));
     rentable_.push_back(std::move(rentable));
   }
 }
 
-std::size_t Scaler::most_in(const ScalerJob& job, const std::string& zone) {
-  if (job.zone_room.empty()) return job.tasks.size();
-  const auto room = job.zone_room.find(zone);
-  return room == job.zone_room.end() ? 0 : std::min<std::size_t>(job.tasks.size(), room->second);
+std::size_t Scaler::max_tasks_in(const ScalerJob& job, const std::string& zone) {
+  if (job.zone_capacity.empty()) return job.tasks.size();
+  const auto room = job.zone_capacity.find(zone);
+  return room == job.zone_capacity.end() ? 0
+                                         : std::min<std::size_t>(job.tasks.size(), room->second);
 }
 
-std::optional<RentalChoice> Scaler::choose() const {
-  std::optional<RentalChoice> best;
+std::optional<ScaleOutChoice> Scaler::choose() const {
+  std::optional<ScaleOutChoice> best;
   for (std::size_t at = 0; at < options_.size(); ++at) {
     const auto& option = options_[at];
     // The groups for this option grow by the next longest task that fits and may run there; a
@@ -72,40 +74,40 @@
     std::vector<GroupPart> group;
     Resources used;
     bool full = false;
-    for (std::size_t i = 0; i < leftovers_.size() && !full; ++i) {
-      const auto& job = leftovers_[i];
+    for (std::size_t i = 0; i < unplaced_tasks_.size() && !full; ++i) {
+      const auto& job = unplaced_tasks_[i];
       if (job.tasks.empty() || !rentable_[at][i]) continue;
       group.push_back({i, 0});
-      const auto most = most_in(job, option.zone);
+      const auto most = max_tasks_in(job, option.zone);
       for (std::size_t n = 0; n < most; ++n) {
         const auto grown = used + job.spec->per_task;
         full = !grown.fits_in(option.type->capacity);
         if (full) break;
         used = grown;
         ++group.back().tasks;
-        const double score = rental_score(used, *option.type, option.price, smallest_);
-        if (!best || score > best->score * (1 + 1e-9)) best = RentalChoice{at, group, score};
+        const double score = offering_score(used, *option.type, option.price, smallest_);
+        if (!best || score > best->score * (1 + 1e-9)) best = ScaleOutChoice{at, group, score};
       }
     }
   }
   return best;
 }
 
-std::vector<TaskKey> Scaler::take(const RentalChoice& choice) {
+std::vector<TaskKey> Scaler::take(const ScaleOutChoice& choice) {
   std::vector<TaskKey> out;
   for (const auto& part : choice.group) {
-    auto& job = leftovers_[part.job];
+    auto& job = unplaced_tasks_[part.job];
     for (std::size_t n = 0; n < part.tasks; ++n) {
       out.push_back({job.spec->id, job.tasks.back()});
       job.tasks.pop_back();
     }
-    if (!job.zone_room.empty())
-      job.zone_room[options_[choice.option].zone] -= static_cast<TaskIndex>(part.tasks);
+    if (!job.zone_capacity.empty())
+      job.zone_capacity[options_[choice.option].zone] -= static_cast<TaskIndex>(part.tasks);
   }
   return out;
 }
 
-void Scaler::exhaust(const RentalChoice& choice) {
+void Scaler::exhaust(const ScaleOutChoice& choice) {
   const auto unit_price = [&](std::size_t at) {
     const auto& capacity = options_[at].type->capacity;
     return options_[at].price / std::max(capacity.cpus, 1e-9);
@@ -117,9 +119,9 @@
       if (served[job] && (at == choice.option || unit_price(at) > most)) rentable_[at][job] = false;
 }
 
-bool Scaler::repeats(const RentalChoice& choice) const {
+bool Scaler::repeats(const ScaleOutChoice& choice) const {
   return std::all_of(choice.group.begin(), choice.group.end(), [&](const GroupPart& part) {
-    return most_in(leftovers_[part.job], options_[choice.option].zone) >= part.tasks;
+    return max_tasks_in(unplaced_tasks_[part.job], options_[choice.option].zone) >= part.tasks;
   });
 }
 
--- a/src/core/scaler.hpp
+++ b/src/core/scaler.hpp
@@ -16,10 +16,11 @@
   const JobSpec* spec = nullptr;
   Seconds estimate{0};
   std::vector<TaskIndex> tasks;
-  std::map<std::string, TaskIndex> zone_room{};  // how many more a zone may take; empty: any number
+  std::map<std::string, TaskIndex>
+      zone_capacity{};  // how many more a zone may take; empty: any number
 };
 
-struct RentalOption {
+struct InstanceOffering {
   const MachineType* type = nullptr;
   std::string zone;
   bool spot = false;
@@ -31,7 +32,7 @@
   std::size_t tasks = 0;
 };
 
-struct RentalChoice {
+struct ScaleOutChoice {
   std::size_t option = 0;  // index into the options
   std::vector<GroupPart> group;
   double score = 0;
@@ -40,38 +41,42 @@
 // Whether a task may run on what the option rents.
 bool allowed_on(const JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
 
-double rental_score(const Resources& used, const MachineType& type, double price,
-                    const Resources& smallest);
+double offering_score(const Resources& used, const MachineType& type, double price,
+                      const Resources& smallest);
 
 // Further reasons not to rent an option for a job.
-using MayRent = std::function<bool(const JobSpec&, const RentalOption&)>;
+using OfferingFilter = std::function<bool(const JobSpec&, const InstanceOffering&)>;
 
 class Scaler {
  public:
   // How many tasks of a job may go to a zone.
-  static std::size_t most_in(const ScalerJob& job, const std::string& zone);
+  static std::size_t max_tasks_in(const ScalerJob& job, const std::string& zone);
 
   // `leftovers` are sorted by falling estimate.
   Scaler(
-      std::vector<ScalerJob> leftovers, std::vector<RentalOption> options,
-      const MayRent& may_rent = [](const JobSpec&, const RentalOption&) { return true; });
+      std::vector<ScalerJob> unplaced_tasks, std::vector<InstanceOffering> options,
+      const OfferingFilter& may_use_offering = [](const JobSpec&, const InstanceOffering&) {
+        return true;
+      });
 
   // The best pair of group and option, or none.
-  std::optional<RentalChoice> choose() const;
+  std::optional<ScaleOutChoice> choose() const;
   // Takes the tasks of one such group off the leftovers.
-  std::vector<TaskKey> take(const RentalChoice& choice);
+  std::vector<TaskKey> take(const ScaleOutChoice& choice);
   // Whether the same choice could be made once more: then it is still the best one.
-  bool repeats(const RentalChoice& choice) const;
+  bool repeats(const ScaleOutChoice& choice) const;
 
   // No more of this option in this round. What would have used it waits for the next one, unless
   // an option as cheap remains: it must not go to a dearer one only because one request is full.
-  void exhaust(const RentalChoice& choice);
+  void exhaust(const ScaleOutChoice& choice);
 
-  const RentalOption& option(const RentalChoice& choice) const { return options_[choice.option]; }
+  const InstanceOffering& option(const ScaleOutChoice& choice) const {
+    return options_[choice.option];
+  }
 
  private:
-  std::vector<ScalerJob> leftovers_;
-  std::vector<RentalOption> options_;
+  std::vector<ScalerJob> unplaced_tasks_;
+  std::vector<InstanceOffering> options_;
   std::vector<std::vector<bool>> rentable_;  // by option and job
   Resources smallest_{1e18, 1e18, 1e18};
 };
--- a/src/core/scarcity.cpp
+++ b/src/core/scarcity.cpp
@@ -5,11 +5,11 @@
 namespace violetpulley::core {
 
 namespace {
-constexpr std::chrono::minutes kNarrowRemembered{5};
+constexpr std::chrono::minutes kExclusiveDemandMemory{5};
 constexpr std::size_t kTasksPerPlaceIfScarce = 8;
 }  // namespace
 
-void Scarcity::note_narrow_types(TimePoint now) {
+void Scarcity::note_exclusive_types(TimePoint now) {
   if (catalog_.types().size() > 1)
     for (const auto& [id, job] : jobs_) {
       const auto fits = [&](const auto& entry) {
@@ -18,16 +18,17 @@
       const auto fitting = std::count_if(catalog_.types().begin(), catalog_.types().end(), fits);
       if (fitting == 0 || static_cast<std::size_t>(fitting) == catalog_.types().size()) continue;
       for (const auto& entry : catalog_.types())
-        if (fits(entry)) narrow_types_[entry.first] = now;
+        if (fits(entry)) exclusive_types_[entry.first] = now;
     }
-  std::erase_if(narrow_types_,
-                [&](const auto& entry) { return now - entry.second > kNarrowRemembered; });
+  std::erase_if(exclusive_types_,
+                [&](const auto& entry) { return now - entry.second > kExclusiveDemandMemory; });
 }
 
 bool Scarcity::reserved_for_others(const JobSpec& spec, const std::string& type) const {
-  if (!narrow_types_.contains(type)) return false;
+  if (!exclusive_types_.contains(type)) return false;
   return std::any_of(catalog_.types().begin(), catalog_.types().end(), [&](const auto& entry) {
-    return !narrow_types_.contains(entry.first) && spec.per_task.fits_in(entry.second.capacity) &&
+    return !exclusive_types_.contains(entry.first) &&
+           spec.per_task.fits_in(entry.second.capacity) &&
            (spec.types.empty() ||
             std::find(spec.types.begin(), spec.types.end(), entry.first) != spec.types.end());
   });
@@ -35,7 +36,7 @@
 
 std::vector<std::string> Scarcity::types_for_others(const JobSpec& spec) const {
   std::vector<std::string> types;
-  for (const auto& [name, since] : narrow_types_)
+  for (const auto& [name, since] : exclusive_types_)
     if (reserved_for_others(spec, name)) types.push_back(name);
   return types;
 }
--- a/src/core/scarcity.hpp
+++ b/src/core/scarcity.hpp
@@ -14,29 +14,31 @@
 
   // Exception to the design: types that some jobs' tasks cannot do without are left to those by
   // tasks that fit another type.
-  void note_narrow_types(TimePoint now);
+  void note_exclusive_types(TimePoint now);
   bool reserved_for_others(const JobSpec& spec, const std::string& type) const;
   std::vector<std::string> types_for_others(const JobSpec& spec) const;
 
   void note_jobs();
-  void note_waiting(bool narrow) { narrow_waits_ = narrow; }
+  void note_waiting(bool exclusive) { exclusive_demand_waiting_ = exclusive; }
   void note_places(std::size_t waiting, std::size_t places);
 
-  bool narrow_waits() const { return narrow_waits_; }  // some waiting task does not fit every type
+  bool exclusive_demand_waiting() const {
+    return exclusive_demand_waiting_;
+  }  // some waiting task does not fit every type
   bool ordinary_work() const { return ordinary_work_; }  // some job may not use spot machines
   bool gangs() const { return gangs_; }                  // some job is a gang
   bool places_scarce() const { return scarce_; }         // many tasks wait for each free place
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.narrow_types_, s.narrow_waits_, s.ordinary_work_, s.gangs_, s.scarce_);
+    f(s.exclusive_types_, s.exclusive_demand_waiting_, s.ordinary_work_, s.gangs_, s.scarce_);
   }
 
  private:
   const Catalog& catalog_;
   const Jobs& jobs_;
-  std::map<std::string, TimePoint> narrow_types_;  // types that some tasks cannot do without
-  bool narrow_waits_ = false;
+  std::map<std::string, TimePoint> exclusive_types_;  // types that some tasks cannot do without
+  bool exclusive_demand_waiting_ = false;
   bool ordinary_work_ = false;
   bool gangs_ = false;
   bool scarce_ = false;
--- a/src/core/settings.hpp
+++ b/src/core/settings.hpp
@@ -8,8 +8,8 @@
 
 namespace violetpulley::core {
 
-inline constexpr double kRentalsShare = 0.65;  // of the cloud calls
-inline constexpr double kReleasesShare = 0.5;  // both rarely want all of theirs at once
+inline constexpr double kScaleOutCallShare = 0.65;  // of the cloud calls
+inline constexpr double kScaleInCallShare = 0.5;    // both rarely want all of theirs at once
 
 // The operators' aim for a class of jobs: done within this time after submission.
 struct FinishAim {
@@ -44,28 +44,28 @@
   WallTime wall_at_start{};  // the time of day that belongs to the start's steady time
   // Off for one that gave up for that lately: if the others heard nothing either, the machines are
   // gone, and somebody has to wait until their leases have run out.
-  bool resigns_when_deaf = true;
+  bool resigns_when_isolated = true;
   SocketBudget sockets{};
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.teams, s.workers, s.tuning, s.cloud_calls_per_s, s.list_lag, s.aims, s.late_aims,
-      s.wall_at_start, s.resigns_when_deaf, s.sockets);
+      s.wall_at_start, s.resigns_when_isolated, s.sockets);
   }
 };
 
 // What a takeover reads from the store.
-struct Inheritance {
+struct RecoveredState {
   std::vector<MachineRecord> machines;
   std::vector<JobRecord> jobs;
   std::vector<ProgressRecord> progress;
-  Beliefs beliefs;
+  LearnedState learned_state;
   std::vector<PlacementRecord> placements;
   bool placements_marked = false;  // the records tell of every start of gangs and services
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.machines, s.jobs, s.progress, s.beliefs, s.placements, s.placements_marked);
+    f(s.machines, s.jobs, s.progress, s.learned_state, s.placements, s.placements_marked);
   }
 };
 
--- a/src/core/standing.cpp
+++ b/src/core/standing.cpp
@@ -10,31 +10,32 @@
 namespace {
 // Of the time in which a job must begin, the part after which it stands ahead: the rest is for a
 // place that has to run free, an image and a boot.
-constexpr double kStandsAfter = 0.4;
-constexpr double kLeadEvery = 8;  // starts, one of them ahead of the others
-constexpr double kMostCredit = 16;
+constexpr double kStarvingAfter = 0.4;
+constexpr double kStartsPerStartAhead = 8;  // starts, one of them ahead of the others
+constexpr double kMaxCredit = 16;
 constexpr double kLargest = 0.9;     // the largest tenth of a class's open jobs
 constexpr double kGivenUpAfter = 2;  // it could not be helped, and leaves its place to the next
 }  // namespace
 
-bool Standing::due(const Job& job, TimePoint now) const {
-  const auto age = outlooks_.age(job, now);
+bool StarvationGuard::starving(const Job& job, TimePoint now) const {
+  const auto age = forecaster_.age(job, now);
   const auto within = settings_.tuning.begin_within;
-  return !job.begun && age > within * kStandsAfter && age < within * kGivenUpAfter;
+  return !job.begun && age > within * kStarvingAfter && age < within * kGivenUpAfter;
 }
 
-bool Standing::stands_whole(const Job& job, TimePoint now) const {
+bool StarvationGuard::prioritized_whole(const Job& job, TimePoint now) const {
   const auto largest = largest_.find(job.spec().job_class);
   return !job.gang() && !job.service() && largest != largest_.end() &&
          job.tasks.size() >= largest->second &&
-         outlooks_.age(job, now) > settings_.tuning.begin_within * kStandsAfter;
+         forecaster_.age(job, now) > settings_.tuning.begin_within * kStarvingAfter;
 }
 
-void Standing::started(bool ahead) {
-  credit_ = ahead ? std::max(0.0, credit_ - 1) : std::min(kMostCredit, credit_ + 1 / kLeadEvery);
+void StarvationGuard::started(bool ahead) {
+  credit_ =
+      ahead ? std::max(0.0, credit_ - 1) : std::min(kMaxCredit, credit_ + 1 / kStartsPerStartAhead);
 }
 
-void Standing::new_round() {
+void StarvationGuard::new_round() {
   blocked_teams_.clear();
   largest_.clear();
   std::map<std::string, std::vector<TaskIndex>> sizes;
@@ -50,9 +51,9 @@
 // What the team may use beside what it has running for good. A job that does not fit into that
 // cannot be helped: found by seed 692 of Operations, where a gang of the size of its team's limit
 // held up the team for ever, since replicas of the same team ran.
-bool Standing::fits_in_time(const Job& job, std::size_t tasks) const {
+bool StarvationGuard::fits_in_time(const Job& job, std::size_t tasks) const {
   const auto& spec = job.spec();
-  auto room = starts_.room_of(spec.team);
+  auto room = starts_.quota_left(spec.team);
   if (!room) return false;
   for (const auto& [id, machine] : fleet_.all())
     for (const auto& [key, assignment] : machine.tasks)
@@ -61,31 +62,33 @@
   return (spec.per_task * static_cast<double>(tasks)).fits_in(*room);
 }
 
-void Standing::passed(const Job& job, TimePoint now) {
+void StarvationGuard::note_not_started(const Job& job, TimePoint now) {
   const auto tasks = job.gang() ? job.waiting.size() : 1;
   if (job.begun || starts_.within_limit(job.spec(), tasks)) return;
   if (!fits_in_time(job, tasks)) return;
-  auto& left = limits_left_[job.spec().team];
-  if (now - left.last > kTurn) left.since = now;
-  if (now - left.since >= kKeptFor) return;
+  auto& left = yielded_quotas_[job.spec().team];
+  if (now - left.last > kReservationPause) left.since = now;
+  if (now - left.since >= kReservationTime) return;
   left.last = now;
   blocked_teams_.insert(job.spec().team);
 }
 
-void Standing::let_go() {
-  if (auto* machine = fleet_.find(held_); machine != nullptr && machine->reserved_for == held_for_)
+void StarvationGuard::release_reservation() {
+  if (auto* machine = fleet_.find(reserved_machine_);
+      machine != nullptr && machine->reserved_for == reserved_for_job_)
     fleet_.set(*machine, &Machine::reserved_for, JobId{});
-  held_.clear();
-  held_for_.clear();
+  reserved_machine_.clear();
+  reserved_for_job_.clear();
 }
 
-bool Standing::waits(const Job& job, TimePoint now) const {
-  return due(job, now) && !job.gang() && now >= job.backoff_until && starts_.startable(job) > 0 &&
-         starts_.within_limit(job.spec());
+bool StarvationGuard::waits(const Job& job, TimePoint now) const {
+  return starving(job, now) && !job.gang() && now >= job.backoff_until &&
+         starts_.startable(job) > 0 && starts_.within_limit(job.spec());
 }
 
 // When what runs there has made room for one of its tasks, if nothing else starts.
-Seconds Standing::until_room(const Machine& machine, const JobSpec& spec, TimePoint now) const {
+Seconds StarvationGuard::time_until_capacity(const Machine& machine, const JobSpec& spec,
+                                             TimePoint now) const {
   auto free = machine.free();
   if (spec.per_task.fits_in(free)) return Seconds(0);
   std::vector<std::pair<Seconds, const Assignment*>> ends;
@@ -103,19 +106,20 @@
   return kEndless;
 }
 
-void Standing::hold(const std::vector<Candidate>& queue, TimePoint now) {
-  if (!held_.empty()) {
-    const auto job = jobs_.find(held_for_);
-    const auto* machine = fleet_.find(held_);
+void StarvationGuard::reserve_machine(const std::vector<Candidate>& queue, TimePoint now) {
+  if (!reserved_machine_.empty()) {
+    const auto job = jobs_.find(reserved_for_job_);
+    const auto* machine = fleet_.find(reserved_machine_);
     const bool stays = job != jobs_.end() && waits(job->second, now) && machine != nullptr &&
-                       machine->reserved_for == held_for_ && starts_.placeable(*machine, now);
-    if (stays && now - held_since_ < kKeptFor) return;
-    let_go();
-    if (stays) rests_until_ = now + kTurn;
+                       machine->reserved_for == reserved_for_job_ &&
+                       starts_.placeable(*machine, now);
+    if (stays && now - reserved_since_ < kReservationTime) return;
+    release_reservation();
+    if (stays) no_reservation_before_ = now + kReservationPause;
   }
-  if (now < rests_until_) return;
+  if (now < no_reservation_before_) return;
   const auto first = std::find_if(queue.begin(), queue.end(), [&](const Candidate& candidate) {
-    return candidate.due && waits(*candidate.job, now);
+    return candidate.starving && waits(*candidate.job, now);
   });
   if (first == queue.end()) return;
   const auto& spec = first->job->spec();
@@ -128,16 +132,16 @@
     if (!starts_.placeable(machine, now) || !spec.per_task.fits_in(machine.capacity)) continue;
     if (!allowed_on(spec, machine.type, machine.zone, machine.spot)) continue;
     if (!zone_allowed(spec, zones, machine.zone)) continue;
-    const auto left = until_room(machine, spec, now);
+    const auto left = time_until_capacity(machine, spec, now);
     if (left >= least) continue;
     best = &machine;
     least = left;
   }
   if (best == nullptr) return;
-  held_ = best->id;
-  held_for_ = spec.id;
-  held_since_ = now;
-  fleet_.set(*best, &Machine::reserved_for, held_for_);
+  reserved_machine_ = best->id;
+  reserved_for_job_ = spec.id;
+  reserved_since_ = now;
+  fleet_.set(*best, &Machine::reserved_for, reserved_for_job_);
 }
 
 }  // namespace violetpulley::core
--- a/src/core/starts.cpp
+++ b/src/core/starts.cpp
@@ -12,7 +12,7 @@
   const auto found = use.find(zone);
   const TaskIndex here = found == use.end() ? 0 : found->second;
   if (spec.same_zone) return use.empty() || (use.size() == 1 && here > 0);
-  return !spec.spread || here + 1 <= most_in_zone(spec);
+  return !spec.spread || here + 1 <= max_tasks_in_zone(spec);
 }
 
 Seconds fetch_time(const JobSpec& spec, double gb_per_s) {
@@ -22,9 +22,10 @@
 bool Starts::placeable(const Machine& machine, TimePoint now) const {
   if (!machine.up() || !machine.confirmed || !machine.registered || machine.releasing) return false;
   // All that starts on a mute machine ends with its lease.
-  if (!reached(machine) || machine.mute_since) return false;
-  if (machine.clearing || machine.quarantined || machine.notice_ends) return false;
-  return machine.heard && now - *machine.heard < to_duration(settings_.tuning.silent_after);
+  if (!reached(machine) || machine.outbound_partition_since) return false;
+  if (machine.draining || machine.quarantined || machine.notice_ends) return false;
+  return machine.last_heartbeat &&
+         now - *machine.last_heartbeat < to_duration(settings_.tuning.silent_after);
 }
 
 bool Starts::within_limit(const JobSpec& spec, std::size_t tasks) const {
@@ -35,7 +36,7 @@
       .fits_in(limit_of(found->second));
 }
 
-std::optional<Resources> Starts::room_of(const std::string& team) const {
+std::optional<Resources> Starts::quota_left(const std::string& team) const {
   const auto found = catalog_.teams().find(team);
   if (found == catalog_.teams().end()) return std::nullopt;
   return limit_of(found->second) - fleet_.team_use(team) - recovery_.uncertain();
@@ -67,9 +68,9 @@
   if (!zone_allowed(spec, zone_use(job), machine.zone) || !within_limit(spec)) return false;
   const TaskKey key{spec.id, index};
   if (machine.tasks.contains(key)) return false;
-  fleet_.touch(machine);
-  jobs_.touch(job);
-  auto assignment = assignment_of(spec, attempt, outlooks_.estimate_left(job, index), now);
+  fleet_.before_change(machine);
+  jobs_.before_change(job);
+  auto assignment = assignment_of(spec, attempt, forecaster_.estimate_left(job, index), now);
   assignment.saved = job.tasks[job.gang() ? 0 : index].saved;
   if (image_rank(machine, spec.image) < 2)
     assignment.fetch = fetch_time(spec, machine.fetch_gb_per_s);
@@ -79,7 +80,7 @@
   fleet_.assign(machine, key, std::move(assignment));
   job.set_assigned(index, machine.id);
   machine.idle_since.reset();
-  orders_.want(machine);
+  commands_.want(machine);
   return true;
 }
 
--- a/src/core/starts.hpp
+++ b/src/core/starts.hpp
@@ -22,13 +22,14 @@
 class Starts {
  public:
   Starts(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet, Jobs& jobs,
-         Orders& orders, const Outlooks& outlooks, const Recovery& recovery, Token token)
+         CommandDispatcher& orders, const DeadlineForecaster& forecaster, const Recovery& recovery,
+         FencingToken token)
       : settings_(settings),
         catalog_(catalog),
         fleet_(fleet),
         jobs_(jobs),
-        orders_(orders),
-        outlooks_(outlooks),
+        commands_(orders),
+        forecaster_(forecaster),
         recovery_(recovery),
         // Attempts come from the token and a counter, so no two leaders ever choose the same one.
         next_attempt_((token << 24U) + 1) {}
@@ -46,7 +47,7 @@
   bool within_limit(const JobSpec& spec) const { return within_limit(spec, 1); }
   bool within_limit(const JobSpec& spec, std::size_t tasks) const;
   // What a team may still use; unknown teams may use nothing.
-  std::optional<Resources> room_of(const std::string& team) const;
+  std::optional<Resources> quota_left(const std::string& team) const;
   // Where every task of the job possibly is, for same_zone and spread; empty for other jobs.
   ZoneUse zone_use(const Job& job) const;
 
@@ -60,8 +61,8 @@
   const Catalog& catalog_;
   Fleet& fleet_;
   Jobs& jobs_;
-  Orders& orders_;
-  const Outlooks& outlooks_;
+  CommandDispatcher& commands_;
+  const DeadlineForecaster& forecaster_;
   const Recovery& recovery_;
   Attempt next_attempt_;
 };
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -17,7 +17,7 @@
 
 using JobId = std::string;
 using MachineId = std::string;
-using Token = std::uint64_t;
+using FencingToken = std::uint64_t;
 using Revision = std::uint64_t;
 using Attempt = std::uint64_t;
 using TaskIndex = std::uint32_t;
@@ -87,13 +87,13 @@
   bool spot_allowed = false;
   Seconds estimate{0};
   Seconds checkpoint_every{0};
-  Seconds save_time{0};
+  Seconds checkpoint_time{0};
   std::optional<Seconds> deadline;  // from submission
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.id, s.job_class, s.team, s.shape, s.priority, s.tasks, s.per_task, s.image, s.image_gb,
       s.types, s.zone, s.same_zone, s.spread, s.spot_allowed, s.estimate, s.checkpoint_every,
-      s.save_time, s.deadline);
+      s.checkpoint_time, s.deadline);
   }
 };
 
@@ -137,11 +137,11 @@
 };
 
 // What machines differ in when they are rented.
-struct OptionKey {
+struct OfferingKey {
   std::string type;
   std::string zone;
   bool spot = false;
-  friend auto operator<=>(const OptionKey&, const OptionKey&) = default;
+  friend auto operator<=>(const OfferingKey&, const OfferingKey&) = default;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -149,8 +149,18 @@
   }
 };
 
-enum class TaskState { fetching, waiting, running, saving, exited };
-enum class ExitCause { none, done, stopped, peers_gone, incomplete, error, no_room, busy, unknown };
+enum class TaskState { fetching, waiting, running, checkpointing, exited };
+enum class ExitCause {
+  none,
+  done,
+  stopped,
+  peers_gone,
+  incomplete,
+  error,
+  no_capacity,
+  busy,
+  unknown
+};
 
 struct TaskKey {
   JobId job;
@@ -162,47 +172,47 @@
   }
 };
 
-struct TaskReport {
+struct TaskStatus {
   TaskKey task;
   Attempt attempt = 0;
   TaskState state = TaskState::fetching;
   ExitCause cause = ExitCause::none;
   bool stored = false;  // its progress was saved when it was stopped
-  friend bool operator==(const TaskReport&, const TaskReport&) = default;
+  friend bool operator==(const TaskStatus&, const TaskStatus&) = default;
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.task, s.attempt, s.state, s.cause, s.stored);
   }
 };
 
-struct WorkerReport {
+struct Heartbeat {
   MachineId machine;
   std::string endpoint;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t session = 0;
-  std::uint64_t sequence = 0;
-  Token token = 0;
+  std::uint64_t epoch = 0;
+  std::uint64_t heartbeat_sequence = 0;
+  FencingToken token = 0;
   std::optional<Seconds> notice;
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.machine, s.endpoint, s.type, s.zone, s.spot, s.session, s.sequence, s.token, s.notice,
-      s.tasks);
+    f(s.machine, s.endpoint, s.type, s.zone, s.spot, s.epoch, s.heartbeat_sequence, s.token,
+      s.notice, s.tasks);
   }
 };
 
-enum class Verb { start, stop, forget };
+enum class CommandType { start, stop, acknowledge };
 
 struct Command {
-  Verb verb = Verb::start;
+  CommandType type = CommandType::start;
   TaskKey task;
   Attempt attempt = 0;
   Seconds grace{0};
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.verb, s.task, s.attempt, s.grace);
+    f(s.type, s.task, s.attempt, s.grace);
   }
 };
 
@@ -224,29 +234,30 @@
   Seconds bin_unit{1};
   Seconds round{2};
   Seconds quick_round{0.1};
-  Seconds clearing_wait{30};
-  double clearing_use = 0.5;
+  Seconds consolidation_wait{30};
+  double consolidation_threshold = 0.5;
   Seconds idle_wait{25};
   double boot_late_factor = 2.0;
-  Seconds refused_rest{15};
+  Seconds refused_cooldown{15};
   Seconds silent_after{7};
   Seconds lost_after{9};
-  Seconds lost_after_takeover{5};
+  Seconds lost_after_failover{5};
   bool bound_tasks_may_move = true;
   int quarantine_errors = 3;
-  Seconds dear_patience{40};
-  Seconds dear_idle_wait{10};
-  bool commit_starts = false;   // of gangs and services, before they are sent
-  std::size_t most_orders = 0;  // order lists under way; 0: as the sockets allow
-  double most_given_up = 0.25;  // of the machines, returned early after a takeover
-  double still_alive = 0.1;     // of machines that two asks did not reach
-  Seconds begin_within{240};    // the operators' word for every job, the largest too
+  Seconds on_demand_patience{40};
+  Seconds on_demand_idle_wait{10};
+  bool commit_starts = false;              // of gangs and services, before they are sent
+  std::size_t max_commands_in_flight = 0;  // order lists under way; 0: as the sockets allow
+  double most_given_up = 0.25;             // of the machines, returned early after a takeover
+  double still_alive = 0.1;                // of machines that two asks did not reach
+  Seconds begin_within{240};               // the operators' word for every job, the largest too
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.bin_unit, s.round, s.quick_round, s.clearing_wait, s.clearing_use, s.idle_wait,
-      s.boot_late_factor, s.refused_rest, s.silent_after, s.lost_after, s.lost_after_takeover,
-      s.bound_tasks_may_move, s.quarantine_errors, s.dear_patience, s.dear_idle_wait,
-      s.commit_starts, s.most_orders, s.most_given_up, s.still_alive, s.begin_within);
+    f(s.bin_unit, s.round, s.quick_round, s.consolidation_wait, s.consolidation_threshold,
+      s.idle_wait, s.boot_late_factor, s.refused_cooldown, s.silent_after, s.lost_after,
+      s.lost_after_failover, s.bound_tasks_may_move, s.quarantine_errors, s.on_demand_patience,
+      s.on_demand_idle_wait, s.commit_starts, s.max_commands_in_flight, s.most_given_up,
+      s.still_alive, s.begin_within);
   }
 };
 
--- a/src/history/describe.cpp
+++ b/src/history/describe.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-void add_report(Subjects& out, const core::WorkerReport& report) {
+void add_report(Subjects& out, const core::Heartbeat& report) {
   out.machines.push_back(report.machine);
   for (const auto& task : report.tasks) out.jobs.push_back(task.task.job);
 }
 
-std::string report_line(const core::WorkerReport& report) {
+std::string report_line(const core::Heartbeat& report) {
   std::map<std::string, int> states;
   for (const auto& task : report.tasks) {
     static constexpr const char* kStates[] = {"fetching", "waiting", "running", "saving", "exited"};
     ++states[kStates[static_cast<int>(task.state)]];
   }
   std::ostringstream out;
-  out << report.machine << " session " << report.session << " message " << report.sequence
+  out << report.machine << " session " << report.epoch << " message " << report.heartbeat_sequence
       << " token " << report.token;
   if (report.notice) out << " taken in " << report.notice->count() << " s";
   for (const auto& [state, count] : states) out << ", " << count << " " << state;
@@ -30,9 +30,9 @@
 std::string event_line(const core::Event& event) {
   std::ostringstream out;
   const auto visit = [&]<typename T>(const T& e) {
-    if constexpr (std::is_same_v<T, core::TakenOver>)
-      out << e.inheritance.jobs.size() << " jobs, " << e.inheritance.machines.size()
-          << " machines, beliefs about " << e.inheritance.beliefs.jobs.size() << " jobs";
+    if constexpr (std::is_same_v<T, core::LeaderElected>)
+      out << e.recovered.jobs.size() << " jobs, " << e.recovered.machines.size()
+          << " machines, beliefs about " << e.recovered.learned_state.jobs.size() << " jobs";
     else if constexpr (std::is_same_v<T, core::CatalogKnown>)
       out << e.types.size() << " types";
     else if constexpr (std::is_same_v<T, core::JobOpened>)
@@ -42,7 +42,7 @@
       out << e.id;
     else if constexpr (std::is_same_v<T, core::MachineReported>)
       out << report_line(e.report);
-    else if constexpr (std::is_same_v<T, core::OrdersAnswered>)
+    else if constexpr (std::is_same_v<T, core::CommandsAnswered>)
       out << e.machine << (e.report ? "" : " gave no answer");
     else if constexpr (std::is_same_v<T, core::MachineSaved>)
       out << e.id << (e.ok ? "" : " failed");
@@ -50,17 +50,17 @@
       out << e.saved.record.job << " chunk " << e.saved.record.chunk << (e.ok ? "" : " failed");
     else if constexpr (std::is_same_v<T, core::FinishAnswered>)
       out << e.job << " is not ended yet";
-    else if constexpr (std::is_same_v<T, core::RentalAnswered>)
+    else if constexpr (std::is_same_v<T, core::ScaleOutAnswered>)
       out << e.name << " brought " << e.answer.machines.size();
-    else if constexpr (std::is_same_v<T, core::ReleaseAnswered>)
+    else if constexpr (std::is_same_v<T, core::ScaleInAnswered>)
       out << e.machines.size() << " machines" << (e.ok ? "" : " failed");
     else if constexpr (std::is_same_v<T, core::CloudListed>)
       out << e.machines.size() << " machines";
     else if constexpr (std::is_same_v<T, core::PlacementsSaved>)
       out << e.job << " version " << e.version;
-    else if constexpr (std::is_same_v<T, core::OlderLeadersGone>)
+    else if constexpr (std::is_same_v<T, core::FormerLeadersGone>)
       out << "every other controller says that it does not lead";
-    else if constexpr (std::is_same_v<T, core::OthersHear>)
+    else if constexpr (std::is_same_v<T, core::PeerReceivesHeartbeats>)
       out << "workers come to another controller";
     else
       out << (e.may_place ? "" : "may not serve");
@@ -90,11 +90,11 @@
       add_report(out, e.report);
     else if constexpr (std::is_same_v<T, core::MachineSaved>)
       out.machines.push_back(e.id);
-    else if constexpr (std::is_same_v<T, core::RentalAnswered>)
+    else if constexpr (std::is_same_v<T, core::ScaleOutAnswered>)
       out.machines = e.answer.machines;
-    else if constexpr (std::is_same_v<T, core::ReleaseAnswered>)
+    else if constexpr (std::is_same_v<T, core::ScaleInAnswered>)
       out.machines = e.machines;
-    else if constexpr (std::is_same_v<T, core::OrdersAnswered>) {
+    else if constexpr (std::is_same_v<T, core::CommandsAnswered>) {
       if (e.report)
         add_report(out, *e.report);
       else
--- a/src/history/event_log.cpp
+++ b/src/history/event_log.cpp
@@ -54,7 +54,7 @@
 
 // As `write` does it for a WrittenRecord that holds `what`, without a copy of the event.
 template <class What>
-void EventLog::add(core::Token token, core::TimePoint at, const What& what) {
+void EventLog::add(core::FencingToken token, core::TimePoint at, const What& what) {
   constexpr unsigned kind = std::is_same_v<What, ReportChanges> ? 2 : std::is_same_v<What, Acted>;
   sink_.clear();
   Out out(sink_);
@@ -76,16 +76,16 @@
   files_.remove(name);
 }
 
-void EventLog::record(core::Token token, core::TimePoint at, const core::Event& event) {
-  if (std::holds_alternative<core::TakenOver>(event)) abandon_save();
+void EventLog::record(core::FencingToken token, core::TimePoint at, const core::Event& event) {
+  if (std::holds_alternative<core::LeaderElected>(event)) abandon_save();
   if (const auto* report = report_of(event)) {
-    const bool answer = std::holds_alternative<core::OrdersAnswered>(event);
+    const bool answer = std::holds_alternative<core::CommandsAnswered>(event);
     if (const auto* changes = reports_.changes(*report, answer)) return add(token, at, *changes);
   }
   add(token, at, event);
 }
 
-void EventLog::acted(core::Token token, core::TimePoint at, std::uint64_t digest) {
+void EventLog::acted(core::FencingToken token, core::TimePoint at, std::uint64_t digest) {
   add(token, at, Acted{digest});
 }
 
@@ -117,11 +117,11 @@
 bool EventLog::save_due(core::TimePoint now) const {
   if (save_ || !last_save_) return false;
   return now - *last_save_ >= core::to_duration(settings_.save_every) ||
-         segment_bytes_ >= settings_.most_bytes;
+         segment_bytes_ >= settings_.max_bytes;
 }
 
-void EventLog::begin_save(core::Controller& controller, const core::TakenOver& origin,
-                          core::TimePoint taken_over_at, core::TimePoint now, core::WallTime wall) {
+void EventLog::begin_save(core::Controller& controller, const core::LeaderElected& origin,
+                          core::TimePoint elected_at, core::TimePoint now, core::WallTime wall) {
   write_out();
   sync(now);
   last_save_ = now;
@@ -129,9 +129,9 @@
   first_event_ += records_;
   previous_tail_ = frames_->tail();
   begin_segment(wall);
-  SaveHead head{history_, segment_,      first_event_, now,
-                wall,     taken_over_at, origin,       text_of(previous_tail_)};
-  head.origin.inheritance = {};
+  SaveHead head{history_, segment_,   first_event_, now,
+                wall,     elected_at, origin,       text_of(previous_tail_)};
+  head.origin.recovered = {};
   save_.emplace(Save{
       segment_, FrameWriter(FileKind::save, key_), StateCapture(controller), {}, false, 0, {}});
   save_->frames.add(packed(SavePiece(std::move(head))));
--- a/src/history/event_log.hpp
+++ b/src/history/event_log.hpp
@@ -20,8 +20,8 @@
   SyncPolicy sync = SyncPolicy::interval;
   core::Seconds sync_every{1};
   core::Seconds save_every{60};
-  std::uint64_t most_bytes = std::uint64_t{1} << 30U;  // of events since the last save
-  std::size_t slice_bytes = 256 * 1024;                // of a save written at once
+  std::uint64_t max_bytes = std::uint64_t{1} << 30U;  // of events since the last save
+  std::size_t slice_bytes = 256 * 1024;               // of a save written at once
 };
 
 class EventLog {
@@ -30,9 +30,9 @@
   EventLog(Files& files, std::optional<Key> key, LogSettings settings, const Contents& contents,
            HistoryId new_id, core::WallTime wall);
 
-  void record(core::Token token, core::TimePoint at, const core::Event& event);
+  void record(core::FencingToken token, core::TimePoint at, const core::Event& event);
   // `digest`: of the actions that the shells were given.
-  void acted(core::Token token, core::TimePoint at, std::uint64_t digest);
+  void acted(core::FencingToken token, core::TimePoint at, std::uint64_t digest);
 
   // Writes what waits, if that is due. Throws FileError: then the log cannot go on.
   void flush(core::TimePoint now);
@@ -41,8 +41,8 @@
   bool save_due(core::TimePoint now) const;
   // Takes the state, which must hold all events recorded so far and nothing else. The controller
   // must live until the save is made or given up; a new takeover gives it up.
-  void begin_save(core::Controller& controller, const core::TakenOver& origin,
-                  core::TimePoint taken_over_at, core::TimePoint now, core::WallTime wall);
+  void begin_save(core::Controller& controller, const core::LeaderElected& origin,
+                  core::TimePoint elected_at, core::TimePoint now, core::WallTime wall);
   // Writes the next slice of the save, and finishes it after the last. Throws FileError, Damaged.
   void continue_save();
   // Keeps the last saves and what is after the oldest of them.
@@ -66,7 +66,7 @@
   };
   void begin_segment(core::WallTime wall);
   template <class What>
-  void add(core::Token token, core::TimePoint at, const What& what);
+  void add(core::FencingToken token, core::TimePoint at, const What& what);
   void write_out();
   void sync(core::TimePoint now);
   void write_slice();
--- a/src/history/keeper.cpp
+++ b/src/history/keeper.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 template <class Work>
-void Keeper::guarded(const Work& work) {
+void Recorder::guarded(const Work& work) {
   try {
     work();
   } catch (const std::exception& problem) {
@@ -32,19 +32,19 @@
   }
 }
 
-Keeper::Keeper(const Settings& settings, core::WallTime wall) {
+Recorder::Recorder(const Settings& settings, core::WallTime wall) {
   guarded([&] {
     files_ = std::make_unique<Directory>(settings.directory, true);
     start(settings, wall);
   });
 }
 
-Keeper::Keeper(std::unique_ptr<Files> files, const Settings& settings, core::WallTime wall)
+Recorder::Recorder(std::unique_ptr<Files> files, const Settings& settings, core::WallTime wall)
     : files_(std::move(files)) {
   guarded([&] { start(settings, wall); });
 }
 
-void Keeper::start(const Settings& settings, core::WallTime wall) {
+void Recorder::start(const Settings& settings, core::WallTime wall) {
   const auto begun = core::Clock::now();
   Replay replay;
   Reader reader(*files_, settings.key);
@@ -58,46 +58,46 @@
     spdlog::warn("history: the replay differs from what was recorded at event {}",
                  replay.difference()->record);
   if (replay.controller() != nullptr)
-    beliefs_ = replay.controller()->beliefs(replay.now(), replay.wall_now());
+    learned_state_ = replay.controller()->learned_state(replay.now(), replay.wall_now());
   log_ = std::make_unique<EventLog>(*files_, settings.key, settings.log, contents, new_history_id(),
                                     wall);
   spdlog::info("history: {} events, recovered in {:.3f} s", contents.events(),
                core::Seconds(core::Clock::now() - begun).count());
 }
 
-void Keeper::leader_ends(core::Beliefs beliefs) {
-  beliefs_ = std::move(beliefs);
+void Recorder::leader_ends(core::LearnedState learned_state) {
+  learned_state_ = std::move(learned_state);
   if (log_) guarded([&] { log_->abandon_save(); });
 }
 
-void Keeper::taken_over(core::TimePoint at, const core::TakenOver& event) {
+void Recorder::leader_elected(core::TimePoint at, const core::LeaderElected& event) {
   origin_ = event;
-  origin_.inheritance = {};
-  taken_over_at_ = at;
+  origin_.recovered = {};
+  elected_at_ = at;
   record(at, event);
 }
 
-void Keeper::record(core::TimePoint at, const core::Event& event) {
+void Recorder::record(core::TimePoint at, const core::Event& event) {
   if (log_) guarded([&] { log_->record(origin_.token, at, event); });
 }
 
-void Keeper::acted(core::TimePoint at, const std::vector<core::Action>& actions) {
+void Recorder::acted(core::TimePoint at, const std::vector<core::Action>& actions) {
   if (log_ && !actions.empty())
     guarded([&] { log_->acted(origin_.token, at, digest_of(actions)); });
 }
 
-void Keeper::pump(core::Controller& controller, core::TimePoint now, core::WallTime wall) {
+void Recorder::pump(core::Controller& controller, core::TimePoint now, core::WallTime wall) {
   if (!log_) return;
   guarded([&] {
     log_->flush(now);
     if (log_->saving())
       log_->continue_save();
     else if (log_->save_due(now))
-      log_->begin_save(controller, origin_, taken_over_at_, now, wall);
+      log_->begin_save(controller, origin_, elected_at_, now, wall);
   });
 }
 
-std::string Keeper::summary() const {
+std::string Recorder::summary() const {
   if (!log_) return "history off";
   return "history: " + std::to_string(log_->events()) + " events, " +
          std::to_string(log_->saves_made()) + " saves";
--- a/src/history/keeper.hpp
+++ b/src/history/keeper.hpp
@@ -9,7 +9,7 @@
 
 namespace violetpulley::history {
 
-class Keeper {
+class Recorder {
  public:
   struct Settings {
     std::string directory;
@@ -17,19 +17,19 @@
     LogSettings log;
   };
   // Reads what is there and replays it. Never throws.
-  Keeper(const Settings& settings, core::WallTime wall);
+  Recorder(const Settings& settings, core::WallTime wall);
   // The same over other files, for tests.
-  Keeper(std::unique_ptr<Files> files, const Settings& settings, core::WallTime wall);
+  Recorder(std::unique_ptr<Files> files, const Settings& settings, core::WallTime wall);
 
   bool on() const { return log_ != nullptr; }
   // What was known when the last leader of this history ended; empty if none is known.
-  const core::Beliefs& beliefs() const { return beliefs_; }
+  const core::LearnedState& learned_state() const { return learned_state_; }
   // When a leader of this process ends.
-  void leader_ends(core::Beliefs beliefs);
+  void leader_ends(core::LearnedState learned_state);
   // A save is being made: what would change every machine at once should wait.
   bool saving() const { return log_ && log_->saving(); }
 
-  void taken_over(core::TimePoint at, const core::TakenOver& event);
+  void leader_elected(core::TimePoint at, const core::LeaderElected& event);
   void record(core::TimePoint at, const core::Event& event);
   void acted(core::TimePoint at, const std::vector<core::Action>& actions);
   // Writes what is due. Call it when `controller` holds all that was recorded and its actions were
@@ -47,9 +47,9 @@
 
   std::unique_ptr<Files> files_;
   std::unique_ptr<EventLog> log_;
-  core::Beliefs beliefs_;
-  core::TakenOver origin_;
-  core::TimePoint taken_over_at_{};
+  core::LearnedState learned_state_;
+  core::LeaderElected origin_;
+  core::TimePoint elected_at_{};
 };
 
 }  // namespace violetpulley::history
--- a/src/history/records.hpp
+++ b/src/history/records.hpp
@@ -36,7 +36,7 @@
 };
 
 struct Record {
-  core::Token token = 0;
+  core::FencingToken token = 0;
   core::TimePoint at{};  // steady clock of the process that wrote it
   std::variant<core::Event, Acted> what;
 
@@ -51,21 +51,21 @@
 struct ReportChanges {
   core::MachineId machine;
   bool answer = false;  // to orders
-  std::uint64_t session = 0;
-  std::uint64_t sequence = 0;
-  core::Token token = 0;
+  std::uint64_t epoch = 0;
+  std::uint64_t heartbeat_sequence = 0;
+  core::FencingToken token = 0;
   std::vector<std::uint32_t> gone;                               // places in the last list
-  std::vector<std::pair<std::uint32_t, core::TaskReport>> come;  // places in this one
+  std::vector<std::pair<std::uint32_t, core::TaskStatus>> come;  // places in this one
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.machine, s.answer, s.session, s.sequence, s.token, s.gone, s.come);
+    f(s.machine, s.answer, s.epoch, s.heartbeat_sequence, s.token, s.gone, s.come);
   }
 };
 
 // A record as it is in the file. Reports are first whole, then changes.
 struct WrittenRecord {
-  core::Token token = 0;
+  core::FencingToken token = 0;
   core::TimePoint at{};
   std::variant<core::Event, Acted, ReportChanges> what;
 
@@ -82,13 +82,13 @@
   std::uint64_t events = 0;
   core::TimePoint at{};
   core::WallTime wall{};
-  core::TimePoint taken_over_at{};
-  core::TakenOver origin;   // without what it inherited
-  std::string events_tail;  // last MAC of the segment before, if signed
+  core::TimePoint elected_at{};
+  core::LeaderElected origin;  // without what it inherited
+  std::string events_tail;     // last MAC of the segment before, if signed
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.history, s.segment, s.events, s.at, s.wall, s.taken_over_at, s.origin, s.events_tail);
+    f(s.history, s.segment, s.events, s.at, s.wall, s.elected_at, s.origin, s.events_tail);
   }
 };
 
--- a/src/history/replay.cpp
+++ b/src/history/replay.cpp
@@ -10,8 +10,8 @@
 
 void Replay::restore(const SaveHead& head, const Parts& parts) {
   origin_ = head.origin;
-  taken_over_at_ = head.taken_over_at;
-  controller_ = core::make_controller(origin_, taken_over_at_);
+  elected_at_ = head.elected_at;
+  controller_ = core::make_controller(origin_, elected_at_);
   controller_->take_actions();
   restore_parts(*controller_, parts);
   now_ = head.at;
@@ -31,10 +31,10 @@
     return;
   }
   const auto& event = std::get<core::Event>(record.what);
-  if (const auto* takeover = std::get_if<core::TakenOver>(&event)) {
+  if (const auto* takeover = std::get_if<core::LeaderElected>(&event)) {
     controller_ = core::make_controller(*takeover, record.at);
-    taken_over_at_ = record.at;
-    origin_ = {takeover->settings, takeover->token, takeover->older_leases_end, {}};
+    elected_at_ = record.at;
+    origin_ = {takeover->settings, takeover->token, takeover->former_leases_end, {}};
     return;
   }
   if (!controller_) throw BadValue("an event comes before any takeover");
@@ -43,7 +43,7 @@
 
 core::WallTime Replay::wall_now() const {
   return origin_.settings.wall_at_start +
-         std::chrono::duration_cast<std::chrono::milliseconds>(now_ - taken_over_at_);
+         std::chrono::duration_cast<std::chrono::milliseconds>(now_ - elected_at_);
 }
 
 std::uint64_t Replay::state_digest() const {
--- a/src/history/replay.hpp
+++ b/src/history/replay.hpp
@@ -32,13 +32,13 @@
   const std::optional<Difference>& difference() const { return difference_; }
 
   // For saves that are made offline.
-  const core::TakenOver& origin() const { return origin_; }
-  core::TimePoint taken_over_at() const { return taken_over_at_; }
+  const core::LeaderElected& origin() const { return origin_; }
+  core::TimePoint elected_at() const { return elected_at_; }
 
  private:
   std::unique_ptr<core::Controller> controller_;
-  core::TakenOver origin_;
-  core::TimePoint taken_over_at_{};
+  core::LeaderElected origin_;
+  core::TimePoint elected_at_{};
   core::TimePoint now_{};
   std::uint64_t events_ = 0;
   Digest actions_;
--- a/src/history/report_changes.cpp
+++ b/src/history/report_changes.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 // Whether only what changes express differs.
-bool same_machine(const core::WorkerReport& a, const core::WorkerReport& b) {
+bool same_machine(const core::Heartbeat& a, const core::Heartbeat& b) {
   return a.endpoint == b.endpoint && a.type == b.type && a.zone == b.zone && a.spot == b.spot &&
          a.notice == b.notice;
 }
 
-std::uint64_t fingerprint(const core::TaskReport& task) {
+std::uint64_t fingerprint(const core::TaskStatus& task) {
   const std::uint64_t rest = task.task.index ^ static_cast<std::uint64_t>(task.state) << 40U ^
                              static_cast<std::uint64_t>(task.cause) << 48U ^
                              static_cast<std::uint64_t>(task.stored) << 56U;
@@ -24,15 +24,15 @@
 
 }  // namespace
 
-const core::WorkerReport* report_of(const core::Event& event) {
+const core::Heartbeat* report_of(const core::Event& event) {
   if (const auto* reported = std::get_if<core::MachineReported>(&event)) return &reported->report;
-  const auto* answered = std::get_if<core::OrdersAnswered>(&event);
+  const auto* answered = std::get_if<core::CommandsAnswered>(&event);
   if (answered == nullptr || !answered->report || answered->report->machine != answered->machine)
     return nullptr;
   return &*answered->report;
 }
 
-const ReportChanges* ReportChangesWriter::changes(const core::WorkerReport& report, bool answer) {
+const ReportChanges* ReportChangesWriter::changes(const core::Heartbeat& report, bool answer) {
   now_.clear();
   for (const auto& task : report.tasks) now_.push_back(fingerprint(task));
   const auto [entry, fresh] = last_.try_emplace(report.machine);
@@ -46,8 +46,8 @@
   }
   changes_.machine = report.machine;
   changes_.answer = answer;
-  changes_.session = report.session;
-  changes_.sequence = report.sequence;
+  changes_.epoch = report.epoch;
+  changes_.heartbeat_sequence = report.heartbeat_sequence;
   changes_.token = report.token;
   changes_.gone.clear();
   changes_.come.clear();
@@ -73,18 +73,18 @@
   return &changes_;
 }
 
-core::WorkerReport& ReportChangesReader::apply(const ReportChanges& changes) {
+core::Heartbeat& ReportChangesReader::apply(const ReportChanges& changes) {
   const auto found = last_.find(changes.machine);
   if (found == last_.end())
     throw BadValue("changes of " + changes.machine + " come before any whole report of it");
   auto& last = found->second;
-  last.session = changes.session;
-  last.sequence = changes.sequence;
+  last.epoch = changes.epoch;
+  last.heartbeat_sequence = changes.heartbeat_sequence;
   last.token = changes.token;
   if (changes.gone.empty() && changes.come.empty()) return last;
   auto gone = changes.gone.begin();
   auto come = changes.come.begin();
-  std::vector<core::TaskReport> tasks;
+  std::vector<core::TaskStatus> tasks;
   const auto take_new = [&] {
     for (; come != changes.come.end() && come->first == tasks.size(); ++come)
       tasks.push_back(come->second);
@@ -111,7 +111,7 @@
   } else if (const auto* changes = std::get_if<ReportChanges>(&written.what)) {
     const auto& report = apply(*changes);
     if (changes->answer)
-      out.what = core::Event(core::OrdersAnswered{report.machine, report});
+      out.what = core::Event(core::CommandsAnswered{report.machine, report});
     else
       out.what = core::Event(core::MachineReported{report});
   } else {
--- a/src/history/report_changes.hpp
+++ b/src/history/report_changes.hpp
@@ -14,11 +14,11 @@
  public:
   // What is to be written instead of the report; null: the report as it is. Valid until the next
   // call.
-  const ReportChanges* changes(const core::WorkerReport& report, bool answer);
+  const ReportChanges* changes(const core::Heartbeat& report, bool answer);
 
  private:
   struct Last {
-    core::WorkerReport machine;  // without its tasks
+    core::Heartbeat machine;  // without its tasks
     std::vector<std::uint64_t> tasks;
   };
   std::unordered_map<core::MachineId, Last> last_;
@@ -32,11 +32,11 @@
   Record whole(WrittenRecord&& written);
 
  private:
-  core::WorkerReport& apply(const ReportChanges& changes);
-  std::unordered_map<core::MachineId, core::WorkerReport> last_;
+  core::Heartbeat& apply(const ReportChanges& changes);
+  std::unordered_map<core::MachineId, core::Heartbeat> last_;
 };
 
 // The report that an event holds, or null.
-const core::WorkerReport* report_of(const core::Event& event);
+const core::Heartbeat* report_of(const core::Event& event);
 
 }  // namespace violetpulley::history
--- a/src/leader.hpp
+++ b/src/leader.hpp
@@ -22,9 +22,9 @@
  public:
   Leader(asio::io_context& io, const config::Settings& settings, const core::Tuning& tuning,
          core::Leadership& leadership, store::Election& election, store::StoreClient& store,
-         store::JobMirror& mirror, cloud::CloudClient& cloud,
-         const config::HistorySettings& history, history::Keeper* keeper,
-         std::optional<core::TimePoint>& deaf_at);
+         store::JobReplica& job_replica, cloud::CloudClient& cloud,
+         const config::HistorySettings& history, history::Recorder* recorder,
+         std::optional<core::TimePoint>& isolated_at);
   ~Leader();
   Leader(const Leader&) = delete;
   Leader& operator=(const Leader&) = delete;
@@ -32,9 +32,9 @@
   bool ready() const { return controller_ != nullptr; }
   void handle_report(const net::Request& request, const net::Responder& respond);
   // A sibling says that it does not lead and which leader key it has seen.
-  void heard_follower(const std::string& member, core::Token follows);
+  void note_follower(const std::string& member, core::FencingToken follows);
   // Workers come to a sibling.
-  void others_hear(core::TimePoint now);
+  void note_peer_receives_heartbeats(core::TimePoint now);
   void job_opened(const core::JobRecord& record);
   void job_closed(const core::JobId& id);
   void set_catalog(const std::vector<core::MachineType>& types);
@@ -48,14 +48,14 @@
   void feed_catalog();
   void save_placements(const core::SavePlacements& action);
   void mark_placements();
-  void take_over(core::Inheritance inherited);
-  void pump_soon();
+  void start_leading(core::RecoveredState recovered);
+  void schedule_pump();
   void pump();
-  void log_squared(core::TimePoint now);
-  void note_orders(const core::SendOrders& orders);
-  void tell_steps(core::TimePoint now);
-  void every();
-  void carry_out(core::Action& action);
+  void log_reconciliation(core::TimePoint now);
+  void note_commands(const core::SendCommands& orders);
+  void log_timeline(core::TimePoint now);
+  void schedule_tick();
+  void execute(core::Action& action);
   void verify_jobs();
   void list_machines();
   void finish(const core::FinishJob& action);
@@ -70,36 +70,38 @@
   core::Leadership& leadership_;
   store::Election& election_;
   store::StoreClient& store_;
-  store::JobMirror& mirror_;
+  store::JobReplica& job_replica_;
   cloud::CloudClient& cloud_;
-  core::Token token_;
-  core::TimePoint won_at_;
-  standby::TakeoverSteps steps_;
+  core::FencingToken token_;
+  core::TimePoint elected_at_;
+  standby::FailoverTimeline steps_;
 
-  std::optional<core::TimePoint>& deaf_at_;  // when a leader of this process last gave up as deaf
-  history::Keeper* keeper_;                  // null: no directory keeps the history
+  std::optional<core::TimePoint>&
+      isolated_at_;              // when a leader of this process last gave up as deaf
+  history::Recorder* recorder_;  // null: no directory keeps the history
   store::LeaderWriter writer_;
-  store::Briefing briefing_;
-  std::unique_ptr<store::BeliefStore> beliefs_;  // null: the state service keeps none
-  agent::OrdersSender orders_;
+  store::ReadBarrierLoop read_barriers_;
+  std::unique_ptr<store::LearnedStateStore>
+      learned_state_store_;  // null: the state service keeps none
+  agent::CommandSender command_sender_;
   asio::steady_timer tick_timer_;
   asio::steady_timer verify_timer_;
   asio::steady_timer mark_timer_;
-  std::unique_ptr<standby::InheritanceReader> reader_;
+  std::unique_ptr<standby::RecoveredStateReader> reader_;
   std::unique_ptr<core::Controller> controller_;
   std::vector<core::MachineType> types_;
-  core::Beliefs believed_;
+  core::LearnedState learned_state_;
   std::map<core::JobId, core::JobRecord> unverified_;
   bool verifying_ = false;
   bool pump_posted_ = false;
   bool catalog_due_ = false;
   bool recovered_ = false;  // and said so
   core::TimePoint recovered_at_{};
-  bool steps_told_ = false;
+  bool timeline_logged_ = false;
   std::set<std::string> followers_;  // that have seen our key and do not lead
   core::TimePoint last_list_{};
   core::TimePoint last_summary_{};
-  advice::Spending spending_;
+  diagnostics::CostBreakdown cost_breakdown_;
   std::uint64_t summaries_ = 0;
   bool listing_ = false;
 };
--- a/src/mesh/mesh.cpp
+++ b/src/mesh/mesh.cpp
@@ -7,7 +7,7 @@
 
 #include "net/http_client.hpp"
 
-namespace violetpulley::mesh {
+namespace violetpulley::peers {
 
 using asio::ip::tcp;
 
@@ -38,24 +38,24 @@
 // The connection to one sibling: connects, sends the newest status, connects again.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
  public:
-  PeerLink(Mesh& mesh, const config::Sibling& sibling)
-      : mesh_(&mesh),
-        sibling_(sibling),
-        peer_(net::parse_endpoint(sibling.mesh_address)),
-        socket_(mesh.io_),
-        timer_(mesh.io_) {}
+  PeerLink(PeerNetwork& peers, const config::Peer& peer)
+      : peer_network_(&peers),
+        peer_(peer),
+        endpoint_(net::parse_endpoint(peer.peer_address)),
+        socket_(peers.io_),
+        timer_(peers.io_) {}
 
   void connect() {
-    socket_ = tcp::socket(mesh_->io_);
+    socket_ = tcp::socket(peer_network_->io_);
     connected_ = false;
     auto self = shared_from_this();
     arm(std::chrono::seconds(2));
-    socket_.async_connect(peer_, [self](const asio::error_code& error) {
-      if (self->mesh_ == nullptr) return;
+    socket_.async_connect(endpoint_, [self](const asio::error_code& error) {
+      if (self->peer_network_ == nullptr) return;
       if (error) {
         if (error == asio::error::connection_refused && self->was_closed_) {
           self->was_closed_ = false;
-          self->mesh_->suspect(self->sibling_.member);
+          self->peer_network_->suspect(self->peer_.member);
         }
         return self->again();
       }
@@ -80,7 +80,7 @@
     asio::async_write(socket_, asio::buffer(output_),
                       [self](const asio::error_code& error, std::size_t) {
                         self->writing_ = false;
-                        if (self->mesh_ == nullptr || error) return;
+                        if (self->peer_network_ == nullptr || error) return;
                         if (!self->next_.empty()) self->send(std::exchange(self->next_, {}));
                       });
   }
@@ -88,7 +88,7 @@
   bool connected() const { return connected_; }
 
   void detach() {
-    mesh_ = nullptr;
+    peer_network_ = nullptr;
     timer_.cancel();
     asio::error_code ignored;
     socket_.close(ignored);
@@ -100,12 +100,12 @@
     auto self = shared_from_this();
     socket_.async_read_some(asio::buffer(&byte_, 1),
                             [self](const asio::error_code& error, std::size_t) {
-                              if (self->mesh_ == nullptr) return;
+                              if (self->peer_network_ == nullptr) return;
                               if (!error) return self->wait_for_end();
                               if (!self->connected_) return;
                               self->connected_ = false;
                               self->was_closed_ = true;
-                              self->mesh_->events_.ended(self->sibling_.member);
+                              self->peer_network_->events_.ended(self->peer_.member);
                               self->connect();
                             });
   }
@@ -114,7 +114,7 @@
     auto self = shared_from_this();
     timer_.expires_after(limit);
     timer_.async_wait([self](const asio::error_code& error) {
-      if (error || self->mesh_ == nullptr || self->connected_) return;
+      if (error || self->peer_network_ == nullptr || self->connected_) return;
       asio::error_code ignored;
       self->socket_.close(ignored);
     });
@@ -124,13 +124,13 @@
     auto self = shared_from_this();
     timer_.expires_after(std::chrono::milliseconds(700));
     timer_.async_wait([self](const asio::error_code& error) {
-      if (!error && self->mesh_ != nullptr) self->connect();
+      if (!error && self->peer_network_ != nullptr) self->connect();
     });
   }
 
-  Mesh* mesh_;
-  config::Sibling sibling_;
-  tcp::endpoint peer_;
+  PeerNetwork* peer_network_;
+  config::Peer peer_;
+  tcp::endpoint endpoint_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   std::string output_;
@@ -144,13 +144,14 @@
 // A connection that a sibling opened to us: frames come in.
 class PeerSession : public std::enable_shared_from_this<PeerSession> {
  public:
-  PeerSession(Mesh& mesh, tcp::socket socket) : mesh_(&mesh), socket_(std::move(socket)) {}
+  PeerSession(PeerNetwork& peers, tcp::socket socket)
+      : peer_network_(&peers), socket_(std::move(socket)) {}
 
   void read_size() {
     auto self = shared_from_this();
     asio::async_read(socket_, asio::buffer(header_),
                      [self](const asio::error_code& error, std::size_t) {
-                       if (self->mesh_ == nullptr) return;
+                       if (self->peer_network_ == nullptr) return;
                        if (error) return self->end();
                        std::size_t size = 0;
                        for (const unsigned char byte : self->header_) size = (size << 8U) | byte;
@@ -161,7 +162,7 @@
   }
 
   void detach() {
-    mesh_ = nullptr;
+    peer_network_ = nullptr;
     asio::error_code ignored;
     socket_.close(ignored);
   }
@@ -169,49 +170,49 @@
  private:
   void read_body() {
     auto self = shared_from_this();
-    asio::async_read(socket_, asio::buffer(body_),
-                     [self](const asio::error_code& error, std::size_t) {
-                       if (self->mesh_ == nullptr) return;
-                       if (error) return self->end();
-                       try {
-                         self->mesh_->events_.heard(decode(self->body_.data(), self->body_.size()));
-                       } catch (const std::exception& problem) {
-                         spdlog::warn("a sibling sent nonsense: {}", problem.what());
-                         return self->end();
-                       }
-                       self->read_size();
-                     });
+    asio::async_read(
+        socket_, asio::buffer(body_), [self](const asio::error_code& error, std::size_t) {
+          if (self->peer_network_ == nullptr) return;
+          if (error) return self->end();
+          try {
+            self->peer_network_->events_.heard(decode(self->body_.data(), self->body_.size()));
+          } catch (const std::exception& problem) {
+            spdlog::warn("a sibling sent nonsense: {}", problem.what());
+            return self->end();
+          }
+          self->read_size();
+        });
   }
 
   void end() {
     auto self = shared_from_this();
-    mesh_->sessions_.erase(self);
+    peer_network_->sessions_.erase(self);
     detach();
   }
 
-  Mesh* mesh_;
+  PeerNetwork* peer_network_;
   tcp::socket socket_;
   std::array<unsigned char, 4> header_{};
   std::vector<char> body_;
 };
 
-Mesh::Mesh(asio::io_context& io, const tcp::endpoint& at,
-           const std::vector<config::Sibling>& siblings, Events events)
+PeerNetwork::PeerNetwork(asio::io_context& io, const tcp::endpoint& at,
+                         const std::vector<config::Peer>& peers, Events events)
     : io_(io), acceptor_(io, at), suspicion_timer_(io), events_(std::move(events)) {
-  for (const auto& sibling : siblings) {
-    links_.push_back(std::make_shared<PeerLink>(*this, sibling));
+  for (const auto& peer : peers) {
+    links_.push_back(std::make_shared<PeerLink>(*this, peer));
     links_.back()->connect();
   }
   accept();
 }
 
-Mesh::~Mesh() {
+PeerNetwork::~PeerNetwork() {
   *alive_ = false;
   for (const auto& link : links_) link->detach();
   for (const auto& session : sessions_) session->detach();
 }
 
-void Mesh::accept() {
+void PeerNetwork::accept() {
   acceptor_.async_accept([this, alive = alive_](const asio::error_code& error, tcp::socket socket) {
     if (!*alive || error == asio::error::operation_aborted) return;
     // A sibling holds one connection; leftovers of broken ones are bounded.
@@ -227,7 +228,7 @@
 // A refused connection does not prove that a process has ended: a filter between the nodes refuses
 // all of them at once. So the sign counts only while another sibling is still connected a moment
 // later; a wrong one costs a takeover of the whole fleet, and waiting for the hold only its rest.
-void Mesh::suspect(const std::string& member) {
+void PeerNetwork::suspect(const std::string& member) {
   suspected_.insert(member);
   suspicion_timer_.expires_after(kSuspicion);
   suspicion_timer_.async_wait([this, alive = alive_](const asio::error_code& error) {
@@ -244,9 +245,9 @@
   });
 }
 
-void Mesh::broadcast(const Status& status) {
+void PeerNetwork::broadcast(const Status& status) {
   const auto frame = encode(status);
   for (const auto& link : links_) link->send(frame);
 }
 
-}  // namespace violetpulley::mesh
+}  // namespace violetpulley::peers
--- a/src/mesh/mesh.hpp
+++ b/src/mesh/mesh.hpp
@@ -13,7 +13,7 @@
 #include "config/settings.hpp"
 #include "core/types.hpp"
 
-namespace violetpulley::mesh {
+namespace violetpulley::peers {
 
 struct JobCount {
   std::string id;
@@ -48,7 +48,7 @@
 class PeerLink;
 class PeerSession;
 
-class Mesh {
+class PeerNetwork {
  public:
   struct Events {
     std::function<void(const Status&)> heard;
@@ -60,11 +60,11 @@
     std::function<void(const std::string& member)> gone;
   };
 
-  Mesh(asio::io_context& io, const asio::ip::tcp::endpoint& at,
-       const std::vector<config::Sibling>& siblings, Events events);
-  ~Mesh();
-  Mesh(const Mesh&) = delete;
-  Mesh& operator=(const Mesh&) = delete;
+  PeerNetwork(asio::io_context& io, const asio::ip::tcp::endpoint& at,
+              const std::vector<config::Peer>& peers, Events events);
+  ~PeerNetwork();
+  PeerNetwork(const PeerNetwork&) = delete;
+  PeerNetwork& operator=(const PeerNetwork&) = delete;
 
   void broadcast(const Status& status);
 
@@ -84,4 +84,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace violetpulley::mesh
+}  // namespace violetpulley::peers
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::chrono::seconds kStoreLost{3};
 constexpr std::chrono::seconds kCatalogEvery{30};
-constexpr std::uint64_t kWorkersCame = 3000;  // ms: lately
+constexpr std::uint64_t kRecentWorkerMs = 3000;  // ms: lately
 constexpr milliseconds kLeaderWatchGap{50};
 constexpr milliseconds kFollowerWatchGap{400};
 const std::string kCatalogKey = "catalog";
@@ -46,20 +46,20 @@
       leadership_(settings_.workers, settings_.clock_skew),
       store_(io, net::parse_endpoint(settings_.state_address), share(false),
              seed_of(settings_.member)),
-      mirror_(io, store_,
-              {[this](const core::JobRecord& record) {
-                 if (leader_) leader_->job_opened(record);
-               },
-               [this](const core::JobId& id) {
-                 told_counts_.erase(id);
-                 if (leader_) leader_->job_closed(id);
-               }}),
-      election_(io, store_, leadership_, settings_.member, settings_.mesh_address,
+      job_replica_(io, store_,
+                   {[this](const core::JobRecord& record) {
+                      if (leader_) leader_->job_opened(record);
+                    },
+                    [this](const core::JobId& id) {
+                      reported_counts_.erase(id);
+                      if (leader_) leader_->job_closed(id);
+                    }}),
+      election_(io, store_, leadership_, settings_.member, settings_.peer_address,
                 {[this] { won(); }, [this](const std::string&) { lost(); }, [] {}},
                 seed_of(settings_.member) + 1),
       cloud_(io, net::parse_endpoint(settings_.cloud_address),
              settings_.cloud_requests_per_s * 0.9),
-      users_(io, store_, mirror_,
+      users_(io, store_, job_replica_,
              {settings_.teams, settings_.zones,
               [this]() -> const std::vector<core::MachineType>& { return types_; },
               [this](const core::JobId& id) { return counts(id); }}),
@@ -67,14 +67,14 @@
       catalog_timer_(io),
       started_(Clock::now()),
       store_answered_(started_),
-      mesh_(io, net::parse_endpoint(settings_.mesh_address), settings_.siblings,
-            {[this](const mesh::Status& status) { heard(status); },
-             [this](const std::string& member) {
-               siblings_[member].led_by = election_.led_by(member);
-             },
-             [this](const std::string& member) {
-               election_.end_hold_of(member, siblings_[member].led_by);
-             }}),
+      peer_network_(io, net::parse_endpoint(settings_.peer_address), settings_.peers,
+                    {[this](const peers::Status& status) { on_peer_status(status); },
+                     [this](const std::string& member) {
+                       peer_views_[member].led_by = election_.led_by(member);
+                     },
+                     [this](const std::string& member) {
+                       election_.revoke_lease_of(member, peer_views_[member].led_by);
+                     }}),
       server_(
           io, net::parse_endpoint(settings_.public_address), server_limits(settings_),
           [this](net::Request&& request, const net::Responder& respond) {
@@ -84,16 +84,16 @@
             return target.starts_with(kReportPath) ? net::Peer::worker : net::Peer::user;
           }) {
   if (history_.home == config::HistoryHome::directory)
-    keeper_ = std::make_unique<history::Keeper>(
-        history::Keeper::Settings{history_.directory, history_.key, history_.log}, wall_now());
+    recorder_ = std::make_unique<history::Recorder>(
+        history::Recorder::Settings{history_.directory, history_.key, history_.log}, wall_now());
   if (!operators.why_address.empty()) open_operators(net::parse_endpoint(operators.why_address));
   share_sockets();
-  mirror_.start();
+  job_replica_.start();
   election_.start();
   fetch_catalog();
-  every_second();
+  schedule_second();
   spdlog::info("{} serves on {}, mesh on {}, {} siblings", settings_.member,
-               settings_.public_address, settings_.mesh_address, settings_.siblings.size());
+               settings_.public_address, settings_.peer_address, settings_.peers.size());
 }
 
 Node::~Node() { *alive_ = false; }
@@ -114,9 +114,9 @@
   };
   const auto leader = [this, port = at.port()]() -> std::optional<asio::ip::tcp::endpoint> {
     const auto member = election_.current_member();
-    for (const auto& sibling : settings_.siblings)
-      if (sibling.member == member)
-        return asio::ip::tcp::endpoint(net::parse_endpoint(sibling.mesh_address).address(), port);
+    for (const auto& peer : settings_.peers)
+      if (peer.member == member)
+        return asio::ip::tcp::endpoint(net::parse_endpoint(peer.peer_address).address(), port);
     return std::nullopt;
   };
   operators_ = std::make_unique<api::OperatorApi>(
@@ -129,16 +129,16 @@
 
 void Node::won() {
   store_.set_share(share(true));
-  mirror_.set_watch_gap(kLeaderWatchGap);
+  job_replica_.set_watch_gap(kLeaderWatchGap);
   leader_ = std::make_unique<Leader>(io_, settings_, tuning_, leadership_, election_, store_,
-                                     mirror_, cloud_, history_, keeper_.get(), deaf_at_);
+                                     job_replica_, cloud_, history_, recorder_.get(), isolated_at_);
   if (!types_.empty()) leader_->set_catalog(types_);
   fetch_catalog_later(milliseconds(500));
 }
 
 void Node::lost() {
   store_.set_share(share(false));
-  mirror_.set_watch_gap(kFollowerWatchGap);
+  job_replica_.set_watch_gap(kFollowerWatchGap);
   // The leader may be in the middle of a callback: it ends when that has returned.
   // It must not outlive the node, whose parts it uses until its end.
   if (leader_) ended_.push_back(std::move(leader_));
@@ -197,31 +197,33 @@
 core::JobCounts Node::counts(const core::JobId& id) const {
   if (leader_ && leader_->ready())
     if (const auto known = leader_->controller()->counts(id)) return *known;
-  const auto told = told_counts_.find(id);
-  return told == told_counts_.end() ? core::JobCounts{} : told->second;
+  const auto told = reported_counts_.find(id);
+  return told == reported_counts_.end() ? core::JobCounts{} : told->second;
 }
 
-void Node::heard(const mesh::Status& status) {
+void Node::on_peer_status(const peers::Status& status) {
   const auto now = Clock::now();
-  auto& view = siblings_[status.member];
-  view.heard = now;
+  auto& view = peer_views_[status.member];
+  view.on_peer_status = now;
   view.store_answered =
       now - milliseconds(std::min<std::uint64_t>(status.store_silence_ms, 1'000'000));
   view.token = status.token;
-  if (leader_ && status.token == 0) leader_->heard_follower(status.member, status.follows);
-  if (leader_ && status.workers_silence_ms < kWorkersCame) leader_->others_hear(now);
+  if (leader_ && status.token == 0) leader_->note_follower(status.member, status.follows);
+  if (leader_ && status.workers_silence_ms < kRecentWorkerMs)
+    leader_->note_peer_receives_heartbeats(now);
   for (const auto& count : status.counts)
-    if (mirror_.find(count.id) != nullptr) told_counts_[count.id] = {count.done, count.running};
+    if (job_replica_.find(count.id) != nullptr)
+      reported_counts_[count.id] = {count.done, count.running};
 }
 
-void Node::tell_siblings() {
-  mesh::Status status;
+void Node::broadcast_status() {
+  peers::Status status;
   status.member = settings_.member;
   const auto ms_since = [now = Clock::now()](core::TimePoint then) {
     return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(now - then).count());
   };
   status.store_silence_ms = ms_since(store_answered_);
-  if (worker_came_) status.workers_silence_ms = ms_since(*worker_came_);
+  if (last_worker_request_) status.workers_silence_ms = ms_since(*last_worker_request_);
   status.token = leadership_.token();
   status.follows = election_.leader() ? election_.leader()->revision : 0;
   if (leader_ && leader_->ready())
@@ -230,10 +232,10 @@
       if (known && (known->done > 0 || known->running > 0) && status.counts.size() < 2000)
         status.counts.push_back({id, known->done, known->running});
     }
-  mesh_.broadcast(status);
+  peer_network_.broadcast(status);
 }
 
-void Node::every_second() {
+void Node::schedule_second() {
   second_timer_.expires_after(std::chrono::seconds(1));
   second_timer_.async_wait([this, alive = alive_](const asio::error_code& error) {
     if (!*alive || error) return;
@@ -241,9 +243,9 @@
       if (*alive && (result.outcome == Outcome::ok || result.outcome == Outcome::not_found))
         store_answered_ = Clock::now();
     });
-    tell_siblings();
+    broadcast_status();
     share_sockets();
-    every_second();
+    schedule_second();
   });
 }
 
@@ -261,15 +263,15 @@
 // the time that it stays out afterwards.
 bool Node::healthy() const {
   const auto now = Clock::now();
-  if (!mirror_.synced()) return false;
+  if (!job_replica_.synced()) return false;
   if (now - store_answered_ < kStoreLost) return true;
-  bool any_heard = settings_.siblings.empty();
-  for (const auto& [member, view] : siblings_) {
-    if (now - view.heard > kStoreLost) continue;
-    any_heard = true;
+  bool any_responsive = settings_.peers.empty();
+  for (const auto& [member, view] : peer_views_) {
+    if (now - view.on_peer_status > kStoreLost) continue;
+    any_responsive = true;
     if (now - view.store_answered < kStoreLost) return false;
   }
-  return any_heard;
+  return any_responsive;
 }
 
 void Node::health(const net::Responder& respond) {
@@ -278,7 +280,7 @@
 }
 
 void Node::report(const net::Request& request, const net::Responder& respond) {
-  worker_came_ = Clock::now();
+  last_worker_request_ = Clock::now();
   if (leader_ && leader_->ready()) return leader_->handle_report(request, respond);
   const auto member = election_.current_member();
   if (!member.empty() && member != settings_.member)
--- a/src/node.hpp
+++ b/src/node.hpp
@@ -17,8 +17,8 @@
   Node& operator=(const Node&) = delete;
 
  private:
-  struct SiblingView {
-    core::TimePoint heard{};
+  struct PeerView {
+    core::TimePoint on_peer_status{};
     core::TimePoint store_answered{};
     std::uint64_t token = 0;
     // Under which key it led when our connection to it ended last; 0: it did not.
@@ -29,10 +29,10 @@
   void report(const net::Request& request, const net::Responder& respond);
   void health(const net::Responder& respond);
   bool healthy() const;
-  void every_second();
+  void schedule_second();
   void share_sockets();
-  void tell_siblings();
-  void heard(const mesh::Status& status);
+  void broadcast_status();
+  void on_peer_status(const peers::Status& status);
   void won();
   void lost();
   void fetch_catalog();
@@ -47,26 +47,26 @@
   config::Settings settings_;
   core::Tuning tuning_;
   config::HistorySettings history_;
-  std::unique_ptr<history::Keeper> keeper_;  // before the leader, which writes to it
+  std::unique_ptr<history::Recorder> recorder_;  // before the leader, which writes to it
   core::Leadership leadership_;
   store::StoreClient store_;
-  store::JobMirror mirror_;
+  store::JobReplica job_replica_;
   store::Election election_;
   cloud::CloudClient cloud_;
   api::UserApi users_;
-  std::optional<core::TimePoint> deaf_at_;  // before the leader, which refers to it
+  std::optional<core::TimePoint> isolated_at_;  // before the leader, which refers to it
   std::unique_ptr<Leader> leader_;
   std::vector<std::unique_ptr<Leader>> ended_;  // until their last callback has returned
   asio::steady_timer second_timer_;
   asio::steady_timer catalog_timer_;
   std::vector<core::MachineType> types_;
-  std::map<std::string, SiblingView> siblings_;
-  std::unordered_map<core::JobId, core::JobCounts> told_counts_;
+  std::map<std::string, PeerView> peer_views_;
+  std::unordered_map<core::JobId, core::JobCounts> reported_counts_;
   core::TimePoint started_;
   core::TimePoint store_answered_;
-  std::optional<core::TimePoint> worker_came_;  // last
+  std::optional<core::TimePoint> last_worker_request_;  // last
   bool catalog_saved_ = false;
-  mesh::Mesh mesh_;
+  peers::PeerNetwork peer_network_;
   net::HttpServer server_;
   std::unique_ptr<api::OperatorApi> operators_;  // null: not switched on
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/solver/model.cpp
+++ b/src/solver/model.cpp
@@ -25,7 +25,7 @@
          std::find(job.types.begin(), job.types.end(), machine.type) != job.types.end();
 }
 
-std::uint32_t most_in_zone(const Job& job) { return (job.tasks + 1) / 2; }
+std::uint32_t max_tasks_in_zone(const Job& job) { return (job.tasks + 1) / 2; }
 
 Placement homes(const Problem& problem, bool movable) {
   Placement out;
@@ -119,7 +119,8 @@
       return job.id + " runs whole or not at all";
     if (job.same_zone && zones.size() > 1) return job.id + " must be in one zone";
     for (const auto& [zone, here] : zones)
-      if (job.spread && here > most_in_zone(job)) return job.id + " has too many tasks in " + zone;
+      if (job.spread && here > max_tasks_in_zone(job))
+        return job.id + " has too many tasks in " + zone;
     used[job.team] += job.per_task * count;
   }
   for (std::size_t m = 0; m < problem.machines.size(); ++m)
--- a/src/solver/model.hpp
+++ b/src/solver/model.hpp
@@ -112,7 +112,7 @@
 
 bool allowed_on(const Job& job, const Machine& machine, const Relaxed& relaxed = {});
 // How many tasks of a spread job may be in one zone.
-std::uint32_t most_in_zone(const Job& job);
+std::uint32_t max_tasks_in_zone(const Job& job);
 // The placement as it is now; `movable` false: without what may be moved.
 Placement homes(const Problem& problem, bool movable = true);
 Score score_of(const Problem& problem, const Placement& placement);
--- a/src/solver/reasons.cpp
+++ b/src/solver/reasons.cpp
@@ -94,7 +94,8 @@
     case Reason::same_zone:
       return "its tasks must be in one zone";
     case Reason::spread:
-      return "at most " + std::to_string(most_in_zone(job)) + " of its tasks may be in one zone";
+      return "at most " + std::to_string(max_tasks_in_zone(job)) +
+             " of its tasks may be in one zone";
     case Reason::team_limit:
       return "team " + job.team + " would use more than it may";
   }
@@ -168,11 +169,12 @@
   out.no_machines = problem.machines.empty();
   const State empty(problem);
   out.impossible = !fits(empty, j);
-  const auto& looked_at = out.impossible ? empty : state;
-  if (out.no_machines || fits(looked_at, j)) return out;
+  const auto& note_inspections = out.impossible ? empty : state;
+  if (out.no_machines || fits(note_inspections, j)) return out;
   static const auto sets = sets_by_size();
-  const auto enough = std::find_if(
-      sets.begin(), sets.end(), [&](const auto& set) { return fits(looked_at, j, without(set)); });
+  const auto enough = std::find_if(sets.begin(), sets.end(), [&](const auto& set) {
+    return fits(note_inspections, j, without(set));
+  });
   if (enough != sets.end()) out.reasons = *enough;
   if (!out.impossible) out.remedy = remedy_of(problem, placement, j);
   return out;
--- a/src/solver/state.cpp
+++ b/src/solver/state.cpp
@@ -41,7 +41,7 @@
   const auto here = zones_[j][zone_[m]];
   if (job.same_zone && !relaxed.same_zone && here != placed_[j]) return 0;
   if (job.spread && !relaxed.spread)
-    most = std::min<std::int64_t>(most, std::int64_t{most_in_zone(job)} - here);
+    most = std::min<std::int64_t>(most, std::int64_t{max_tasks_in_zone(job)} - here);
   if (team_[j] && !relaxed.team) {
     const auto& limit = problem_->teams[*team_[j]].most;
     for (const auto r : {cpus, gpus})
--- a/src/standby/controller_settings.cpp
+++ b/src/standby/controller_settings.cpp
@@ -8,7 +8,7 @@
 
 core::ControllerSettings controller_settings(const config::Settings& settings,
                                              const core::Tuning& tuning, core::WallTime now,
-                                             bool resigns_when_deaf) {
+                                             bool resigns_when_isolated) {
   core::ControllerSettings out{settings.teams,
                                settings.workers,
                                tuning,
@@ -17,7 +17,7 @@
                                {},
                                {},
                                now,
-                               resigns_when_deaf,
+                               resigns_when_isolated,
                                {settings.max_sockets, settings.nodes()}};
   for (const auto& objective : settings.objectives) {
     if (objective.kind == "finished") out.aims.push_back({objective.job_class, objective.within});
--- a/src/standby/controller_settings.hpp
+++ b/src/standby/controller_settings.hpp
@@ -6,9 +6,9 @@
 
 namespace violetpulley::standby {
 
-// `resigns_when_deaf`: off for one that gave up for that lately.
+// `resigns_when_isolated`: off for one that gave up for that lately.
 core::ControllerSettings controller_settings(const config::Settings& settings,
                                              const core::Tuning& tuning, core::WallTime now,
-                                             bool resigns_when_deaf);
+                                             bool resigns_when_isolated);
 
 }  // namespace violetpulley::standby
--- a/src/standby/inheritance_reader.cpp
+++ b/src/standby/inheritance_reader.cpp
@@ -13,16 +13,19 @@
 using store::Outcome;
 using store::Urgency;
 
-InheritanceReader::InheritanceReader(asio::io_context& io, core::Token token, bool records_starts,
-                                     store::StoreClient& store, store::LeaderWriter& writer,
-                                     store::JobMirror& mirror, store::Briefing& briefing,
-                                     store::Election& election, TakeoverSteps& steps, Done done)
+RecoveredStateReader::RecoveredStateReader(asio::io_context& io, core::FencingToken token,
+                                           bool records_starts, store::StoreClient& store,
+                                           store::LeaderWriter& writer,
+                                           store::JobReplica& job_replica,
+                                           store::ReadBarrierLoop& read_barriers,
+                                           store::Election& election, FailoverTimeline& steps,
+                                           Done done)
     : token_(token),
       records_starts_(records_starts),
       store_(store),
       writer_(writer),
-      mirror_(mirror),
-      briefing_(briefing),
+      job_replica_(job_replica),
+      read_barriers_(read_barriers),
       election_(election),
       steps_(steps),
       done_(std::move(done)),
@@ -30,7 +33,7 @@
   read();
 }
 
-void InheritanceReader::read_again() {
+void RecoveredStateReader::read_again() {
   steps_.again();
   again_.expires_after(std::chrono::milliseconds(200));
   again_.async_wait([this, alive = alive_](const asio::error_code& error) {
@@ -40,47 +43,46 @@
 
 // Every read here is sent after the key was won, so an older leader's conditioned writes are
 // either in it or will fail.
-void InheritanceReader::read() {
-  std::vector<store::PagedRecords*> books{&writer_.machines(), &writer_.rented(),
-                                          &writer_.progress()};
-  if (records_starts_) books.push_back(&writer_.placed());
-  read_pages(std::move(books), {});
+void RecoveredStateReader::read() {
+  std::vector<store::PagedRecords*> tables{&writer_.machines(), &writer_.rented(),
+                                           &writer_.progress()};
+  if (records_starts_) tables.push_back(&writer_.placed());
+  read_pages(std::move(tables), {});
 }
 
-void InheritanceReader::read_pages(std::vector<store::PagedRecords*> books,
-                                   std::vector<std::vector<store::Item>> pages) {
-  if (pages.size() < books.size()) {
-    store_.list(books[pages.size()]->prefix(), Urgency::safety,
-                [this, alive = alive_, books, pages](store::ListResult result) mutable {
+void RecoveredStateReader::read_pages(std::vector<store::PagedRecords*> tables,
+                                      std::vector<std::vector<store::Item>> pages) {
+  if (pages.size() < tables.size()) {
+    store_.list(tables[pages.size()]->prefix(), Urgency::safety,
+                [this, alive = alive_, tables, pages](store::ListResult result) mutable {
                   if (!*alive) return;
                   if (result.outcome != Outcome::ok) return read_again();
                   pages.push_back(std::move(result.items));
-                  read_pages(std::move(books), std::move(pages));
+                  read_pages(std::move(tables), std::move(pages));
                 });
     return;
   }
   steps_.note(Step::pages_read, Clock::now());
-  inheritance_ = {};
+  recovered_ = {};
   std::set<core::MachineId> known;
   const auto machine = [&](const std::string& id, const Json& value) {
     // A machine that came up is registered before its rental's record goes.
-    if (known.insert(id).second)
-      inheritance_.machines.push_back(store::machine_from_json(id, value));
+    if (known.insert(id).second) recovered_.machines.push_back(store::machine_from_json(id, value));
     return store::kMachineBytes;
   };
   try {
-    for (const auto& page : pages[0]) books[0]->load(page, machine);
-    for (const auto& page : pages[1]) books[1]->load(page, machine);
+    for (const auto& page : pages[0]) tables[0]->load(page, machine);
+    for (const auto& page : pages[1]) tables[1]->load(page, machine);
     for (const auto& page : pages[2])
-      books[2]->load(page, [&](const std::string& name, const Json& value) {
-        inheritance_.progress.push_back(store::progress_from_json(name, value));
+      tables[2]->load(page, [&](const std::string& name, const Json& value) {
+        recovered_.progress.push_back(store::progress_from_json(name, value));
         return store::progress_bytes(name, value.at(2).get<std::size_t>());
       });
     if (pages.size() > 3)
       for (const auto& page : pages[3])
-        books[3]->load(page, [&](const std::string& job, const Json& value) {
-          inheritance_.placements.push_back(store::placements_from_json(job, value));
-          return store::placements_bytes(inheritance_.placements.back());
+        tables[3]->load(page, [&](const std::string& job, const Json& value) {
+          recovered_.placements.push_back(store::placements_from_json(job, value));
+          return store::placements_bytes(recovered_.placements.back());
         });
   } catch (const std::exception& problem) {
     spdlog::error("records of an earlier leader cannot be read: {}", problem.what());
@@ -91,7 +93,7 @@
 
 // The mark says that the records tell of every start of gangs and services. A leader that does not
 // write them takes it away before anything else.
-void InheritanceReader::read_mark() {
+void RecoveredStateReader::read_mark() {
   store_.get(store::kPlacementsMark, Urgency::safety,
              [this, alive = alive_](store::GetResult result) {
                if (!*alive) return;
@@ -99,12 +101,12 @@
                  return read_again();
                const bool marked = result.outcome == Outcome::ok;
                if (marked && !records_starts_) return clear_mark();
-               inheritance_.placements_marked = marked;
+               recovered_.placements_marked = marked;
                read_jobs();
              });
 }
 
-void InheritanceReader::clear_mark() {
+void RecoveredStateReader::clear_mark() {
   store_.commit({{{"leader", token_}}, {{store::kPlacementsMark, std::nullopt, std::nullopt}}},
                 Urgency::safety, [this, alive = alive_](const store::TransactionResult& result) {
                   if (!*alive) return;
@@ -113,17 +115,17 @@
                 });
 }
 
-void InheritanceReader::read_jobs() {
-  briefing_.ask([this, alive = alive_](bool fresh) {
+void RecoveredStateReader::read_jobs() {
+  read_barriers_.ask([this, alive = alive_](bool fresh) {
     if (!*alive) return;
-    if (!fresh || mirror_.revision() < token_) return read_again();
+    if (!fresh || job_replica_.revision() < token_) return read_again();
     steps_.note(Step::jobs_read, Clock::now());
-    for (const auto& [id, record] : mirror_.jobs()) inheritance_.jobs.push_back(record);
+    for (const auto& [id, record] : job_replica_.jobs()) recovered_.jobs.push_back(record);
     election_.prove([this, alive](bool ours) {
       if (!*alive) return;
       if (!ours) return read_again();
       steps_.note(Step::proved, Clock::now());
-      done_(std::move(inheritance_));
+      done_(std::move(recovered_));
     });
   });
 }
--- a/src/standby/inheritance_reader.hpp
+++ b/src/standby/inheritance_reader.hpp
@@ -12,42 +12,42 @@
 
 namespace violetpulley::standby {
 
-class InheritanceReader {
+class RecoveredStateReader {
  public:
   // Called once, with what was read.
-  using Done = std::function<void(core::Inheritance)>;
+  using Done = std::function<void(core::RecoveredState)>;
 
   // `records_starts`: this leader records where gangs and services may be; otherwise the mark that
   // says so is taken away first.
-  InheritanceReader(asio::io_context& io, core::Token token, bool records_starts,
-                    store::StoreClient& store, store::LeaderWriter& writer,
-                    store::JobMirror& mirror, store::Briefing& briefing, store::Election& election,
-                    TakeoverSteps& steps, Done done);
-  ~InheritanceReader() { *alive_ = false; }
-  InheritanceReader(const InheritanceReader&) = delete;
-  InheritanceReader& operator=(const InheritanceReader&) = delete;
+  RecoveredStateReader(asio::io_context& io, core::FencingToken token, bool records_starts,
+                       store::StoreClient& store, store::LeaderWriter& writer,
+                       store::JobReplica& job_replica, store::ReadBarrierLoop& read_barriers,
+                       store::Election& election, FailoverTimeline& steps, Done done);
+  ~RecoveredStateReader() { *alive_ = false; }
+  RecoveredStateReader(const RecoveredStateReader&) = delete;
+  RecoveredStateReader& operator=(const RecoveredStateReader&) = delete;
 
  private:
   void read();
   void read_again();
-  void read_pages(std::vector<store::PagedRecords*> books,
+  void read_pages(std::vector<store::PagedRecords*> tables,
                   std::vector<std::vector<store::Item>> pages);
   void read_mark();
   void clear_mark();
   void read_jobs();
 
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  core::Token token_;
+  core::FencingToken token_;
   bool records_starts_;
   store::StoreClient& store_;
   store::LeaderWriter& writer_;
-  store::JobMirror& mirror_;
-  store::Briefing& briefing_;
+  store::JobReplica& job_replica_;
+  store::ReadBarrierLoop& read_barriers_;
   store::Election& election_;
-  TakeoverSteps& steps_;
+  FailoverTimeline& steps_;
   Done done_;
   asio::steady_timer again_;
-  core::Inheritance inheritance_;
+  core::RecoveredState recovered_;
 };
 
 }  // namespace violetpulley::standby
--- a/src/standby/takeover_steps.cpp
+++ b/src/standby/takeover_steps.cpp
@@ -4,7 +4,7 @@
 
 namespace violetpulley::standby {
 
-std::string TakeoverSteps::text() const {
+std::string FailoverTimeline::text() const {
   static constexpr std::array<const char*, kSteps> kNames{
       "pages_read",   "jobs_read",     "proved",      "core_built", "first_order",
       "first_answer", "younger_start", "older_start", "reckoned"};
--- a/src/standby/takeover_steps.hpp
+++ b/src/standby/takeover_steps.hpp
@@ -11,21 +11,21 @@
 namespace violetpulley::standby {
 
 enum class Step : std::uint8_t {
-  pages_read,     // machines, rented, progress, placements
-  jobs_read,      // the mirror holds everything up to the key
-  proved,         // the key was still ours after all of that was read
-  core_built,     // decisions may be made
-  first_order,    // sent to a machine
-  first_answer,   // a machine is confirmed
-  younger_start,  // of a task accepted after the key
-  older_start,    // of one accepted before it
-  reckoned,       // every machine is accounted for
+  pages_read,                 // machines, rented, progress, placements
+  jobs_read,                  // the mirror holds everything up to the key
+  proved,                     // the key was still ours after all of that was read
+  core_built,                 // decisions may be made
+  first_command,              // sent to a machine
+  first_answer,               // a machine is confirmed
+  first_start_of_newer_task,  // of a task accepted after the key
+  first_start_of_older_task,  // of one accepted before it
+  reconciled,                 // every machine is accounted for
 };
 inline constexpr std::size_t kSteps = 9;
 
-class TakeoverSteps {
+class FailoverTimeline {
  public:
-  explicit TakeoverSteps(core::TimePoint key) : key_(key) {}
+  explicit FailoverTimeline(core::TimePoint key) : key_(key) {}
 
   void note(Step step, core::TimePoint now) {
     auto& at = at_[static_cast<std::size_t>(step)];
--- a/src/store/belief_store.cpp
+++ b/src/store/belief_store.cpp
@@ -14,10 +14,10 @@
 constexpr int kVersion = 1;
 constexpr std::size_t kMostPieces = 6;
 constexpr int kVariant = sodium_base64_VARIANT_ORIGINAL;
-const std::string kHead = kBeliefPrefix + "head";
+const std::string kHead = kLearnedStatePrefix + "head";
 
 std::string piece_key(const std::string& slot, std::size_t number) {
-  return kBeliefPrefix + slot + "/" + std::to_string(number);
+  return kLearnedStatePrefix + slot + "/" + std::to_string(number);
 }
 
 std::string to_base64(std::string_view bytes) {
@@ -39,7 +39,8 @@
 }
 
 // Signs the set with its token, so that a set of another leader cannot take its place.
-std::string tag_of(const std::string& bytes, core::Token token, const BeliefSettings& settings) {
+std::string tag_of(const std::string& bytes, core::FencingToken token,
+                   const LearnedStateSettings& settings) {
   if (!settings.key) return "";
   history::Chain chain(settings.key);
   chain.extend(std::to_string(token));
@@ -48,26 +49,26 @@
 
 // What is worth least goes first: jobs of which only the time is known, which the job itself tells
 // nearly as well.
-void shorten(core::Beliefs& beliefs) {
-  const auto plain = [](const core::JobBelief& job) {
+void shorten(core::LearnedState& learned_state) {
+  const auto plain = [](const core::LearnedJob& job) {
     return job.saved.empty() && job.failed_on.empty() && job.failures == 0;
   };
-  const auto kept = std::stable_partition(beliefs.jobs.begin(), beliefs.jobs.end(),
+  const auto kept = std::stable_partition(learned_state.jobs.begin(), learned_state.jobs.end(),
                                           [&](const auto& job) { return !plain(job); });
-  if (kept != beliefs.jobs.end())
-    beliefs.jobs.erase(kept, beliefs.jobs.end());
+  if (kept != learned_state.jobs.end())
+    learned_state.jobs.erase(kept, learned_state.jobs.end());
   else
-    beliefs.jobs.resize(beliefs.jobs.size() / 2);
+    learned_state.jobs.resize(learned_state.jobs.size() / 2);
 }
 
 }  // namespace
 
-BeliefWrites encode_beliefs(const core::Beliefs& beliefs, const std::string& slot,
-                            core::Token token, const BeliefSettings& settings) {
-  auto bytes = history::packed(beliefs);
+BeliefWrites encode_beliefs(const core::LearnedState& learned_state, const std::string& slot,
+                            core::FencingToken token, const LearnedStateSettings& settings) {
+  auto bytes = history::packed(learned_state);
   const auto piece = settings.value_bytes * 3 / 4;
   if (bytes.size() > piece * kMostPieces) {
-    auto shorter = beliefs;
+    auto shorter = learned_state;
     while (bytes.size() > piece * kMostPieces && !shorter.jobs.empty()) {
       shorten(shorter);
       bytes = history::packed(shorter);
@@ -89,9 +90,9 @@
   return out;
 }
 
-DecodedBeliefs decode_beliefs(const std::vector<Item>& items, const BeliefSettings& settings,
-                              core::WallTime wall) {
-  DecodedBeliefs out;
+DecodedLearnedState decode_beliefs(const std::vector<Item>& items,
+                                   const LearnedStateSettings& settings, core::WallTime wall) {
+  DecodedLearnedState out;
   std::map<std::string, const Json*> values;
   for (const auto& item : items) values[item.key] = &item.value;
   const auto head = values.find(kHead);
@@ -118,25 +119,25 @@
     }
     if (history::hex(history::Digest::of_bytes(bytes)) != fields.at("sum").get<std::string>())
       out.problem = "the checksum is wrong";
-    else if (settings.key && tag_of(bytes, fields.at("token").get<core::Token>(), settings) !=
-                                 fields.at("tag").get<std::string>())
+    else if (settings.key && tag_of(bytes, fields.at("token").get<core::FencingToken>(),
+                                    settings) != fields.at("tag").get<std::string>())
       out.problem = "the MAC is wrong";
     if (!out.problem.empty()) return out;
-    out.beliefs = history::unpacked<core::Beliefs>(bytes);
+    out.learned_state = history::unpacked<core::LearnedState>(bytes);
   } catch (const std::exception& problem) {
     out.problem = problem.what();
     return out;
   }
-  if (out.beliefs->elapsed(wall) > settings.most_age) {
+  if (out.learned_state->elapsed(wall) > settings.most_age) {
     out.problem = "too old";
-    out.beliefs.reset();
+    out.learned_state.reset();
   }
   return out;
 }
 
-void BeliefStore::load(core::WallTime wall,
-                       std::function<void(std::optional<core::Beliefs>)> done) {
-  store_.list(kBeliefPrefix, Urgency::safety,
+void LearnedStateStore::load(core::WallTime wall,
+                             std::function<void(std::optional<core::LearnedState>)> done) {
+  store_.list(kLearnedStatePrefix, Urgency::safety,
               [this, wall, alive = alive_, done = std::move(done)](ListResult result) {
                 if (!*alive) return;
                 if (result.outcome != Outcome::ok) {
@@ -147,24 +148,24 @@
                 if (!decoded.problem.empty())
                   spdlog::error("beliefs of the last leader are not used: {}", decoded.problem);
                 if (!decoded.slot.empty()) slot_ = decoded.slot;
-                done(std::move(decoded.beliefs));
+                done(std::move(decoded.learned_state));
               });
 }
 
-bool BeliefStore::due(core::TimePoint now) const {
+bool LearnedStateStore::due(core::TimePoint now) const {
   if (in_flight_ || !store_.idle()) return false;
   return !last_ || now - *last_ >= core::to_duration(settings_.every);
 }
 
-void BeliefStore::save(const core::Beliefs& beliefs, core::TimePoint now) {
+void LearnedStateStore::save(const core::LearnedState& learned_state, core::TimePoint now) {
   last_ = now;
   in_flight_ = true;
   slot_ = slot_ == "a" ? "b" : "a";
-  send(std::make_shared<BeliefWrites>(encode_beliefs(beliefs, slot_, token_, settings_)), 0);
+  send(std::make_shared<BeliefWrites>(encode_beliefs(learned_state, slot_, token_, settings_)), 0);
 }
 
 // A piece a transaction: they are small changes that anything else may come between. The head last.
-void BeliefStore::send(std::shared_ptr<BeliefWrites> writes, std::size_t from) {
+void LearnedStateStore::send(std::shared_ptr<BeliefWrites> writes, std::size_t from) {
   const bool head = from == writes->pieces.size();
   Transaction transaction{{}, {head ? writes->head : writes->pieces[from]}};
   writer_.commit(std::move(transaction),
--- a/src/store/belief_store.hpp
+++ b/src/store/belief_store.hpp
@@ -14,14 +14,14 @@
 
 namespace violetpulley::store {
 
-struct BeliefSettings {
+struct LearnedStateSettings {
   std::optional<history::Key> key;
   core::Seconds every{30};
   core::Seconds most_age{3600};
   std::size_t value_bytes = 14 * 1024;  // of one key's value
 };
 
-inline const std::string kBeliefPrefix = "belief/";
+inline const std::string kLearnedStatePrefix = "belief/";
 
 // The writes of one set: pieces first, in any number of transactions, then the head.
 struct BeliefWrites {
@@ -29,40 +29,41 @@
   Write head;
 };
 // Leaves out what is least worth if it would take more than `kMostPieces` values.
-BeliefWrites encode_beliefs(const core::Beliefs& beliefs, const std::string& slot,
-                            core::Token token, const BeliefSettings& settings);
+BeliefWrites encode_beliefs(const core::LearnedState& learned_state, const std::string& slot,
+                            core::FencingToken token, const LearnedStateSettings& settings);
 
-struct DecodedBeliefs {
-  std::optional<core::Beliefs> beliefs;
+struct DecodedLearnedState {
+  std::optional<core::LearnedState> learned_state;
   std::string slot;     // of the newest set
   std::string problem;  // why there are none, although something is there
 };
 // `items`: all below `belief/`. `wall`: the time of day now.
-DecodedBeliefs decode_beliefs(const std::vector<Item>& items, const BeliefSettings& settings,
-                              core::WallTime wall);
+DecodedLearnedState decode_beliefs(const std::vector<Item>& items,
+                                   const LearnedStateSettings& settings, core::WallTime wall);
 
-class BeliefStore {
+class LearnedStateStore {
  public:
-  BeliefStore(StoreClient& store, LeaderWriter& writer, core::Token token, BeliefSettings settings)
+  LearnedStateStore(StoreClient& store, LeaderWriter& writer, core::FencingToken token,
+                    LearnedStateSettings settings)
       : store_(store), writer_(writer), token_(token), settings_(std::move(settings)) {}
-  ~BeliefStore() { *alive_ = false; }
-  BeliefStore(const BeliefStore&) = delete;
-  BeliefStore& operator=(const BeliefStore&) = delete;
+  ~LearnedStateStore() { *alive_ = false; }
+  LearnedStateStore(const LearnedStateStore&) = delete;
+  LearnedStateStore& operator=(const LearnedStateStore&) = delete;
 
   // Reads what the last leader left; `done` is called with nothing too.
-  void load(core::WallTime wall, std::function<void(std::optional<core::Beliefs>)> done);
+  void load(core::WallTime wall, std::function<void(std::optional<core::LearnedState>)> done);
 
   // Whether a set should be written now: it is time and nothing else waits for the store.
   bool due(core::TimePoint now) const;
-  void save(const core::Beliefs& beliefs, core::TimePoint now);
+  void save(const core::LearnedState& learned_state, core::TimePoint now);
 
  private:
   void send(std::shared_ptr<BeliefWrites> writes, std::size_t from);
 
   StoreClient& store_;
   LeaderWriter& writer_;
-  core::Token token_;
-  BeliefSettings settings_;
+  core::FencingToken token_;
+  LearnedStateSettings settings_;
   std::string slot_ = "b";
   bool in_flight_ = false;
   std::optional<core::TimePoint> last_;
--- a/src/store/briefing.cpp
+++ b/src/store/briefing.cpp
@@ -8,22 +8,24 @@
 
 using core::Clock;
 
-Briefing::Briefing(asio::io_context& io, core::Leadership& leadership, JobMirror& mirror)
-    : leadership_(leadership), mirror_(mirror), token_(leadership.token()), timer_(io) {}
+ReadBarrierLoop::ReadBarrierLoop(asio::io_context& io, core::Leadership& leadership,
+                                 JobReplica& job_replica)
+    : leadership_(leadership), job_replica_(job_replica), token_(leadership.token()), timer_(io) {}
 
 // Counted from before the request goes out: a cancellation that is confirmed while it is on its way
 // may not be in its answer.
-void Briefing::ask(std::function<void(bool)> done) {
+void ReadBarrierLoop::ask(std::function<void(bool)> done) {
   const auto sent = Clock::now();
-  mirror_.barrier(Urgency::safety,
-                  [this, sent, done = std::move(done), alive = alive_](bool fresh) {
-                    if (!*alive) return;
-                    if (fresh && leadership_.token() == token_) leadership_.informed(sent);
-                    done(fresh);
-                  });
+  job_replica_.barrier(Urgency::safety,
+                       [this, sent, done = std::move(done), alive = alive_](bool fresh) {
+                         if (!*alive) return;
+                         if (fresh && leadership_.token() == token_)
+                           leadership_.record_read_barrier(sent);
+                         done(fresh);
+                       });
 }
 
-void Briefing::keep() {
+void ReadBarrierLoop::keep() {
   ask([this](bool fresh) {
     tell(Clock::now());
     timer_.expires_after(fresh ? kRenewEvery : kRenewAgain);
@@ -33,7 +35,7 @@
   });
 }
 
-void Briefing::tell(core::TimePoint now) {
+void ReadBarrierLoop::tell(core::TimePoint now) {
   const bool serving = leadership_.may_serve(now);
   if (serving == serving_ || leadership_.token() != token_) return;
   serving_ = serving;
@@ -43,8 +45,8 @@
   spdlog::warn(
       "reports are not answered and nothing starts: news of cancellations are {:.1f} s old, the "
       "leader key was last known to be ours {:.1f} s ago, and {:.1f} s are allowed",
-      leadership_.informed() ? ago(*leadership_.informed()) : 0.0, ago(leadership_.contact()),
-      leadership_.serving_time().count());
+      leadership_.fresh_until() ? ago(*leadership_.fresh_until()) : 0.0,
+      ago(leadership_.last_proven()), leadership_.serving_time().count());
 }
 
 }  // namespace violetpulley::store
--- a/src/store/briefing.hpp
+++ b/src/store/briefing.hpp
@@ -9,12 +9,12 @@
 
 namespace violetpulley::store {
 
-class Briefing {
+class ReadBarrierLoop {
  public:
-  Briefing(asio::io_context& io, core::Leadership& leadership, JobMirror& mirror);
-  ~Briefing() { *alive_ = false; }
-  Briefing(const Briefing&) = delete;
-  Briefing& operator=(const Briefing&) = delete;
+  ReadBarrierLoop(asio::io_context& io, core::Leadership& leadership, JobReplica& job_replica);
+  ~ReadBarrierLoop() { *alive_ = false; }
+  ReadBarrierLoop(const ReadBarrierLoop&) = delete;
+  ReadBarrierLoop& operator=(const ReadBarrierLoop&) = delete;
 
   // One barrier now. True: the mirror is not older than this call, and the leadership knows it.
   void ask(std::function<void(bool)> done);
@@ -26,8 +26,8 @@
   void tell(core::TimePoint now);
 
   core::Leadership& leadership_;
-  JobMirror& mirror_;
-  core::Token token_;
+  JobReplica& job_replica_;
+  core::FencingToken token_;
   asio::steady_timer timer_;
   bool serving_ = true;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/store/election.cpp
+++ b/src/store/election.cpp
@@ -8,17 +8,17 @@
 using std::chrono::milliseconds;
 
 namespace {
-constexpr milliseconds kHoldTime{3000};
+constexpr milliseconds kLeaseTime{3000};
 constexpr milliseconds kWatchBlock{8000};
 const std::string kKey = "leader";
 }  // namespace
 
 Election::Election(asio::io_context& io, StoreClient& store, core::Leadership& leadership,
-                   std::string member, std::string mesh_address, Events events, std::uint64_t seed)
+                   std::string member, std::string peer_address, Events events, std::uint64_t seed)
     : store_(store),
       leadership_(leadership),
       member_(std::move(member)),
-      mesh_address_(std::move(mesh_address)),
+      peer_address_(std::move(peer_address)),
       events_(std::move(events)),
       renew_timer_(io),
       watch_timer_(io),
@@ -52,7 +52,7 @@
         }
       apply(value, revision);
     }
-    if (!leader_) stand();
+    if (!leader_) campaign();
     watch();
   });
 }
@@ -68,7 +68,7 @@
                      if (change.key == kKey && change.revision > seen_)
                        apply(change.value, change.revision);
                    seen_ = std::max(seen_, result.revision);
-                   if (!leader_) stand();
+                   if (!leader_) campaign();
                    watch();
                  });
 }
@@ -84,7 +84,7 @@
       leader_ = LeaderInfo{"", "", 0, revision};
     }
     if (leadership_.leading() && revision > leadership_.token()) lose("another node leads");
-    end_former_life();
+    revoke_previous_incarnation();
   } else {
     leader_.reset();
     if (leadership_.leading() && revision > leadership_.token()) lose("the leader key is gone");
@@ -96,64 +96,66 @@
 // of a former life, whose process has ended, or was written by a request of ours that was given up.
 // Nobody leads until that hold has run out, so it is ended at once: a process that was back within
 // a fraction of a second used to lock everybody out for the hold's full time.
-void Election::end_former_life() {
+void Election::revoke_previous_incarnation() {
   if (!leader_ || leader_->member != member_ || leadership_.leading()) return;
-  if (leader_->hold == standing_hold_) return;  // written just now; its answer is on its way
+  if (leader_->lease == candidate_lease_) return;  // written just now; its answer is on its way
   spdlog::info("the leader key of revision {} is of a former life of this controller: ending it",
                leader_->revision);
-  store_.end_hold(leader_->hold);
+  store_.revoke_lease(leader_->lease);
 }
 
-void Election::stand() {
-  if (standing_ || leadership_.leading()) return;
+void Election::campaign() {
+  if (campaigning_ || leadership_.leading()) return;
   const auto now = Clock::now();
-  if (now < stand_back_until_) {
-    renew_timer_.expires_at(stand_back_until_);
+  if (now < no_campaign_before_) {
+    renew_timer_.expires_at(no_campaign_before_);
     renew_timer_.async_wait([this, alive = alive_](const asio::error_code& error) {
-      if (*alive && !error && !leader_) stand();
+      if (*alive && !error && !leader_) campaign();
     });
     return;
   }
-  standing_ = true;
+  campaigning_ = true;
   const auto again = [this] {
-    standing_ = false;
+    campaigning_ = false;
     std::uniform_int_distribution<long> jitter(100, 300);
     renew_timer_.expires_after(milliseconds(jitter(random_)));
     renew_timer_.async_wait([this, alive = alive_](const asio::error_code& error) {
-      if (*alive && !error && !leader_) stand();
+      if (*alive && !error && !leader_) campaign();
     });
   };
-  store_.create_hold(kHoldTime, [this, again, alive = alive_](Outcome outcome, std::uint64_t hold) {
-    if (!*alive) return;
-    if (outcome != Outcome::ok) return again();
-    if (leader_) {
-      standing_ = false;
-      return store_.end_hold(hold);
-    }
-    const auto sent = Clock::now();
-    standing_hold_ = hold;
-    Transaction create{
-        {{kKey, 0}},
-        {{kKey, Json{{"member", member_}, {"mesh", mesh_address_}, {"hold", hold}}, hold}}};
-    store_.commit(create, Urgency::safety,
-                  [this, again, hold, sent, alive](TransactionResult result) {
-                    if (!*alive) return;
-                    standing_hold_ = 0;
-                    if (result.outcome != Outcome::ok) {
-                      // Without an answer the key may exist under this hold: end it with the hold.
-                      store_.end_hold(hold);
-                      return again();
-                    }
-                    standing_ = false;
-                    last_answer_ = Clock::now();
-                    leadership_.won(result.revision, hold, sent);
-                    leader_ = LeaderInfo{member_, mesh_address_, hold, result.revision};
-                    spdlog::info("won leadership: token {}", result.revision);
-                    renew_later(kRenewEvery);
-                    events_.leader_changed();
-                    events_.won();
-                  });
-  });
+  store_.create_lease(
+      kLeaseTime, [this, again, alive = alive_](Outcome outcome, std::uint64_t lease) {
+        if (!*alive) return;
+        if (outcome != Outcome::ok) return again();
+        if (leader_) {
+          campaigning_ = false;
+          return store_.revoke_lease(lease);
+        }
+        const auto sent = Clock::now();
+        candidate_lease_ = lease;
+        Transaction create{
+            {{kKey, 0}},
+            {{kKey, Json{{"member", member_}, {"mesh", peer_address_}, {"hold", lease}}, lease}}};
+        store_.commit(create, Urgency::safety,
+                      [this, again, lease, sent, alive](TransactionResult result) {
+                        if (!*alive) return;
+                        candidate_lease_ = 0;
+                        if (result.outcome != Outcome::ok) {
+                          // Without an answer the key may exist under this hold: end it with the
+                          // hold.
+                          store_.revoke_lease(lease);
+                          return again();
+                        }
+                        campaigning_ = false;
+                        last_answer_ = Clock::now();
+                        leadership_.won(result.revision, lease, sent);
+                        leader_ = LeaderInfo{member_, peer_address_, lease, result.revision};
+                        spdlog::info("won leadership: token {}", result.revision);
+                        renew_later(kRenewEvery);
+                        events_.leader_changed();
+                        events_.won();
+                      });
+      });
 }
 
 void Election::renew_later(milliseconds wait) {
@@ -166,15 +168,16 @@
 void Election::renew() {
   const auto sent = Clock::now();
   const auto token = leadership_.token();
-  store_.extend_hold(leadership_.hold(), [this, sent, token, alive = alive_](Outcome outcome) {
-    if (!*alive || leadership_.token() != token) return;
-    if (outcome == Outcome::not_found) return lose("its hold has run out");
-    if (outcome == Outcome::ok) {
-      leadership_.proved(sent);
-      last_answer_ = Clock::now();
-    }
-    renew_later(outcome == Outcome::ok ? kRenewEvery : kRenewAgain);
-  });
+  store_.extend_lease(leadership_.store_lease(),
+                      [this, sent, token, alive = alive_](Outcome outcome) {
+                        if (!*alive || leadership_.token() != token) return;
+                        if (outcome == Outcome::not_found) return lose("its hold has run out");
+                        if (outcome == Outcome::ok) {
+                          leadership_.record_proof(sent);
+                          last_answer_ = Clock::now();
+                        }
+                        renew_later(outcome == Outcome::ok ? kRenewEvery : kRenewAgain);
+                      });
 }
 
 void Election::prove(std::function<void(bool)> done) {
@@ -185,7 +188,7 @@
                if (!*alive) return;
                const bool ours = result.outcome == Outcome::ok && token != 0 &&
                                  result.item.revision == token && leadership_.token() == token;
-               if (ours) leadership_.proved(sent);
+               if (ours) leadership_.record_proof(sent);
                done(ours);
              });
 }
@@ -199,18 +202,18 @@
   events_.lost(cause);
 }
 
-void Election::resign(const std::string& cause, milliseconds stand_back) {
+void Election::resign(const std::string& cause, milliseconds campaign_pause) {
   if (!leadership_.leading()) return;
-  stand_back_until_ = Clock::now() + stand_back;
-  const auto hold = leadership_.hold();
+  no_campaign_before_ = Clock::now() + campaign_pause;
+  const auto lease = leadership_.store_lease();
   lose(cause);
-  store_.end_hold(hold);
+  store_.revoke_lease(lease);
 }
 
-void Election::end_hold_of(const std::string& member, Revision led_by) {
+void Election::revoke_lease_of(const std::string& member, Revision led_by) {
   if (led_by == 0 || this->led_by(member) != led_by || member == member_) return;
   spdlog::info("leader {} is gone: ending its hold", member);
-  store_.end_hold(leader_->hold);
+  store_.revoke_lease(leader_->lease);
 }
 
 }  // namespace violetpulley::store
--- a/src/store/election.hpp
+++ b/src/store/election.hpp
@@ -12,8 +12,8 @@
 
 struct LeaderInfo {
   std::string member;
-  std::string mesh_address;
-  std::uint64_t hold = 0;
+  std::string peer_address;
+  std::uint64_t lease = 0;
   Revision revision = 0;
 };
 
@@ -26,14 +26,14 @@
   };
 
   Election(asio::io_context& io, StoreClient& store, core::Leadership& leadership,
-           std::string member, std::string mesh_address, Events events, std::uint64_t seed);
+           std::string member, std::string peer_address, Events events, std::uint64_t seed);
   ~Election();
   Election(const Election&) = delete;
   Election& operator=(const Election&) = delete;
 
   void start();
   // Gives the key up and stands back for a while.
-  void resign(const std::string& cause, std::chrono::milliseconds stand_back);
+  void resign(const std::string& cause, std::chrono::milliseconds campaign_pause);
   // Reads the leader key: its success proves leadership as of the sending.
   void prove(std::function<void(bool)> done);
   // The revision of the key under which this member leads, as far as is known; 0: it does not.
@@ -42,7 +42,7 @@
   }
   // The process that led under this revision is gone for sure: end its hold instead of waiting for
   // it to run out. A later life of it, with a key of its own, is left alone.
-  void end_hold_of(const std::string& member, Revision led_by);
+  void revoke_lease_of(const std::string& member, Revision led_by);
 
   const std::optional<LeaderInfo>& leader() const { return leader_; }
   // When the store last answered anything about leadership.
@@ -53,8 +53,8 @@
   void reload();
   void watch();
   void apply(const std::optional<Json>& value, Revision revision);
-  void end_former_life();
-  void stand();
+  void revoke_previous_incarnation();
+  void campaign();
   void renew();
   void renew_later(std::chrono::milliseconds wait);
   void lose(const std::string& cause);
@@ -63,16 +63,16 @@
   StoreClient& store_;
   core::Leadership& leadership_;
   std::string member_;
-  std::string mesh_address_;
+  std::string peer_address_;
   Events events_;
   asio::steady_timer renew_timer_;
   asio::steady_timer watch_timer_;
   std::mt19937_64 random_;
   std::optional<LeaderInfo> leader_;
   Revision seen_ = 0;
-  bool standing_ = false;
-  std::uint64_t standing_hold_ = 0;  // of the key that is being written; 0: none
-  core::TimePoint stand_back_until_{};
+  bool campaigning_ = false;
+  std::uint64_t candidate_lease_ = 0;  // of the key that is being written; 0: none
+  core::TimePoint no_campaign_before_{};
   core::TimePoint last_answer_{};
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/store/job_mirror.cpp
+++ b/src/store/job_mirror.cpp
@@ -16,24 +16,24 @@
 constexpr std::size_t kPrefixSize = 4;
 }  // namespace
 
-JobMirror::JobMirror(asio::io_context& io, StoreClient& store, Events events)
+JobReplica::JobReplica(asio::io_context& io, StoreClient& store, Events events)
     : store_(store), events_(std::move(events)), retry_timer_(io), barrier_timer_(io) {}
 
-JobMirror::~JobMirror() { *alive_ = false; }
+JobReplica::~JobReplica() { *alive_ = false; }
 
-const core::JobRecord* JobMirror::find(const core::JobId& id) const {
+const core::JobRecord* JobReplica::find(const core::JobId& id) const {
   const auto found = jobs_.find(id);
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-void JobMirror::retry_reload() {
+void JobReplica::retry_reload() {
   retry_timer_.expires_after(milliseconds(300));
   retry_timer_.async_wait([this, alive = alive_](const asio::error_code& error) {
     if (*alive && !error) reload();
   });
 }
 
-void JobMirror::reload() {
+void JobReplica::reload() {
   store_.list(kJobPrefix, Urgency::safety, [this, alive = alive_](ListResult result) {
     if (!*alive) return;
     if (result.outcome != Outcome::ok) return retry_reload();
@@ -57,18 +57,18 @@
   });
 }
 
-void JobMirror::watch() {
+void JobReplica::watch() {
   store_.changes(kJobPrefix, revision_, kBlock, Urgency::user,
                  [this, alive = alive_, since = revision_](ChangesResult result) {
                    if (!*alive) return;
-                   if (!news_since(since, result)) return retry_reload();
+                   if (!has_changes_since(since, result)) return retry_reload();
                    apply(result);
                    watch_later();
                  });
 }
 
 // Each opened watch is a request of the budget, so changes that come close together share one.
-void JobMirror::watch_later() {
+void JobReplica::watch_later() {
   retry_timer_.expires_after(watch_gap_);
   retry_timer_.async_wait([this, alive = alive_](const asio::error_code& error) {
     if (*alive && !error) watch();
@@ -76,13 +76,13 @@
 }
 
 // A revision that goes backward is nonsense, and nonsense is no answer and no news.
-bool JobMirror::news_since(Revision since, const ChangesResult& result) {
+bool JobReplica::has_changes_since(Revision since, const ChangesResult& result) {
   if (result.outcome != Outcome::ok) return false;
   if (result.revision >= since) {
-    backward_told_ = false;
+    regression_logged_ = false;
     return true;
   }
-  if (!std::exchange(backward_told_, true))
+  if (!std::exchange(regression_logged_, true))
     spdlog::warn("state service: revision {} after {} was seen, taken as no answer",
                  result.revision, since);
   return false;
@@ -90,7 +90,7 @@
 
 // An answer covers every change after the revision that it was asked for, so of an answer that
 // comes late only what is newer than the mirror counts.
-void JobMirror::apply(const ChangesResult& result) {
+void JobReplica::apply(const ChangesResult& result) {
   for (const auto& change : result.changes) {
     if (change.revision <= revision_) continue;
     const auto id = change.key.substr(kPrefixSize);
@@ -101,13 +101,14 @@
   }
   if (result.revision > revision_) {
     revision_ = result.revision;
-    std::erase_if(closed_early_, [&](const auto& entry) { return entry.second <= revision_; });
+    std::erase_if(closed_ahead_of_watch_,
+                  [&](const auto& entry) { return entry.second <= revision_; });
   }
 }
 
-void JobMirror::open(const core::JobId& id, const Json& value, Revision revision) {
-  const auto early = closed_early_.find(id);
-  if (early != closed_early_.end() && revision <= early->second) return;
+void JobReplica::open(const core::JobId& id, const Json& value, Revision revision) {
+  const auto early = closed_ahead_of_watch_.find(id);
+  if (early != closed_ahead_of_watch_.end() && revision <= early->second) return;
   if (jobs_.contains(id)) return;
   try {
     const auto& record = jobs_.emplace(id, api::record_from_json(value, revision)).first->second;
@@ -117,22 +118,22 @@
   }
 }
 
-void JobMirror::close(const core::JobId& id, Revision /*revision*/) {
+void JobReplica::close(const core::JobId& id, Revision /*revision*/) {
   if (jobs_.erase(id) > 0) events_.closed(id);
 }
 
-void JobMirror::note_opened(const core::JobRecord& record) {
+void JobReplica::note_opened(const core::JobRecord& record) {
   if (record.revision <= revision_ || jobs_.contains(record.spec.id)) return;
   const auto& kept = jobs_.emplace(record.spec.id, record).first->second;
   events_.opened(kept);
 }
 
-void JobMirror::note_closed(const core::JobId& id, Revision revision) {
-  if (revision > revision_) closed_early_[id] = revision;
+void JobReplica::note_closed(const core::JobId& id, Revision revision) {
+  if (revision > revision_) closed_ahead_of_watch_[id] = revision;
   close(id, revision);
 }
 
-void JobMirror::barrier(Urgency urgency, std::function<void(bool)> done) {
+void JobReplica::barrier(Urgency urgency, std::function<void(bool)> done) {
   waiting_.push_back(std::move(done));
   if (urgency == Urgency::safety) barrier_urgency_ = urgency;
   if (barrier_running_ || barrier_scheduled_) return;
@@ -147,7 +148,7 @@
   });
 }
 
-void JobMirror::run_barrier() {
+void JobReplica::run_barrier() {
   if (barrier_running_ || waiting_.empty()) return;
   if (!synced_) {
     auto waiting = std::exchange(waiting_, {});
@@ -163,7 +164,7 @@
                   waiting = std::move(waiting)](ChangesResult result) mutable {
                    if (!*alive) return;
                    barrier_running_ = false;
-                   const bool ok = news_since(since, result);
+                   const bool ok = has_changes_since(since, result);
                    if (ok) apply(result);
                    for (auto& done : waiting) done(ok);
                    if (!waiting_.empty() && !barrier_scheduled_) {
--- a/src/store/job_mirror.hpp
+++ b/src/store/job_mirror.hpp
@@ -11,17 +11,17 @@
 inline constexpr const char* kJobPrefix = "job/";
 inline constexpr const char* kEndPrefix = "end/";
 
-class JobMirror {
+class JobReplica {
  public:
   struct Events {
     std::function<void(const core::JobRecord&)> opened;
     std::function<void(const core::JobId&)> closed;
   };
 
-  JobMirror(asio::io_context& io, StoreClient& store, Events events);
-  ~JobMirror();
-  JobMirror(const JobMirror&) = delete;
-  JobMirror& operator=(const JobMirror&) = delete;
+  JobReplica(asio::io_context& io, StoreClient& store, Events events);
+  ~JobReplica();
+  JobReplica(const JobReplica&) = delete;
+  JobReplica& operator=(const JobReplica&) = delete;
 
   void start() { reload(); }
   bool synced() const { return synced_; }
@@ -44,7 +44,7 @@
   void watch();
   void watch_later();
   void retry_reload();
-  bool news_since(Revision since, const ChangesResult& result);
+  bool has_changes_since(Revision since, const ChangesResult& result);
   void apply(const ChangesResult& result);
   void open(const core::JobId& id, const Json& value, Revision revision);
   void close(const core::JobId& id, Revision revision);
@@ -55,11 +55,11 @@
   asio::steady_timer retry_timer_;
   asio::steady_timer barrier_timer_;
   std::unordered_map<core::JobId, core::JobRecord> jobs_;
-  std::unordered_map<core::JobId, Revision> closed_early_;
+  std::unordered_map<core::JobId, Revision> closed_ahead_of_watch_;
   std::chrono::milliseconds watch_gap_{400};
   Revision revision_ = 0;
   bool synced_ = false;
-  bool backward_told_ = false;  // that the state service's revision went backward
+  bool regression_logged_ = false;  // that the state service's revision went backward
   bool barrier_running_ = false;
   bool barrier_scheduled_ = false;
   Urgency barrier_urgency_ = Urgency::user;
--- a/src/store/leader_writer.cpp
+++ b/src/store/leader_writer.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 // A transaction holds 64 KiB altogether; names, conditions and quotes take their part.
-constexpr std::size_t kMostBytes = 52 * 1024;
+constexpr std::size_t kMaxBytes = 52 * 1024;
 // Between two transactions of pages, so that what comes up together is written together.
 constexpr milliseconds kFlushGap{200};
 constexpr milliseconds kRetryGap{300};
 }  // namespace
 
-LeaderWriter::LeaderWriter(StoreClient& store, core::Token token, std::size_t max_changes,
+LeaderWriter::LeaderWriter(StoreClient& store, core::FencingToken token, std::size_t max_changes,
                            std::size_t page_bytes)
     : store_(store),
       token_(token),
@@ -38,10 +38,10 @@
   Batches batches;
   Transaction transaction;
   std::size_t bytes = 0;
-  for (std::size_t i = 0; i < kBooks; ++i) {
-    if (transaction.writes.size() >= max_changes_ || bytes >= kMostBytes) break;
+  for (std::size_t i = 0; i < kTables; ++i) {
+    if (transaction.writes.size() >= max_changes_ || bytes >= kMaxBytes) break;
     auto& batch = batches[i];
-    books()[i]->take(now, max_changes_ - transaction.writes.size(), kMostBytes - bytes, batch);
+    tables()[i]->take(now, max_changes_ - transaction.writes.size(), kMaxBytes - bytes, batch);
     bytes += batch.bytes;
     for (auto& condition : batch.conditions) transaction.conditions.push_back(condition);
     for (auto& write : batch.writes) transaction.writes.push_back(std::move(write));
@@ -59,11 +59,11 @@
   const auto now = Clock::now();
   const bool ok = result.outcome == Outcome::ok;
   next_flush_ = now + (ok ? kFlushGap : kRetryGap);
-  for (std::size_t i = 0; i < kBooks; ++i) {
+  for (std::size_t i = 0; i < kTables; ++i) {
     if (ok)
-      books()[i]->committed(batches[i], result.revision);
+      tables()[i]->committed(batches[i], result.revision);
     else
-      books()[i]->failed(batches[i], now);
+      tables()[i]->failed(batches[i], now);
   }
   // An unanswered write of ours was applied after all: read what revision it left.
   if (result.outcome == Outcome::conflict)
@@ -80,8 +80,8 @@
     // Without an answer the next write fails on the same condition and it is read once more.
     if (result.outcome != Outcome::ok && result.outcome != Outcome::not_found) return;
     const auto revision = result.outcome == Outcome::ok ? result.item.revision : 0;
-    for (auto* book : books())
-      if (key.starts_with(book->prefix())) book->reread(key, revision);
+    for (auto* table : tables())
+      if (key.starts_with(table->prefix())) table->reread(key, revision);
   });
 }
 
--- a/src/store/leader_writer.hpp
+++ b/src/store/leader_writer.hpp
@@ -10,7 +10,7 @@
 
 class LeaderWriter {
  public:
-  LeaderWriter(StoreClient& store, core::Token token, std::size_t max_changes,
+  LeaderWriter(StoreClient& store, core::FencingToken token, std::size_t max_changes,
                std::size_t page_bytes);
   ~LeaderWriter() { *alive_ = false; }
   LeaderWriter(const LeaderWriter&) = delete;
@@ -30,14 +30,16 @@
   void commit(Transaction transaction, std::function<void(TransactionResult)> done);
 
  private:
-  static constexpr std::size_t kBooks = 4;
-  using Batches = std::array<PagedRecords::Batch, kBooks>;
-  std::array<PagedRecords*, kBooks> books() { return {&machines_, &placed_, &rented_, &progress_}; }
+  static constexpr std::size_t kTables = 4;
+  using Batches = std::array<PagedRecords::Batch, kTables>;
+  std::array<PagedRecords*, kTables> tables() {
+    return {&machines_, &placed_, &rented_, &progress_};
+  }
   void flushed(Batches& batches, const TransactionResult& result);
   void reread(const std::string& key);
 
   StoreClient& store_;
-  core::Token token_;
+  core::FencingToken token_;
   std::size_t max_changes_;
   PagedRecords machines_;
   PagedRecords rented_;
--- a/src/store/paged_records.cpp
+++ b/src/store/paged_records.cpp
@@ -28,12 +28,12 @@
   }
 }
 
-void PagedRecords::mark(Page& page, Haste haste, core::TimePoint now) {
+void PagedRecords::mark(Page& page, WritePriority priority, core::TimePoint now) {
   if (!page.dirty_since) page.dirty_since = now;
-  if (haste == Haste::soon) page.soon = true;
+  if (priority == WritePriority::urgent) page.urgent = true;
 }
 
-PagedRecords::Page& PagedRecords::page_with_room(std::size_t reserve, int& number) {
+PagedRecords::Page& PagedRecords::page_with_capacity(std::size_t reserve, int& number) {
   number = 0;
   for (auto& [at, page] : pages_) {
     if (page.reserved + reserve <= page_bytes_) {
@@ -45,8 +45,8 @@
   return pages_[number];
 }
 
-void PagedRecords::put(const std::string& id, Json value, std::size_t reserve, Haste haste,
-                       core::TimePoint now, Done done) {
+void PagedRecords::put(const std::string& id, Json value, std::size_t reserve,
+                       WritePriority priority, core::TimePoint now, Done done) {
   const auto known = page_of_.find(id);
   Page* page = nullptr;
   if (known != page_of_.end()) {
@@ -54,13 +54,13 @@
     page->records.at(id).value = std::move(value);
   } else {
     int number = 0;
-    page = &page_with_room(reserve, number);
+    page = &page_with_capacity(reserve, number);
     page_of_[id] = number;
     page->records[id] = {std::move(value), reserve};
     page->reserved += reserve;
   }
   if (done) page->waiting.push_back(std::move(done));
-  mark(*page, haste, now);
+  mark(*page, priority, now);
 }
 
 void PagedRecords::erase(const std::string& id, core::TimePoint now) {
@@ -71,25 +71,25 @@
   page.reserved -= record->second.reserve;
   page.records.erase(record);
   page_of_.erase(known);
-  mark(page, Haste::lazy, now);
+  mark(page, WritePriority::deferred, now);
 }
 
-void PagedRecords::take(core::TimePoint now, std::size_t most_writes, std::size_t most_bytes,
+void PagedRecords::take(core::TimePoint now, std::size_t max_writes, std::size_t max_bytes,
                         Batch& batch) {
-  for (const bool soon : {true, false})
+  for (const bool urgent : {true, false})
     for (auto& [number, page] : pages_) {
-      if (!page.dirty_since || page.soon != soon) continue;
-      if (!soon && now - *page.dirty_since < lazy_wait_) continue;
-      if (batch.writes.size() >= most_writes) return;
-      if (batch.bytes + page.reserved + kEnvelope > most_bytes) return;
+      if (!page.dirty_since || page.urgent != urgent) continue;
+      if (!urgent && now - *page.dirty_since < deferred_wait_) continue;
+      if (batch.writes.size() >= max_writes) return;
+      if (batch.bytes + page.reserved + kEnvelope > max_bytes) return;
       Json value = Json::object();
       for (const auto& [id, record] : page.records) value[id] = record.value;
       const auto key = prefix_ + std::to_string(number);
       batch.bytes += page.reserved + kEnvelope;
       batch.conditions.push_back({key, page.revision});
       batch.writes.push_back({key, std::move(value), std::nullopt});
-      batch.pages.push_back({number, soon, std::exchange(page.waiting, {})});
-      page.soon = false;
+      batch.pages.push_back({number, urgent, std::exchange(page.waiting, {})});
+      page.urgent = false;
       page.dirty_since.reset();
     }
 }
@@ -103,7 +103,7 @@
 void PagedRecords::failed(Batch& batch, core::TimePoint now) {
   for (auto& taken : batch.pages) {
     auto& page = pages_.at(taken.page);
-    mark(page, taken.soon ? Haste::soon : Haste::lazy, now);
+    mark(page, taken.urgent ? WritePriority::urgent : WritePriority::deferred, now);
     std::move(taken.done.begin(), taken.done.end(), std::back_inserter(page.waiting));
   }
 }
--- a/src/store/paged_records.hpp
+++ b/src/store/paged_records.hpp
@@ -17,14 +17,14 @@
 namespace violetpulley::store {
 
 // How soon a change has to be in the store. Something waits for `soon`.
-enum class Haste { soon, lazy };
+enum class WritePriority { urgent, deferred };
 
 class PagedRecords {
  public:
   using Done = std::function<void()>;
 
-  PagedRecords(std::string prefix, std::size_t page_bytes, core::Duration lazy_wait)
-      : prefix_(std::move(prefix)), page_bytes_(page_bytes), lazy_wait_(lazy_wait) {}
+  PagedRecords(std::string prefix, std::size_t page_bytes, core::Duration deferred_wait)
+      : prefix_(std::move(prefix)), page_bytes_(page_bytes), deferred_wait_(deferred_wait) {}
 
   const std::string& prefix() const { return prefix_; }
 
@@ -34,13 +34,13 @@
 
   // `reserve`: the most bytes that this record will ever take, so that a page never outgrows the
   // limit. `done` is called once its page is committed.
-  void put(const std::string& id, Json value, std::size_t reserve, Haste haste, core::TimePoint now,
-           Done done);
+  void put(const std::string& id, Json value, std::size_t reserve, WritePriority priority,
+           core::TimePoint now, Done done);
   void erase(const std::string& id, core::TimePoint now);
 
   struct Taken {
     int page = 0;
-    bool soon = false;
+    bool urgent = false;
     std::vector<Done> done;
   };
   struct Batch {
@@ -50,7 +50,7 @@
     std::size_t bytes = 0;
   };
   // Adds the pages that are due, as far as the limits of one transaction allow.
-  void take(core::TimePoint now, std::size_t most_writes, std::size_t most_bytes, Batch& batch);
+  void take(core::TimePoint now, std::size_t max_writes, std::size_t max_bytes, Batch& batch);
   void committed(const Batch& batch, Revision revision);
   // Not committed, or unknown: the pages are due again and what waits for them goes on waiting.
   void failed(Batch& batch, core::TimePoint now);
@@ -69,16 +69,16 @@
     std::map<std::string, Record> records;
     std::size_t reserved = 0;
     Revision revision = 0;  // 0: the key does not exist
-    bool soon = false;
+    bool urgent = false;
     std::optional<core::TimePoint> dirty_since;
     std::vector<Done> waiting;
   };
-  Page& page_with_room(std::size_t reserve, int& number);
-  void mark(Page& page, Haste haste, core::TimePoint now);
+  Page& page_with_capacity(std::size_t reserve, int& number);
+  void mark(Page& page, WritePriority priority, core::TimePoint now);
 
   std::string prefix_;
   std::size_t page_bytes_;
-  core::Duration lazy_wait_;
+  core::Duration deferred_wait_;
   std::map<int, Page> pages_;
   std::map<std::string, int> page_of_;
 };
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -240,7 +240,7 @@
       continue;
     }
     Json put{{"write", write.key}, {"v", *write.value}};
-    if (write.hold) put["tenure"] = *write.hold;
+    if (write.lease) put["tenure"] = *write.lease;
     writes.push_back(std::move(put));
   }
   const Json body{{"if", std::move(conditions)}, {"then", std::move(writes)}};
@@ -295,24 +295,24 @@
   send(std::move(work), urgency);
 }
 
-void StoreClient::create_hold(milliseconds ttl, std::function<void(Outcome, std::uint64_t)> done) {
+void StoreClient::create_lease(milliseconds ttl, std::function<void(Outcome, std::uint64_t)> done) {
   send({{"POST", "/holds", Json{{"ttl_ms", ttl.count()}}.dump()},
         kTimeout,
         0,
         [done = std::move(done)](std::optional<net::Response> response) {
           auto outcome = outcome_of(response);
-          std::uint64_t hold = 0;
+          std::uint64_t lease = 0;
           if (outcome == Outcome::ok)
             outcome = read_body(*response, [&](const Json& body) {
-              hold = body.at("tenure").get<std::uint64_t>();
+              lease = body.at("tenure").get<std::uint64_t>();
             });
-          done(outcome, hold);
+          done(outcome, lease);
         }},
        Urgency::safety);
 }
 
-void StoreClient::extend_hold(std::uint64_t hold, std::function<void(Outcome)> done) {
-  send({{"POST", "/holds/" + std::to_string(hold) + "/extend", "{}"},
+void StoreClient::extend_lease(std::uint64_t lease, std::function<void(Outcome)> done) {
+  send({{"POST", "/holds/" + std::to_string(lease) + "/extend", "{}"},
         milliseconds(1000),
         0,
         [done = std::move(done)](std::optional<net::Response> response) {
@@ -321,8 +321,8 @@
        Urgency::safety);
 }
 
-void StoreClient::end_hold(std::uint64_t hold) {
-  send({{"DELETE", "/holds/" + std::to_string(hold), ""},
+void StoreClient::revoke_lease(std::uint64_t lease) {
+  send({{"DELETE", "/holds/" + std::to_string(lease), ""},
         kTimeout,
         0,
         [](std::optional<net::Response>) {}},
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -44,7 +44,7 @@
 struct Write {
   std::string key;
   std::optional<Json> value;  // empty: delete
-  std::optional<std::uint64_t> hold;
+  std::optional<std::uint64_t> lease;
 };
 
 struct Transaction {
@@ -96,10 +96,10 @@
               std::function<void(TransactionResult)> done);
   void changes(const std::string& prefix, Revision since, std::chrono::milliseconds block,
                Urgency urgency, std::function<void(ChangesResult)> done);
-  void create_hold(std::chrono::milliseconds ttl,
-                   std::function<void(Outcome, std::uint64_t hold)> done);
-  void extend_hold(std::uint64_t hold, std::function<void(Outcome)> done);
-  void end_hold(std::uint64_t hold);
+  void create_lease(std::chrono::milliseconds ttl,
+                    std::function<void(Outcome, std::uint64_t lease)> done);
+  void extend_lease(std::uint64_t lease, std::function<void(Outcome)> done);
+  void revoke_lease(std::uint64_t lease);
 
   // How long a user's write would wait for the pace if it came now: callers shed load on it.
   core::Duration expected_wait();
--- a/tests/beliefs_test.cpp
+++ b/tests/beliefs_test.cpp
@@ -23,19 +23,19 @@
   return out;
 }
 
-core::Beliefs learned(int jobs) {
-  core::Beliefs out;
+core::LearnedState learned(int jobs) {
+  core::LearnedState out;
   out.as_of = kWall;
   for (int i = 0; i < 6; ++i) out.estimates.finished(spec("req-1"), Seconds(30));
   for (int i = 0; i < jobs; ++i) {
-    core::JobBelief job;
+    core::LearnedJob job;
     job.id = "req-" + std::to_string(i);
     job.waited = Seconds(20);
     out.jobs.push_back(job);
   }
   out.jobs.push_back({"req-saved", Seconds(40), {{1, Seconds(7)}}, {"m1"}, 2, Seconds(8)});
   out.machines = {{"m1", 2, {"req-1"}, true}};
-  out.resting = {{{"g", "a", true}, Seconds(12)}};
+  out.cooldowns = {{{"g", "a", true}, Seconds(12)}};
   return out;
 }
 
@@ -46,42 +46,43 @@
   return out;
 }
 
-BeliefSettings settings(bool key = false) {
-  BeliefSettings out;
+LearnedStateSettings settings(bool key = false) {
+  LearnedStateSettings out;
   if (key) out.key = history::parse_key(std::string(64, 'a'));
   out.value_bytes = 2000;
   return out;
 }
 
-TEST(Beliefs, ComeBackWholeInPieces) {
+TEST(LearnedState, ComeBackWholeInPieces) {
   for (const bool key : {false, true}) {
     const auto written = encode_beliefs(learned(150), "a", 7, settings(key));
     EXPECT_GT(written.pieces.size(), 1U);
     for (const auto& piece : written.pieces) EXPECT_LE(piece.value->dump().size(), 2010U);
     const auto read =
         decode_beliefs(items_of(written), settings(key), kWall + std::chrono::seconds(5));
-    ASSERT_TRUE(read.beliefs) << read.problem;
+    ASSERT_TRUE(read.learned_state) << read.problem;
     EXPECT_EQ(read.slot, "a");
-    EXPECT_EQ(history::packed(*read.beliefs), history::packed(learned(150)));
+    EXPECT_EQ(history::packed(*read.learned_state), history::packed(learned(150)));
   }
 }
 
-TEST(Beliefs, AreShortenedByWhatIsWorthLeast) {
+TEST(LearnedState, AreShortenedByWhatIsWorthLeast) {
   const auto written = encode_beliefs(learned(5000), "a", 7, settings());
   EXPECT_LE(written.pieces.size(), 6U);
   const auto read = decode_beliefs(items_of(written), settings(), kWall);
-  ASSERT_TRUE(read.beliefs);
-  ASSERT_EQ(read.beliefs->jobs.size(), 1U);
-  EXPECT_EQ(read.beliefs->jobs[0].id, "req-saved");
+  ASSERT_TRUE(read.learned_state);
+  ASSERT_EQ(read.learned_state->jobs.size(), 1U);
+  EXPECT_EQ(read.learned_state->jobs[0].id, "req-saved");
 }
 
-TEST(Beliefs, WhatIsNotWholeIsNotUsedAndSaysWhy) {
+TEST(LearnedState, WhatIsNotWholeIsNotUsedAndSaysWhy) {
   const auto whole = items_of(encode_beliefs(learned(150), "a", 7, settings(true)));
-  const auto problem = [&](auto change, const BeliefSettings& with, core::WallTime wall = kWall) {
+  const auto problem = [&](auto change, const LearnedStateSettings& with,
+                           core::WallTime wall = kWall) {
     auto items = whole;
     change(items);
     const auto read = decode_beliefs(items, with, wall);
-    EXPECT_FALSE(read.beliefs);
+    EXPECT_FALSE(read.learned_state);
     return read.problem;
   };
   const auto none = [](std::vector<Item>&) {};
@@ -99,22 +100,22 @@
   EXPECT_EQ(problem(none, settings(true), kWall + std::chrono::hours(2)), "too old");
   EXPECT_TRUE(decode_beliefs({}, settings(), kWall).problem.empty());
   // A time of day that stepped back makes them no older.
-  EXPECT_TRUE(decode_beliefs(whole, settings(true), kWall - std::chrono::hours(2)).beliefs);
+  EXPECT_TRUE(decode_beliefs(whole, settings(true), kWall - std::chrono::hours(2)).learned_state);
 }
 
-TEST(Beliefs, SpeedTheNextLeaderAndSayNothingOfMachines) {
+TEST(LearnedState, SpeedTheNextLeaderAndSayNothingOfMachines) {
   core::ControllerSettings controller;
   controller.teams = {{"t", 0, 0, 0, 0}};
   controller.wall_at_start = kWall + std::chrono::seconds(10);
-  core::Inheritance inheritance;
+  core::RecoveredState recovered;
   core::JobRecord record;
   record.spec = spec("req-saved");
   record.submitted = kWall - std::chrono::seconds(30);
-  inheritance.jobs = {record};
-  inheritance.machines = {{"m1", "10.0.0.1:1", "g", "a", true, {}}};
-  inheritance.beliefs = learned(3);
+  recovered.jobs = {record};
+  recovered.machines = {{"m1", "10.0.0.1:1", "g", "a", true, {}}};
+  recovered.learned_state = learned(3);
   const core::TimePoint now{std::chrono::hours(5)};
-  core::Controller next(controller, 9, now, now + std::chrono::seconds(60), inheritance);
+  core::Controller next(controller, 9, now, now + std::chrono::seconds(60), recovered);
   const auto& job = next.jobs().at("req-saved");
   EXPECT_EQ(job.tasks[1].saved, Seconds(7));
   // It had waited 40 s, and 10 s more have passed, but it was submitted 40 s ago.
@@ -124,7 +125,7 @@
   EXPECT_FALSE(next.fleet().find("m1")->confirmed);
   EXPECT_TRUE(next.recovering());
   EXPECT_EQ(next.estimator().estimate(record.spec), Seconds(30));
-  EXPECT_EQ(Seconds(next.market().resting().at({"g", "a", true}) - now), Seconds(2));
+  EXPECT_EQ(Seconds(next.offerings().cooldowns().at({"g", "a", true}) - now), Seconds(2));
 }
 
 }  // namespace
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -133,7 +133,7 @@
     "district":"a","loaners":true,"shift":1,"tally":88,"baton":41,"recall_s":null,
     "cuts":[{"cut":"req-000412/3","try":2,"status":"running"},
             {"cut":"req-000398/0","try":1,"status":"exited","cause":"done"}]})";
-  const auto report = agent::parse_report(good);
+  const auto report = agent::parse_heartbeat(good);
   EXPECT_EQ(report.tasks.size(), 2U);
   EXPECT_EQ(report.tasks[0].task.index, 3U);
   EXPECT_EQ(report.tasks[1].cause, core::ExitCause::done);
@@ -143,40 +143,40 @@
   for (const auto& [field, value] : bad) {
     auto json = Json::parse(good);
     json[field] = value;
-    EXPECT_ANY_THROW(agent::parse_report(json.dump())) << field;
+    EXPECT_ANY_THROW(agent::parse_heartbeat(json.dump())) << field;
   }
   for (const auto* task : {"req-1", "/3", "req-1/x", "req-1/-1", "req-1/99999999999"}) {
     auto json = Json::parse(good);
     json["cuts"][0]["cut"] = task;
-    EXPECT_ANY_THROW(agent::parse_report(json.dump())) << task;
+    EXPECT_ANY_THROW(agent::parse_heartbeat(json.dump())) << task;
   }
-  EXPECT_ANY_THROW(agent::parse_report("[]"));
-  EXPECT_ANY_THROW(agent::parse_report("{"));
+  EXPECT_ANY_THROW(agent::parse_heartbeat("[]"));
+  EXPECT_ANY_THROW(agent::parse_heartbeat("{"));
 }
 
 TEST(AgentCodec, WritesCommands) {
-  const auto body =
-      Json::parse(agent::orders_body(41, 2,
-                                     {{core::Verb::start, {"req-7", 3}, 9, core::Seconds(0)},
-                                      {core::Verb::stop, {"req-7", 4}, 8, core::Seconds(10)}}));
+  const auto body = Json::parse(
+      agent::commands_body(41, 2,
+                           {{core::CommandType::start, {"req-7", 3}, 9, core::Seconds(0)},
+                            {core::CommandType::stop, {"req-7", 4}, 8, core::Seconds(10)}}));
   EXPECT_EQ(body, Json::parse(R"({"baton":41,"shift":2,"orders":[
     {"verb":"start","cut":"req-7/3","try":9},
     {"verb":"kill","cut":"req-7/4","try":8,"leeway_s":10.0}]})"));
 }
 
 TEST(MeshCodec, IsVersionedAndRefusesNonsense) {
-  mesh::Status status;
+  peers::Status status;
   status.member = "a";
   status.token = 5;
   status.counts = {{"req-1", 2, 3}};
-  const auto frame = mesh::encode(status);
-  const auto again = mesh::decode(frame.data() + 4, frame.size() - 4);
+  const auto frame = peers::encode(status);
+  const auto again = peers::decode(frame.data() + 4, frame.size() - 4);
   EXPECT_EQ(again.counts.at(0).running, 3U);
   EXPECT_EQ(again.token, 5U);
   status.version = 99;
-  const auto newer = mesh::encode(status);
-  EXPECT_ANY_THROW(mesh::decode(newer.data() + 4, newer.size() - 4));
-  EXPECT_ANY_THROW(mesh::decode("garbage", 7));
+  const auto newer = peers::encode(status);
+  EXPECT_ANY_THROW(peers::decode(newer.data() + 4, newer.size() - 4));
+  EXPECT_ANY_THROW(peers::decode("garbage", 7));
 }
 
 TEST(CloudCodec, RefusesANonsenseCatalog) {
--- a/tests/contact_test.cpp
+++ b/tests/contact_test.cpp
@@ -63,7 +63,7 @@
   run(Seconds(2));
   auto& worker = workers_[name(0)];
   worker.gets = false;
-  ++worker.session;
+  ++worker.epoch;
   send_report(name(0));
   starts_sent_.clear();
   controller_->job_opened(job("req-1", 20), now_);
@@ -171,7 +171,7 @@
                                   [](const auto& entry) { return !entry.second.tasks.empty(); });
   ASSERT_NE(first, workers_.end());
   auto& task = first->second.tasks.begin()->second;
-  const Command held{Verb::start, {"req-1", 0}, task.attempt, Seconds(0)};
+  const Command held{CommandType::start, {"req-1", 0}, task.attempt, Seconds(0)};
   task.ends = now_;
   task.fails = true;
   run(Seconds(8));
@@ -235,7 +235,7 @@
   for (auto& [id, worker] : workers_) worker.says = worker.gets = false;
   run(Seconds(4));
   EXPECT_FALSE(resigned_);
-  controller_->others_hear(now_);
+  controller_->note_peer_receives_heartbeats(now_);
   run(Seconds(1));
   ASSERT_TRUE(resigned_);
   EXPECT_EQ(resigned_->second, "no machine is heard from");
@@ -269,25 +269,25 @@
   const auto early = report_of(name(0));
   run(Seconds(4));
   controller_->job_closed("req-1", now_);
-  const auto before = *controller_->fleet().find(name(0))->heard;
+  const auto before = *controller_->fleet().find(name(0))->last_heartbeat;
   controller_->report(early, now_);
-  EXPECT_EQ(*controller_->fleet().find(name(0))->heard, before);
+  EXPECT_EQ(*controller_->fleet().find(name(0))->last_heartbeat, before);
   EXPECT_TRUE(controller_->response_commands(early).empty())
       << "the stops are for the newest report's answer";
   // An earlier session.
-  ++workers_[name(0)].session;
-  workers_[name(0)].sequence += 5;
+  ++workers_[name(0)].epoch;
+  workers_[name(0)].heartbeat_sequence += 5;
   workers_[name(0)].tasks.clear();
   send_report(name(0));
   controller_->report(early, now_);
-  EXPECT_EQ(controller_->fleet().find(name(0))->session, 2U);
+  EXPECT_EQ(controller_->fleet().find(name(0))->epoch, 2U);
 }
 
 TEST_F(Reach, ACopyOfAReturnedMachinesReportNeverBringsItBack) {
   begin(3, 0);
   run(Seconds(2));
   const auto copy = report_of(name(0));
-  controller_->release_answered({name(0)}, true, now_);
+  controller_->scale_in_answered({name(0)}, true, now_);
   workers_[name(0)].gone = true;
   run(Seconds(200));  // it was remembered for 90 s
   saved_.clear();
@@ -301,7 +301,7 @@
 // leader returned: its task has been started elsewhere, or has to be.
 TEST_F(Reach, ACopyThatIsTheFirstWordProvesWhatEndedAndNothingElse) {
   begin(2, 2, 1);
-  WorkerReport copy{"m900", "m900", "bench", "a", true, 1, 80, kToken - 1, {}, {}};
+  Heartbeat copy{"m900", "m900", "bench", "a", true, 1, 80, kToken - 1, {}, {}};
   copy.tasks.push_back({{"req-0", 0}, 5, TaskState::running, ExitCause::none, false});
   copy.tasks.push_back({{"req-1", 0}, 6, TaskState::exited, ExitCause::done, false});
   controller_->report(copy, now_);
@@ -317,11 +317,11 @@
 TEST_F(Reach, AReportOfAnUnknownTypeOrOfAnEarlierSessionIsNoPlaceForWork) {
   begin(2, 0);
   run(Seconds(2));
-  WorkerReport odd{"m900", "m900", "none such", "nowhere", true, 1, 1, kToken, {}, {}};
+  Heartbeat odd{"m900", "m900", "none such", "nowhere", true, 1, 1, kToken, {}, {}};
   odd.tasks.push_back({{"req-404", 7}, 3, TaskState::running, ExitCause::none, false});
   controller_->report(odd, now_);
   auto back = report_of(name(0));
-  back.session = 0;  // its counters began anew: it cannot be told from a late copy
+  back.epoch = 0;  // its counters began anew: it cannot be told from a late copy
   controller_->report(back, now_);
   controller_->job_opened(job("req-1", 8), now_);
   run(Seconds(4));
@@ -421,7 +421,7 @@
   const auto cut = now_;
   while (!resigned_ && now_ - cut < to_duration(times_.lease)) {
     run(Seconds(1));
-    if (controller_->cut_off_perhaps(now_)) controller_->others_hear(now_);
+    if (controller_->possibly_isolated(now_)) controller_->note_peer_receives_heartbeats(now_);
   }
   ASSERT_TRUE(resigned_);
   EXPECT_EQ(resigned_->second, "its machines answer, and report to other controllers");
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -90,14 +90,14 @@
 TEST(Scaler, ScoreIsThePapersExample) {
   MachineType type;
   type.capacity = {8, 0, 16};
-  EXPECT_DOUBLE_EQ(rental_score({4, 0, 1}, type, 1.0, {2, 0, 4}), 2.0);
-  EXPECT_DOUBLE_EQ(rental_score({4, 0, 1}, type, 0.5, {2, 0, 4}), 4.0);
+  EXPECT_DOUBLE_EQ(offering_score({4, 0, 1}, type, 1.0, {2, 0, 4}), 2.0);
+  EXPECT_DOUBLE_EQ(offering_score({4, 0, 1}, type, 0.5, {2, 0, 4}), 4.0);
 }
 
 TEST(Scaler, ChoosesTypeAndGroupTogether) {
   MachineType small{"small", {8, 0, 64}, 10, 1, 1.0, 0.3, Seconds(30), {"z"}};
   MachineType large{"large", {64, 0, 512}, 10, 1, 6.0, 2.2, Seconds(30), {"z"}};
-  const std::vector<RentalOption> options{
+  const std::vector<InstanceOffering> options{
       {&small, "z", true, 0.3}, {&small, "z", false, 1.0}, {&large, "z", true, 2.2}};
   auto spec = spec_of(1, 1, Seconds(10));
   Scaler scaler({{&spec, Seconds(10), {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}}}, options);
@@ -148,7 +148,7 @@
   EXPECT_FALSE(scaler.choose());
 }
 
-TEST(Clearing, RestartsOnlyWhatLosesLessThanItSaves) {
+TEST(Consolidation, RestartsOnlyWhatLosesLessThanItSaves) {
   Fleet fleet;
   auto& machine = machine_with(fleet, "m", 16, Seconds(100));
   EXPECT_TRUE(underused(machine, 0.5));
@@ -162,22 +162,22 @@
   WorkerTimes times{Seconds(3), Seconds(27), Seconds(47), Seconds(35), Seconds(4)};
   Leadership leadership(times, std::chrono::milliseconds(25));
   EXPECT_FALSE(leadership.may_serve(kNow));
-  leadership.informed(kNow);
+  leadership.record_read_barrier(kNow);
   leadership.won(7, 1, kNow);
   EXPECT_FALSE(leadership.may_serve(kNow)) << "the key is ours; others' cancellations are unknown";
-  leadership.informed(kNow);
+  leadership.record_read_barrier(kNow);
   const auto limit = leadership.serving_time();
   EXPECT_LT(limit + times.lease, times.cancel);
   EXPECT_TRUE(leadership.may_serve(kNow + to_duration(limit - Seconds(0.1))));
   EXPECT_FALSE(leadership.may_serve(kNow + to_duration(limit + Seconds(0.1))));
   // Neither time alone.
-  leadership.proved(kNow + std::chrono::seconds(5));
+  leadership.record_proof(kNow + std::chrono::seconds(5));
   EXPECT_FALSE(leadership.may_serve(kNow + to_duration(limit + Seconds(0.1))));
-  leadership.informed(kNow + std::chrono::seconds(9));
+  leadership.record_read_barrier(kNow + std::chrono::seconds(9));
   EXPECT_TRUE(leadership.may_serve(kNow + to_duration(limit + Seconds(4))));
   EXPECT_FALSE(leadership.may_serve(kNow + to_duration(limit + Seconds(6))));
   // An answer that was overtaken takes nothing back.
-  leadership.informed(kNow + std::chrono::seconds(2));
+  leadership.record_read_barrier(kNow + std::chrono::seconds(2));
   EXPECT_TRUE(leadership.may_serve(kNow + to_duration(limit + Seconds(4))));
   leadership.lost();
   EXPECT_FALSE(leadership.may_serve(kNow));
@@ -190,7 +190,7 @@
     for (const int skew : {0, 25, 2000}) {
       WorkerTimes times;
       times.lease = Seconds(lease);
-      times.cancel = Leadership::least_cancel(times, std::chrono::milliseconds(skew));
+      times.cancel = Leadership::min_cancel_time(times, std::chrono::milliseconds(skew));
       const Leadership leadership(times, std::chrono::milliseconds(skew));
       EXPECT_GT(leadership.serving_time(), Seconds(1.9));
       EXPECT_LE((leadership.serving_time() + times.lease) * 1.0005 + Seconds(0.45), times.cancel);
@@ -221,13 +221,13 @@
     record.revision = 9;
     ControllerSettings settings{
         {{"t", 0, 0, 0, 0}}, WorkerTimes{}, Tuning{}, 1.0, Seconds(10), {}, {}, {}};
-    Controller controller(settings, 5, kNow, kNow, Inheritance{});
+    Controller controller(settings, 5, kNow, kNow, RecoveredState{});
     controller.set_catalog({type});
     controller.job_opened(record, kNow);
     controller.tick(kNow, true, kNow);
-    std::vector<Rent> rentals;
+    std::vector<ScaleOut> rentals;
     for (const auto& action : controller.take_actions())
-      if (const auto* rent = std::get_if<Rent>(&action)) rentals.push_back(*rent);
+      if (const auto* rent = std::get_if<ScaleOut>(&action)) rentals.push_back(*rent);
     ASSERT_EQ(rentals.size(), 1U);
     EXPECT_EQ(rentals[0].spot, spot_allowed);
     EXPECT_EQ(rentals[0].count, 1);
--- a/tests/election_test.cpp
+++ b/tests/election_test.cpp
@@ -33,11 +33,11 @@
   // A key that an earlier process of this name wrote, whose hold has not run out.
   Revision former_life(const std::string& member) {
     Revision written = 0;
-    client_.create_hold(kLongHold, [&](Outcome, std::uint64_t hold) {
-      client_.commit({{{"leader", 0}},
-                      {{"leader", Json{{"member", member}, {"mesh", "m"}, {"hold", hold}}, hold}}},
-                     Urgency::safety,
-                     [&](const TransactionResult& result) { written = result.revision; });
+    client_.create_lease(kLongHold, [&](Outcome, std::uint64_t lease) {
+      client_.commit(
+          {{{"leader", 0}},
+           {{"leader", Json{{"member", member}, {"mesh", "m"}, {"hold", lease}}, lease}}},
+          Urgency::safety, [&](const TransactionResult& result) { written = result.revision; });
     });
     until([&] { return written != 0; });
     return written;
@@ -80,23 +80,23 @@
 
 TEST_F(Lives, ASuspicionEndsTheLifeItIsAboutAndNoLaterOne) {
   const auto first = former_life("n-0");
-  Process sibling(io_, state_.address(), "n-1");
-  sibling.election.start();
-  until([&] { return sibling.election.led_by("n-0") == first; });
+  Process peer(io_, state_.address(), "n-1");
+  peer.election.start();
+  until([&] { return peer.election.led_by("n-0") == first; });
   Process again(io_, state_.address(), "n-0");
   again.election.start();
   until([&] {
     // The sibling may be the quicker one: then it stands back for good.
-    if (sibling.leadership.leading()) sibling.election.resign("stands back", kLongHold);
-    return again.won == 1 && sibling.election.led_by("n-0") > first;
+    if (peer.leadership.leading()) peer.election.resign("stands back", kLongHold);
+    return again.won == 1 && peer.election.led_by("n-0") > first;
   });
-  sibling.election.end_hold_of("n-0", first);
+  peer.election.revoke_lease_of("n-0", first);
   // It would have been ended by the time at which this answer comes.
   std::optional<bool> ours;
   again.election.prove([&](bool proved) { ours = proved; });
   until([&] { return ours.has_value(); });
   EXPECT_TRUE(*ours);
-  sibling.election.end_hold_of("n-0", again.leadership.token());
+  peer.election.revoke_lease_of("n-0", again.leadership.token());
   until([&] { return again.lost == 1; });
 }
 
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -33,11 +33,11 @@
   Story story;
   core::simulated::World world(seed);
   core::simulated::Watcher watcher;
-  watcher.event = [&](core::Token token, TimePoint at, const core::Event& event) {
+  watcher.event = [&](core::FencingToken token, TimePoint at, const core::Event& event) {
     story.records.push_back({token, at, event});
   };
-  watcher.actions = [&](core::Token token, TimePoint at, const std::vector<core::Action>& actions,
-                        core::Controller&) {
+  watcher.actions = [&](core::FencingToken token, TimePoint at,
+                        const std::vector<core::Action>& actions, core::Controller&) {
     if (!actions.empty()) story.records.push_back({token, at, Acted{digest_of(actions)}});
   };
   world.run(Seconds(20));
@@ -80,8 +80,8 @@
     if (log_->saving())
       log_->continue_save();
     else if (between && log_->save_due(record.at))
-      log_->begin_save(*replay_->controller(), replay_->origin(), replay_->taken_over_at(),
-                       record.at, core::WallTime{});
+      log_->begin_save(*replay_->controller(), replay_->origin(), replay_->elected_at(), record.at,
+                       core::WallTime{});
   }
   const EventLog& log() const { return *log_; }
 
@@ -167,10 +167,10 @@
   Parts sliced;
   int made = 0;
   int calls = 0;
-  watcher.event = [&](core::Token, TimePoint, const core::Event& event) {
-    if (std::holds_alternative<core::TakenOver>(event)) capture.reset();
+  watcher.event = [&](core::FencingToken, TimePoint, const core::Event& event) {
+    if (std::holds_alternative<core::LeaderElected>(event)) capture.reset();
   };
-  watcher.actions = [&](core::Token, TimePoint, const std::vector<core::Action>&,
+  watcher.actions = [&](core::FencingToken, TimePoint, const std::vector<core::Action>&,
                         core::Controller& controller) {
     if (!capture) {
       whole = parts_of(controller);
@@ -422,16 +422,16 @@
   const auto pick = [&](std::uint64_t below) { return random() % below; };
   ReportChangesWriter writer;
   ReportChangesReader reader;
-  std::vector<core::WorkerReport> workers(3);
+  std::vector<core::Heartbeat> workers(3);
   std::size_t bytes = 0;
   std::size_t whole_bytes = 0;
   for (int round = 0; round < 2000; ++round) {
     auto& report = workers[pick(workers.size())];
     report.machine = "m" + std::to_string(&report - workers.data());
-    ++report.sequence;
+    ++report.heartbeat_sequence;
     if (pick(50) == 0) report.endpoint = "e" + std::to_string(round);
     if (pick(50) == 0) report.notice = Seconds(30);
-    if (pick(50) == 0) ++report.session;
+    if (pick(50) == 0) ++report.epoch;
     if (pick(50) == 0) std::shuffle(report.tasks.begin(), report.tasks.end(), random);
     if (pick(80) == 0) report.tasks.clear();
     auto& tasks = report.tasks;
@@ -449,8 +449,8 @@
         at->state = core::TaskState::exited;
     }
     Record record{7, TimePoint(milliseconds(round)), core::Event(core::MachineReported{report})};
-    if (pick(2) == 0) record.what = core::Event(core::OrdersAnswered{report.machine, report});
-    const bool answer = std::holds_alternative<core::OrdersAnswered>(std::get<0>(record.what));
+    if (pick(2) == 0) record.what = core::Event(core::CommandsAnswered{report.machine, report});
+    const bool answer = std::holds_alternative<core::CommandsAnswered>(std::get<0>(record.what));
     WrittenRecord written{record.token, record.at, std::get<0>(record.what)};
     if (const auto* changes = writer.changes(report, answer)) written.what = *changes;
     const auto packed_now = packed(written);
@@ -488,27 +488,27 @@
   const auto& story = short_story();
   auto memory = std::make_unique<MemoryFiles>();
   auto* files = memory.get();
-  Keeper keeper(std::move(memory), {"", std::nullopt, often()}, {});
-  ASSERT_TRUE(keeper.on());
+  Recorder recorder(std::move(memory), {"", std::nullopt, often()}, {});
+  ASSERT_TRUE(recorder.on());
   files->full_after(3000);
   core::Controller* controller = nullptr;
   std::unique_ptr<core::Controller> held;
   for (const auto& record : story.records) {
     const auto* event = std::get_if<core::Event>(&record.what);
     if (event == nullptr) continue;
-    if (const auto* takeover = std::get_if<core::TakenOver>(event)) {
-      keeper.taken_over(record.at, *takeover);
+    if (const auto* takeover = std::get_if<core::LeaderElected>(event)) {
+      recorder.leader_elected(record.at, *takeover);
       held = core::make_controller(*takeover, record.at);
       controller = held.get();
       continue;
     }
     core::apply(*held, *event, record.at);
-    keeper.record(record.at, *event);
-    keeper.acted(record.at, held->take_actions());
-    keeper.pump(*controller, record.at, {});
+    recorder.record(record.at, *event);
+    recorder.acted(record.at, held->take_actions());
+    recorder.pump(*controller, record.at, {});
   }
-  EXPECT_FALSE(keeper.on());
-  EXPECT_EQ(keeper.summary(), "history off");
+  EXPECT_FALSE(recorder.on());
+  EXPECT_EQ(recorder.summary(), "history off");
 }
 
 TEST(History, EmptyAndClockThatStepsBack) {
@@ -538,7 +538,7 @@
 
 // A hundred thousand tasks in one job go through a save and come back.
 TEST(History, AJobOfAHundredThousandTasks) {
-  core::TakenOver takeover;
+  core::LeaderElected takeover;
   takeover.settings.teams = {{"t", 0, 0, 0, 0}};
   takeover.token = 5;
   const TimePoint now{std::chrono::hours(1)};
@@ -547,7 +547,7 @@
   record.spec.team = "t";
   record.spec.tasks = 100'000;
   record.spec.per_task = {1, 0, 1};
-  takeover.inheritance.jobs = {record};
+  takeover.recovered.jobs = {record};
   MemoryFiles files;
   auto settings = often();
   settings.slice_bytes = 64 * 1024;
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -99,11 +99,12 @@
   acceptor.listen(kPeers);
   std::vector<std::unique_ptr<HttpClient>> clients;
   std::size_t answered = 0;
-  std::size_t unanswered = 0;
+  std::size_t unanswered_commands = 0;
   for (std::size_t i = 0; i < kPeers; ++i) {
     clients.push_back(std::make_unique<HttpClient>(io, acceptor.local_endpoint(), 1));
-    clients.back()->request({"GET", "/", ""}, std::chrono::milliseconds(300),
-                            [&](std::optional<Response> r) { ++(r ? answered : unanswered); });
+    clients.back()->request(
+        {"GET", "/", ""}, std::chrono::milliseconds(300),
+        [&](std::optional<Response> r) { ++(r ? answered : unanswered_commands); });
   }
   std::vector<tcp::socket> peers;
   for (std::size_t i = 0; i < kPeers; ++i) {
@@ -116,7 +117,7 @@
     asio::write(peer, asio::buffer(std::string("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")));
   io.run_for(std::chrono::milliseconds(500));
   EXPECT_EQ(answered, kPeers);
-  EXPECT_EQ(unanswered, 0U);
+  EXPECT_EQ(unanswered_commands, 0U);
 }
 
 // More peers than connections may be kept open: each is answered, and those beyond connect anew.
--- a/tests/informed_test.cpp
+++ b/tests/informed_test.cpp
@@ -40,8 +40,9 @@
         store(io, net::parse_endpoint(state.address(door)), {1000, 1000},
               static_cast<std::uint64_t>(seed)),
         leadership(short_times(), milliseconds(25)),
-        mirror(io, store, {[](const core::JobRecord&) {}, [this](const JobId& id) { shut(id); }}),
-        users(io, store, mirror,
+        job_replica(io, store,
+                    {[](const core::JobRecord&) {}, [this](const JobId& id) { shut(id); }}),
+        users(io, store, job_replica,
               {{},
                {},
                [this]() -> const std::vector<core::MachineType>& { return types; },
@@ -57,31 +58,31 @@
                  users.cancel(id, respond);
                }),
         user(io, server.local_endpoint(), 64) {
-    mirror.start();
+    job_replica.start();
     election.start();
   }
 
   void won() {
     ready = false;
-    briefing = std::make_unique<Briefing>(io, leadership, mirror);
+    read_barriers = std::make_unique<ReadBarrierLoop>(io, leadership, job_replica);
     take_over();
   }
   // As a new leader reads its jobs: whole up to the key, or once more.
   void take_over() {
-    briefing->ask([this](bool fresh) {
-      if (!fresh || mirror.revision() < leadership.token()) {
+    read_barriers->ask([this](bool fresh) {
+      if (!fresh || job_replica.revision() < leadership.token()) {
         asio::post(io, [this, token = leadership.token()] {
-          if (briefing && leadership.token() == token) take_over();
+          if (read_barriers && leadership.token() == token) take_over();
         });
         return;
       }
       ready = true;
-      briefing->keep();
+      read_barriers->keep();
     });
   }
   void lost() {
     ready = false;
-    asio::post(io, [old = std::shared_ptr<Briefing>(std::move(briefing))] {});
+    asio::post(io, [old = std::shared_ptr<ReadBarrierLoop>(std::move(read_barriers))] {});
   }
   void shut(const JobId& id) { closed.insert(id); }
   // Calls back with true when its user was told that it is cancelled.
@@ -99,9 +100,9 @@
   StoreClient store;
   core::Leadership leadership;
   std::set<JobId> closed;  // what has reached the core
-  JobMirror mirror;
+  JobReplica job_replica;
   api::UserApi users;
-  std::unique_ptr<Briefing> briefing;
+  std::unique_ptr<ReadBarrierLoop> read_barriers;
   bool ready = false;
   Election election;
   net::HttpServer server;
@@ -146,8 +147,9 @@
   }
   void job(const JobId& id) {
     submit(client_, id);
-    until(
-        [&] { return world_.a.mirror.find(id) != nullptr && world_.b.mirror.find(id) != nullptr; });
+    until([&] {
+      return world_.a.job_replica.find(id) != nullptr && world_.b.job_replica.find(id) != nullptr;
+    });
   }
   // When its user was told.
   TimePoint cancel(Controller& at, const JobId& id) {
@@ -177,19 +179,19 @@
   bool renewed = false;
   leader.election.prove([&](bool ours) { renewed = ours; });
   until([&] {
-    if (leader.leadership.informed() > told) {
+    if (leader.leadership.fresh_until() > told) {
       EXPECT_TRUE(leader.closed.contains("req-1"));
     }
     return renewed;
   });
-  ASSERT_GT(leader.leadership.contact(), told);
+  ASSERT_GT(leader.leadership.last_proven(), told);
   // Before the barrier is applied nothing is served on the strength of the key.
   if (!leader.closed.contains("req-1")) {
-    EXPECT_LT(*leader.leadership.informed(), told);
+    EXPECT_LT(*leader.leadership.fresh_until(), told);
     EXPECT_FALSE(
         leader.leadership.may_serve(told + core::to_duration(leader.leadership.serving_time())));
   }
-  until([&] { return leader.leadership.informed() > told; });
+  until([&] { return leader.leadership.fresh_until() > told; });
   EXPECT_TRUE(leader.closed.contains("req-1"));
 }
 
@@ -202,11 +204,11 @@
   const auto asked = Clock::now();
   bool fresh = false;
   bool known = false;
-  Briefing briefing(io_, leader.leadership, leader.mirror);
-  briefing.ask([&](bool ok) {
+  ReadBarrierLoop read_barriers(io_, leader.leadership, leader.job_replica);
+  read_barriers.ask([&](bool ok) {
     fresh = ok;
     known = leader.closed.contains("req-1");
-    EXPECT_LT(*leader.leadership.informed(), asked + milliseconds(300))
+    EXPECT_LT(*leader.leadership.fresh_until(), asked + milliseconds(300))
         << "counted from its answer";
   });
   until([&] { return fresh; });
@@ -219,12 +221,12 @@
   world_.state.go_backward(1);
   const auto since = Clock::now();
   std::optional<bool> fresh;
-  leader.mirror.barrier(Urgency::safety, [&](bool ok) { fresh = ok; });
+  leader.job_replica.barrier(Urgency::safety, [&](bool ok) { fresh = ok; });
   until([&] { return fresh.has_value(); });
   EXPECT_FALSE(*fresh);
-  EXPECT_LT(*leader.leadership.informed(), since);
+  EXPECT_LT(*leader.leadership.fresh_until(), since);
   world_.state.go_backward(0);
-  until([&] { return leader.leadership.informed() > since; });
+  until([&] { return leader.leadership.fresh_until() > since; });
 }
 
 // The state service is slow: a list that was read before a job ended comes after a barrier that
@@ -232,7 +234,7 @@
 TEST_F(Informed, AListThatABarrierHasOvertakenOpensNothing) {
   auto& leader = lead();
   job("req-1");
-  JobMirror again(io_, client_, {[](const core::JobRecord&) {}, [](const JobId&) {}});
+  JobReplica again(io_, client_, {[](const core::JobRecord&) {}, [](const JobId&) {}});
   again.start();
   until([&] { return again.find("req-1") != nullptr; });
   // It reads everything anew, as after a watch that failed.
@@ -261,7 +263,7 @@
   std::optional<bool> taken;
   submit(late, "req-1", [&](bool ok) { taken = ok; });
   job("req-1");
-  const auto* record = leader.mirror.find("req-1");
+  const auto* record = leader.job_replica.find("req-1");
   ASSERT_NE(record, nullptr);
   std::optional<Outcome> ended;  // as the leader ends a job; its user cancels it meanwhile
   late.commit({{{kJobPrefix + std::string("req-1"), record->revision},
@@ -297,7 +299,7 @@
   for (int i = 101; i < 148; ++i)
     until([&] {
       const auto id = "req-" + std::to_string(i);
-      return leader.mirror.find(id) != nullptr && other.mirror.find(id) != nullptr;
+      return leader.job_replica.find(id) != nullptr && other.job_replica.find(id) != nullptr;
     });
   std::array<int, 4> order{0, 1, 2, 3};
   int number = 100;
@@ -305,7 +307,7 @@
   do {
     for (const bool apart : {false, true}) {
       const auto id = "req-" + std::to_string(++number);
-      const auto* record = leader.mirror.find(id);
+      const auto* record = leader.job_replica.find(id);
       ASSERT_NE(record, nullptr);
       const auto repeat = api::job_to_json(record->spec).dump();
       const auto revision = record->revision;
@@ -343,7 +345,7 @@
                             Urgency::safety, [&](const TransactionResult& result) {
                               ended = true;
                               if (result.outcome == Outcome::ok)
-                                leader.mirror.note_closed(id, result.revision);
+                                leader.job_replica.note_closed(id, result.revision);
                             });
       };
       for (const auto event : order) {
@@ -453,7 +455,7 @@
   }
   std::vector<JobId> open_jobs(const Controller& at) const {
     std::vector<JobId> out;
-    for (const auto& [id, record] : at.mirror.jobs()) out.push_back(id);
+    for (const auto& [id, record] : at.job_replica.jobs()) out.push_back(id);
     std::sort(out.begin(), out.end());
     return out;
   }
@@ -480,12 +482,12 @@
     // Its report was sent a moment ago.
     const auto sent = std::max(machine.answered, now - milliseconds(20));
     if (!leader->serves()) {
-      if (leader->leadership.contact() > leader->leadership.informed()) ++uninformed_;
+      if (leader->leadership.last_proven() > leader->leadership.fresh_until()) ++uninformed_;
       return;
     }
     machine.answered = sent;
     for (auto task = machine.tasks.begin(); task != machine.tasks.end();) {
-      if (leader->mirror.find(task->first) != nullptr) {
+      if (leader->job_replica.find(task->first) != nullptr) {
         ++task;
         continue;
       }
