--- a/tests/leader_of_workers.hpp
+++ b/tests/leader_of_workers.hpp
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-inline constexpr Token kToken = 40;
+inline constexpr FencingToken kToken = 40;
 
 class LeaderOfWorkers : public ::testing::Test {
  protected:
@@ -21,9 +21,9 @@
     bool fails = false;
   };
   struct Worker {
-    std::uint64_t session = 1;
-    std::uint64_t sequence = 0;
-    Token token = 0;
+    std::uint64_t epoch = 1;
+    std::uint64_t heartbeat_sequence = 0;
+    FencingToken token = 0;
     bool says = true;     // its reports arrive
     bool mute = false;    // it reports to nobody, and answers what it is told
     bool gets = true;     // what it is told arrives
@@ -32,28 +32,27 @@
     bool answers = true;  // off: orders are carried out and the answer is lost
     TimePoint renewed{};
     std::map<TaskKey, Running> tasks;
-    std::map<TaskKey, TaskReport> ended;
+    std::map<TaskKey, TaskStatus> ended;
   };
 
   void begin(int machines, int jobs = 1, TaskIndex tasks = 4) {
-    Inheritance inheritance;
+    RecoveredState recovered;
     for (int i = 0; i < machines; ++i) {
       const auto id = name(i);
-      inheritance.machines.push_back({id, id, "bench", "a", true, {}});
+      recovered.machines.push_back({id, id, "bench", "a", true, {}});
       workers_[id].renewed = now_;
     }
-    for (int i = 0; i < jobs; ++i)
-      inheritance.jobs.push_back(job("req-" + std::to_string(i), tasks));
+    for (int i = 0; i < jobs; ++i) recovered.jobs.push_back(job("req-" + std::to_string(i), tasks));
     ControllerSettings settings;
     settings.teams = {{"t", 0, 0, 0, 0}, {"narrow", 0, 8, 0, 0}};
     settings.cloud_calls_per_s = 10;
     settings.workers.report = report_every_;
     settings.wall_at_start = wall_now();
-    settings.resigns_when_deaf = resigns_when_deaf_;
+    settings.resigns_when_isolated = resigns_when_deaf_;
     settings.tuning.idle_wait = idle_wait_;
-    inheritance.progress = progress_;
+    recovered.progress = progress_;
     controller_ =
-        std::make_unique<Controller>(settings, kToken, now_, now_ + seconds(60), inheritance);
+        std::make_unique<Controller>(settings, kToken, now_, now_ + seconds(60), recovered);
     controller_->set_catalog({{"bench", {16, 0, 128}, 60, 0.5, 1.1, 0.39, Seconds(30), {"a"}}});
     next_ = now_;
   }
@@ -73,10 +72,11 @@
     record.revision = kToken + 1;
     return record;
   }
-  WorkerReport report_of(const MachineId& id) {
+  Heartbeat report_of(const MachineId& id) {
     auto& worker = workers_[id];
-    WorkerReport report{id,           id, "bench", "a", true, worker.session, ++worker.sequence,
-                        worker.token, {}, {}};
+    Heartbeat report{
+        id,           id, "bench", "a", true, worker.epoch, ++worker.heartbeat_sequence,
+        worker.token, {}, {}};
     for (const auto& [key, task] : worker.tasks)
       report.tasks.push_back({key, task.attempt, TaskState::running, ExitCause::none, false});
     for (const auto& [key, entry] : worker.ended) report.tasks.push_back(entry);
@@ -84,13 +84,13 @@
   }
   void execute(Worker& worker, const std::vector<Command>& commands) {
     for (const auto& command : commands) {
-      const TaskReport stopped{command.task, command.attempt, TaskState::exited, ExitCause::stopped,
+      const TaskStatus stopped{command.task, command.attempt, TaskState::exited, ExitCause::stopped,
                                false};
-      if (command.verb == Verb::start && worker.tasks.try_emplace(command.task).second)
+      if (command.type == CommandType::start && worker.tasks.try_emplace(command.task).second)
         started(worker, command);
-      if (command.verb == Verb::stop && worker.tasks.erase(command.task) > 0)
+      if (command.type == CommandType::stop && worker.tasks.erase(command.task) > 0)
         worker.ended[command.task] = stopped;
-      if (command.verb == Verb::forget) worker.ended.erase(command.task);
+      if (command.type == CommandType::acknowledge) worker.ended.erase(command.task);
     }
   }
   void started(Worker& worker, const Command& command) {
@@ -117,7 +117,7 @@
     auto& worker = workers_[id];
     end_tasks(worker);
     if (now_ - worker.renewed > to_duration(times_.lease)) {
-      ++worker.session;
+      ++worker.epoch;
       worker.tasks.clear();
       worker.ended.clear();
       worker.renewed = now_;
@@ -144,16 +144,16 @@
       while (!answers_.empty() && answers_.begin()->first <= now_) {
         const auto id = answers_.begin()->second;
         answers_.erase(answers_.begin());
-        controller_->orders_answered(id, nullptr, now_);
+        controller_->commands_answered(id, nullptr, now_);
       }
       controller_->tick(now_, serving_, now_);
-      for (auto& action : controller_->take_actions()) carry_out(action);
+      for (auto& action : controller_->take_actions()) execute(action);
     }
   }
-  void carry_out(const Action& action) {
-    if (const auto* orders = std::get_if<SendOrders>(&action)) {
+  void execute(const Action& action) {
+    if (const auto* orders = std::get_if<SendCommands>(&action)) {
       for (const auto& command : orders->commands)
-        ++(command.verb == Verb::start ? starts_sent_ : stops_sent_)[orders->machine];
+        ++(command.type == CommandType::start ? starts_sent_ : stops_sent_)[orders->machine];
       const auto found = workers_.find(orders->machine);
       if (found == workers_.end() || found->second.gone || !found->second.gets ||
           !found->second.says) {
@@ -161,7 +161,7 @@
         return;
       }
       auto& worker = found->second;
-      if (orders->session == worker.session) {
+      if (orders->epoch == worker.epoch) {
         worker.token = kToken;
         execute(worker, orders->commands);
       }
@@ -170,7 +170,7 @@
         return;
       }
       const auto report = report_of(orders->machine);
-      controller_->orders_answered(orders->machine, &report, now_);
+      controller_->commands_answered(orders->machine, &report, now_);
     } else if (const auto* save = std::get_if<SaveMachine>(&action)) {
       saved_.insert(save->record.id);
       if (store_answers_ && !save->record.endpoint.empty())
@@ -180,23 +180,23 @@
     } else if (const auto* finish = std::get_if<FinishJob>(&action)) {
       done_.insert(finish->job);
       controller_->job_closed(finish->job, now_);
-    } else if (const auto* release = std::get_if<Release>(&action)) {
+    } else if (const auto* release = std::get_if<ScaleIn>(&action)) {
       causes_ += release->cause + "; ";
-      if (!cloud_answers_) return controller_->release_answered(release->machines, false, now_);
+      if (!cloud_answers_) return controller_->scale_in_answered(release->machines, false, now_);
       for (const auto& id : release->machines) {
         returned_.insert(id);
         workers_[id].gone = true;
       }
-      controller_->release_answered(release->machines, true, now_);
+      controller_->scale_in_answered(release->machines, true, now_);
     } else if (const auto* resign = std::get_if<Resign>(&action)) {
       if (!resigned_) resigned_ = {now_, resign->cause};
     } else if (std::holds_alternative<JobSuspected>(action)) {
       ++suspected_;
-    } else if (const auto* rent = std::get_if<Rent>(&action)) {
+    } else if (const auto* rent = std::get_if<ScaleOut>(&action)) {
       ++rents_;
       const bool any = !for_rent_.empty();
-      const auto kind = any ? RentalAnswer::Kind::rented : RentalAnswer::Kind::no_capacity;
-      controller_->rental_answered(rent->name, {kind, std::exchange(for_rent_, {})}, now_);
+      const auto kind = any ? ScaleOutResult::Kind::rented : ScaleOutResult::Kind::no_capacity;
+      controller_->scale_out_answered(rent->name, {kind, std::exchange(for_rent_, {})}, now_);
     }
   }
   std::size_t running() const {
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -29,7 +29,7 @@
     std::map<std::string, std::string> nodes;
     for (const char* name : {"n-0", "n-1", "n-2"}) {
       public_[name] = port();
-      mesh_[name] = port();
+      peer_network_[name] = port();
       why_[name] = port();
       nodes[name] = public_[name];
     }
@@ -90,8 +90,8 @@
 
   std::string settings(const std::string& name) {
     std::string text = "member = \"" + name + "\"\nsite = \"z1\"\npublic_addr = \"" +
-                       public_.at(name) + "\"\nmesh_addr = \"" + mesh_.at(name) + "\"\n";
-    for (const auto& [other, address] : mesh_)
+                       public_.at(name) + "\"\nmesh_addr = \"" + peer_network_.at(name) + "\"\n";
+    for (const auto& [other, address] : peer_network_)
       if (other != name)
         text += "[[siblings]]\nmember = \"" + other + "\"\nsite = \"z1\"\npeer_addr = \"" +
                 address + "\"\n";
@@ -191,7 +191,7 @@
   standins::StateService state_;
   standins::Cloud cloud_;
   std::map<std::string, std::string> public_;
-  std::map<std::string, std::string> mesh_;
+  std::map<std::string, std::string> peer_network_;
   std::map<std::string, std::string> why_;
   std::map<std::string, pid_t> processes_;
 };
--- a/tests/mesh_test.cpp
+++ b/tests/mesh_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-namespace violetpulley::mesh {
+namespace violetpulley::peers {
 namespace {
 
 asio::ip::tcp::endpoint free_port(asio::io_context& io) {
@@ -14,24 +14,24 @@
 struct Three {
   asio::io_context io;
   std::array<asio::ip::tcp::endpoint, 3> at{free_port(io), free_port(io), free_port(io)};
-  std::array<std::unique_ptr<Mesh>, 3> nodes;
+  std::array<std::unique_ptr<PeerNetwork>, 3> nodes;
   std::set<std::string> heard;
   std::set<std::string> ended;  // connections, as node 0 sees it
   std::set<std::string> gone;
 
   Three() {
     for (std::size_t i = 0; i < 3; ++i) {
-      std::vector<config::Sibling> siblings;
+      std::vector<config::Peer> peers;
       for (std::size_t j = 0; j < 3; ++j)
         if (j != i)
-          siblings.push_back({std::to_string(j), "", "127.0.0.1:" + std::to_string(at[j].port())});
-      Mesh::Events events{[](const Status&) {}, [](const std::string&) {},
-                          [](const std::string&) {}};
+          peers.push_back({std::to_string(j), "", "127.0.0.1:" + std::to_string(at[j].port())});
+      PeerNetwork::Events events{[](const Status&) {}, [](const std::string&) {},
+                                 [](const std::string&) {}};
       if (i == 0)
         events = {[this](const Status& status) { heard.insert(status.member); },
                   [this](const std::string& member) { ended.insert(member); },
                   [this](const std::string& member) { gone.insert(member); }};
-      nodes[i] = std::make_unique<Mesh>(io, at[i], siblings, events);
+      nodes[i] = std::make_unique<PeerNetwork>(io, at[i], peers, events);
     }
     while (heard.size() < 2) {
       for (std::size_t i = 1; i < 3; ++i) {
@@ -46,22 +46,23 @@
   }
 };
 
-TEST(Mesh, ASiblingThatEndsAloneIsGone) {
-  Three mesh;
-  mesh.nodes[1].reset();
-  for (int i = 0; i < 100 && mesh.gone.empty(); ++i) mesh.io.run_for(std::chrono::milliseconds(50));
-  EXPECT_EQ(mesh.gone, (std::set<std::string>{"1"}));
+TEST(PeerNetwork, ASiblingThatEndsAloneIsGone) {
+  Three peers;
+  peers.nodes[1].reset();
+  for (int i = 0; i < 100 && peers.gone.empty(); ++i)
+    peers.io.run_for(std::chrono::milliseconds(50));
+  EXPECT_EQ(peers.gone, (std::set<std::string>{"1"}));
 }
 
 // Found in an incident: a filter between the controllers reset and refused all their connections,
 // both followers took the leader for dead and ended its hold, and the whole fleet was taken over.
-TEST(Mesh, SiblingsThatAllRefuseAreNotTakenForGone) {
-  Three mesh;
-  mesh.nodes[1].reset();
-  mesh.nodes[2].reset();
-  mesh.io.run_for(std::chrono::milliseconds(1200));
-  EXPECT_TRUE(mesh.gone.empty());
+TEST(PeerNetwork, SiblingsThatAllRefuseAreNotTakenForGone) {
+  Three peers;
+  peers.nodes[1].reset();
+  peers.nodes[2].reset();
+  peers.io.run_for(std::chrono::milliseconds(1200));
+  EXPECT_TRUE(peers.gone.empty());
 }
 
 }  // namespace
-}  // namespace violetpulley::mesh
+}  // namespace violetpulley::peers
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -10,7 +10,7 @@
 // Machines that answer, the orders for them, and who sends those.
 struct Yard {
   explicit Yard(asio::io_context& io)
-      : sender(io, 7, 2, [this](const core::MachineId& id, const core::WorkerReport* report) {
+      : sender(io, 7, 2, [this](const core::MachineId& id, const core::Heartbeat* report) {
           ASSERT_NE(report, nullptr) << id;
           answered.insert(id);
         }) {
@@ -32,14 +32,14 @@
     }
   }
   std::vector<std::unique_ptr<net::HttpServer>> machines;
-  std::vector<core::SendOrders> orders;
+  std::vector<core::SendCommands> orders;
   std::multiset<core::MachineId> answered;
-  OrdersSender sender;  // with two lines
+  CommandSender sender;  // with two lines
 };
 
 // Reports take a socket a machine already; without the bound, orders would take as many again and a
 // controller of a large fleet would have none left for users.
-TEST(Orders, ReachEveryMachineOverABoundedNumberOfConnections) {
+TEST(CommandDispatcher, ReachEveryMachineOverABoundedNumberOfConnections) {
   asio::io_context io;
   Yard yard(io);
   auto& answered = yard.answered;
@@ -58,7 +58,7 @@
 
 // Found with half as many machines again as the users' files show: after a takeover each machine
 // had a line for ever, and no socket was left for the workers' reports.
-TEST(Orders, ABurstLeavesNoMoreLinesThanTheBound) {
+TEST(CommandDispatcher, ABurstLeavesNoMoreLinesThanTheBound) {
   asio::io_context io;
   Yard yard(io);
   auto& answered = yard.answered;
@@ -74,7 +74,7 @@
 
 // An endpoint may belong to another machine by now: its answer says nothing of the one that was
 // asked, which looked reached and confirmed. Nor does one that breaks off in the middle.
-TEST(Orders, AnAnswerOfAnotherMachineOrAHalfOneIsNone) {
+TEST(CommandDispatcher, AnAnswerOfAnotherMachineOrAHalfOneIsNone) {
   for (
       const std::string body :
       {R"({"rig":"m-2","endpoint":"127.0.0.1:1","bench":"small","district":"a","shift":1,"tally":1})",
@@ -88,7 +88,7 @@
                             respond({200, body, {}});
                           });
     std::vector<bool> answers;
-    OrdersSender sender(io, 7, 2, [&](const core::MachineId& id, const core::WorkerReport* report) {
+    CommandSender sender(io, 7, 2, [&](const core::MachineId& id, const core::Heartbeat* report) {
       EXPECT_EQ(id, "m-1");
       answers.push_back(report != nullptr);
     });
--- a/tests/pages_test.cpp
+++ b/tests/pages_test.cpp
@@ -34,7 +34,7 @@
   PagedRecords records("machines/", 14000, milliseconds(2000));
   int saved = 0;
   for (int i = 0; i < 1000; ++i)
-    records.put("m-" + std::to_string(i), Json{"10.0.0.1:1"}, 250, Haste::soon, now,
+    records.put("m-" + std::to_string(i), Json{"10.0.0.1:1"}, 250, WritePriority::urgent, now,
                 [&] { ++saved; });
   Keys keys;
   std::size_t changes = 0;
@@ -66,7 +66,8 @@
       const bool troubles = step < 300;
       if (troubles && chance(70)) {
         const auto id = std::to_string(next++);
-        records.put(id, Json{next}, 60, chance(50) ? Haste::soon : Haste::lazy, now,
+        records.put(id, Json{next}, 60,
+                    chance(50) ? WritePriority::urgent : WritePriority::deferred, now,
                     [&told, id] { told.insert(id); });
       }
       if (!told.empty() && step < 370 && chance(20)) {
--- a/tests/reckoning_test.cpp
+++ b/tests/reckoning_test.cpp
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr Token kToken = 7;
+constexpr FencingToken kToken = 7;
 
 TEST(Sockets, ReportsComeFirstAndNobodyIsLeftWithout) {
   for (const std::size_t sockets : {100, 1000, 3494, 20'000})
@@ -28,9 +28,9 @@
   EXPECT_LT(shares.own + 2112 + shares.orders + shares.users, 3494U * 9 / 10);
 }
 
-TEST(OrderWindow, GrowsOnAnswersAndShrinksOnSlowAndMissingOnes) {
+TEST(InFlightWindow, GrowsOnAnswersAndShrinksOnSlowAndMissingOnes) {
   TimePoint now = TimePoint{} + std::chrono::hours(1);
-  OrderWindow window;
+  InFlightWindow window;
   window.set_share(500);
   const auto start = window.size();
   const auto exchange = [&](std::size_t times, Seconds took) {
@@ -85,61 +85,62 @@
   }
   void stored(std::vector<MachineId> machines, std::vector<JobRecord> jobs,
               std::vector<ProgressRecord> progress = {}) {
-    Inheritance inheritance;
+    RecoveredState recovered;
     for (const auto& id : machines)
-      inheritance.machines.push_back({id, "10.0.0.1:1", "bench", "a", true, {}});
-    inheritance.jobs = std::move(jobs);
-    inheritance.progress = std::move(progress);
+      recovered.machines.push_back({id, "10.0.0.1:1", "bench", "a", true, {}});
+    recovered.jobs = std::move(jobs);
+    recovered.progress = std::move(progress);
     ControllerSettings settings;
     settings.teams = {{"t", 0, 0, 0, 0}};
     settings.cloud_calls_per_s = 10;
     settings.tuning = tuning_;
     controller_ = std::make_unique<Controller>(std::move(settings), kToken, now_,
-                                               now_ + std::chrono::seconds(60), inheritance);
+                                               now_ + std::chrono::seconds(60), recovered);
     controller_->set_catalog({{"bench", {16, 0, 128}, 60, 0.5, 1.1, 0.39, Seconds(30), {"a"}}});
   }
-  static TaskReport task(const JobId& job, TaskIndex index, Attempt attempt = 3,
+  static TaskStatus task(const JobId& job, TaskIndex index, Attempt attempt = 3,
                          TaskState state = TaskState::running, ExitCause cause = ExitCause::none) {
     return {{job, index}, attempt, state, cause, false};
   }
-  void report(const MachineId& id, std::vector<TaskReport> tasks, Token token = kToken,
-              std::uint64_t session = 1, std::uint64_t sequence = 0) {
-    WorkerReport report{id, "10.0.0.1:1", "bench", "a", true, session, 0, token, {}, {}};
-    report.sequence = sequence != 0 ? sequence : ++sequence_;
+  void report(const MachineId& id, std::vector<TaskStatus> tasks, FencingToken token = kToken,
+              std::uint64_t epoch = 1, std::uint64_t heartbeat_sequence = 0) {
+    Heartbeat report{id, "10.0.0.1:1", "bench", "a", true, epoch, 0, token, {}, {}};
+    report.heartbeat_sequence = heartbeat_sequence != 0 ? heartbeat_sequence : ++sequence_;
     report.tasks = std::move(tasks);
     controller_->report(report, now_);
     for (const auto& command : controller_->response_commands(report)) commands_.push_back(command);
     if (token <= kToken) last_[id] = std::move(report);
   }
   // A machine that is neither idle nor full.
-  static std::vector<TaskReport> busy() {
+  static std::vector<TaskStatus> busy() {
     return {task("req-2", 0, 3), task("req-2", 1, 4), task("req-2", 2, 5)};
   }
   // Machines that have reported answer orders with the same once more, under the leader's token.
   void answer(const MachineId& id) {
     const auto found = last_.find(id);
     if (found == last_.end()) {
-      if (unreachable_) controller_->orders_answered(id, nullptr, now_);
+      if (unreachable_) controller_->commands_answered(id, nullptr, now_);
       return;
     }
     auto& report = found->second;
-    report.sequence = ++sequence_;
+    report.heartbeat_sequence = ++sequence_;
     report.token = kToken;
-    controller_->orders_answered(id, &report, now_);
+    controller_->commands_answered(id, &report, now_);
   }
   // Passes time and collects what the leader orders.
   void run(Seconds length) {
     for (const auto end = now_ + to_duration(length); now_ < end; now_ += milliseconds(100)) {
       controller_->tick(now_, true, now_);
       for (auto& action : controller_->take_actions()) {
-        if (auto* orders = std::get_if<SendOrders>(&action)) {
+        if (auto* orders = std::get_if<SendCommands>(&action)) {
           asked_.push_back(orders->machine);
           for (const auto& command : orders->commands) commands_.push_back(command);
           answer(orders->machine);
-        } else if (const auto* rent = std::get_if<Rent>(&action)) {
+        } else if (const auto* rent = std::get_if<ScaleOut>(&action)) {
           ++rents_;
-          controller_->rental_answered(rent->name, {RentalAnswer::Kind::no_capacity, {}}, now_);
-        } else if (auto* release = std::get_if<Release>(&action)) {
+          controller_->scale_out_answered(rent->name, {ScaleOutResult::Kind::no_capacity, {}},
+                                          now_);
+        } else if (auto* release = std::get_if<ScaleIn>(&action)) {
           returned_.insert(returned_.end(), release->machines.begin(), release->machines.end());
         } else {
           actions_.push_back(std::move(action));
@@ -148,10 +149,10 @@
     }
   }
   // Tasks, however often they were told.
-  std::size_t count(Verb verb) const {
+  std::size_t count(CommandType type) const {
     std::set<std::pair<TaskKey, Attempt>> told;
     for (const auto& command : commands_)
-      if (command.verb == verb) told.emplace(command.task, command.attempt);
+      if (command.type == type) told.emplace(command.task, command.attempt);
     return told.size();
   }
   std::size_t saves_of_progress() const {
@@ -161,14 +162,14 @@
                  std::holds_alternative<FinishJob>(action);
         }));
   }
-  const Squared& squared() const { return controller_->reckoning().squared(); }
+  const ReconciliationStats& stats() const { return controller_->reconciler().stats(); }
 
   TimePoint now_ = TimePoint{} + std::chrono::hours(1);
   std::unique_ptr<Controller> controller_;
   std::uint64_t sequence_ = 0;
   Tuning tuning_;
   bool unreachable_ = false;  // who has not reported gives no answer, at once
-  std::map<MachineId, WorkerReport> last_;
+  std::map<MachineId, Heartbeat> last_;
   std::vector<MachineId> asked_;
   std::vector<MachineId> returned_;
   std::vector<Command> commands_;
@@ -180,18 +181,18 @@
   stored({"m1", "m2"}, {job("req-1", 3)});
   report("m1", {task("req-1", 0)});
   run(Seconds(0.5));
-  EXPECT_EQ(squared().adopted, 1U);
-  EXPECT_EQ(count(Verb::start), 0U) << "m2 may run the other two";
+  EXPECT_EQ(stats().adopted, 1U);
+  EXPECT_EQ(count(CommandType::start), 0U) << "m2 may run the other two";
   report("m2", {});
   run(Seconds(0.5));
-  EXPECT_EQ(count(Verb::start), 2U);
+  EXPECT_EQ(count(CommandType::start), 2U);
 }
 
 TEST_F(Takeover, OperatorsMayNarrowTheWaves) {
   std::vector<MachineId> machines;
   for (int i = 0; i < 60; ++i) machines.push_back(std::to_string(1000 + i));
   for (const std::size_t most : {8, 0}) {
-    tuning_.most_orders = most;
+    tuning_.max_commands_in_flight = most;
     asked_.clear();
     stored(machines, {job("req-1", 1)});
     run(Seconds(0.1));
@@ -204,7 +205,7 @@
 TEST_F(Takeover, TheSilentDoNotStandInTheWayOfTheOthers) {
   std::vector<MachineId> machines;
   for (int i = 0; i < 60; ++i) machines.push_back(std::to_string(1000 + i));
-  tuning_.most_orders = 8;
+  tuning_.max_commands_in_flight = 8;
   unreachable_ = true;
   stored(machines, {job("req-1", 1)});
   run(Seconds(3));
@@ -220,8 +221,8 @@
   controller_->job_opened(younger, now_);
   run(Seconds(2.5));
   EXPECT_EQ(rents_, 0U);
-  controller_->orders_answered("m1", nullptr, now_);
-  controller_->orders_answered("m2", nullptr, now_);
+  controller_->commands_answered("m1", nullptr, now_);
+  controller_->commands_answered("m2", nullptr, now_);
   run(Seconds(2.5));
   EXPECT_GT(rents_, 0U) << "they are gone: now it is lacking";
 }
@@ -246,26 +247,26 @@
   stored({"m1"}, {job("req-1", 2)}, {{"req-1", 0, {{0, 0}}, {}}});
   report("m1", {task("req-1", 0)});
   run(Seconds(1));
-  EXPECT_EQ(squared().stored_done, 1U);
-  EXPECT_EQ(count(Verb::stop), 1U);
+  EXPECT_EQ(stats().stored_done, 1U);
+  EXPECT_EQ(count(CommandType::stop), 1U);
 }
 
 TEST_F(Takeover, ReportedDoneAndNotStoredIsStoredBeforeItIsForgotten) {
   stored({"m1"}, {job("req-1", 2)});
   report("m1", {task("req-1", 0, 3, TaskState::exited, ExitCause::done)});
   run(Seconds(3));
-  EXPECT_EQ(squared().ended, 1U);
+  EXPECT_EQ(stats().ended, 1U);
   EXPECT_GT(saves_of_progress(), 0U);
-  EXPECT_EQ(count(Verb::forget), 0U);
+  EXPECT_EQ(count(CommandType::acknowledge), 0U);
   for (const auto& command : commands_)
-    EXPECT_FALSE(command.verb == Verb::start && command.task.index == 0) << "it is done";
+    EXPECT_FALSE(command.type == CommandType::start && command.task.index == 0) << "it is done";
 }
 
 TEST_F(Takeover, TasksOfJobsThatEndedMeanwhileAreStopped) {
   stored({"m1"}, {});
   report("m1", {task("req-9", 0)});
-  EXPECT_EQ(squared().of_no_job, 1U);
-  EXPECT_EQ(count(Verb::stop), 1U);
+  EXPECT_EQ(stats().of_no_job, 1U);
+  EXPECT_EQ(count(CommandType::stop), 1U);
 }
 
 TEST_F(Takeover, OfTwoCopiesTheSecondIsStopped) {
@@ -273,8 +274,8 @@
   report("m1", {task("req-1", 0, 3)});
   report("m2", {task("req-1", 0, 4)});
   run(Seconds(1));
-  EXPECT_EQ(squared().second_copies, 1U);
-  ASSERT_EQ(count(Verb::stop), 1U);
+  EXPECT_EQ(stats().second_copies, 1U);
+  ASSERT_EQ(count(CommandType::stop), 1U);
   EXPECT_EQ(commands_.back().attempt, 4U);
 }
 
@@ -283,11 +284,11 @@
   report("m1", {task("req-1", 0)});
   report("m2", {});
   run(Seconds(1));
-  EXPECT_EQ(count(Verb::stop), 1U);
-  EXPECT_EQ(count(Verb::start), 0U) << "the first task is still there";
+  EXPECT_EQ(count(CommandType::stop), 1U);
+  EXPECT_EQ(count(CommandType::start), 0U) << "the first task is still there";
   report("m1", {});
   run(Seconds(1));
-  EXPECT_EQ(count(Verb::start), 2U);
+  EXPECT_EQ(count(CommandType::start), 2U);
 }
 
 TEST_F(Takeover, AReplicaTooManyIsNotStartedAgain) {
@@ -295,8 +296,8 @@
   report("m1", {task("req-1", 0, 3)});
   report("m2", {task("req-1", 0, 4)});
   run(Seconds(1));
-  EXPECT_EQ(count(Verb::stop), 1U);
-  EXPECT_EQ(count(Verb::start), 0U);
+  EXPECT_EQ(count(CommandType::stop), 1U);
+  EXPECT_EQ(count(CommandType::start), 0U);
 }
 
 TEST_F(Takeover, ALaterSessionLosesWhatTheEarlierOneHad) {
@@ -304,8 +305,8 @@
   report("m1", {task("req-1", 0)}, kToken - 1, 1, 5);
   report("m1", {}, kToken, 2, 6);
   run(Seconds(0.5));
-  EXPECT_EQ(squared().new_sessions, 1U);
-  EXPECT_EQ(count(Verb::start), 1U);
+  EXPECT_EQ(stats().new_sessions, 1U);
+  EXPECT_EQ(count(CommandType::start), 1U);
 }
 
 TEST_F(Takeover, AnOlderReportIsPassedOver) {
@@ -313,8 +314,8 @@
   report("m1", {}, kToken, 2, 6);
   report("m1", {task("req-1", 0)}, kToken - 1, 1, 9);  // a former session's, held on its way
   report("m1", {task("req-1", 0)}, kToken, 2, 5);
-  EXPECT_EQ(squared().late, 2U);
-  EXPECT_EQ(squared().adopted, 0U);
+  EXPECT_EQ(stats().late, 2U);
+  EXPECT_EQ(stats().adopted, 0U);
 }
 
 // Found by seed 400 of Committing (ran_twice): the first report after the takeover was an old one,
@@ -325,23 +326,23 @@
   report("m1", {task("req-1", 0, 3)}, kToken - 1, 1, 27);
   report("m1", {task("req-1", 0, 4)}, kToken, 1, 49);
   run(Seconds(2));
-  EXPECT_EQ(count(Verb::start), 0U) << "it runs on m1";
-  EXPECT_EQ(count(Verb::stop), 0U);
+  EXPECT_EQ(count(CommandType::start), 0U) << "it runs on m1";
+  EXPECT_EQ(count(CommandType::stop), 0U);
 }
 
 TEST_F(Takeover, AMachineThatIsNotStoredIsRegisteredBeforeAnythingStartsThere) {
   stored({}, {job("req-1", 1)});
   report("new", {});
   run(Seconds(0.5));
-  EXPECT_EQ(count(Verb::start), 0U);
+  EXPECT_EQ(count(CommandType::start), 0U);
   controller_->machine_saved("new", true, true);
   run(Seconds(0.5));
-  EXPECT_EQ(count(Verb::start), 1U);
+  EXPECT_EQ(count(CommandType::start), 1U);
 }
 
 TEST_F(Takeover, AMovedEndpointIsWhatOrdersGoTo) {
   stored({"m1"}, {job("req-1", 1)});
-  WorkerReport moved{"m1", "10.0.0.9:9", "bench", "a", true, 1, 1, kToken, {}, {}};
+  Heartbeat moved{"m1", "10.0.0.9:9", "bench", "a", true, 1, 1, kToken, {}, {}};
   controller_->report(moved, now_);
   controller_->tick(now_, true, now_);
   std::string stored_endpoint;
@@ -354,7 +355,7 @@
   controller_->tick(now_ + milliseconds(200), true, now_);
   std::string endpoint;
   for (auto& action : controller_->take_actions())
-    if (const auto* orders = std::get_if<SendOrders>(&action)) endpoint = orders->endpoint;
+    if (const auto* orders = std::get_if<SendCommands>(&action)) endpoint = orders->endpoint;
   EXPECT_EQ(endpoint, "10.0.0.9:9");
 }
 
@@ -365,7 +366,7 @@
   EXPECT_TRUE(std::any_of(actions_.begin(), actions_.end(), [](const Action& action) {
     return std::holds_alternative<Resign>(action);
   }));
-  EXPECT_EQ(count(Verb::start), 0U);
+  EXPECT_EQ(count(CommandType::start), 0U);
 }
 
 // Found on the bench: choosing machines for six thousand tasks in one go took a leader three
@@ -412,10 +413,10 @@
     report("m2", busy());
     run(Seconds(1));
     if (Seconds(second) < lease) {
-      ASSERT_EQ(count(Verb::start), 0U) << "after " << second << " s";
+      ASSERT_EQ(count(CommandType::start), 0U) << "after " << second << " s";
     }
   }
-  EXPECT_EQ(count(Verb::start), 1U);
+  EXPECT_EQ(count(CommandType::start), 1U);
 }
 
 // Found by seed 1379 of Hunted: the 200 to its first report renewed the lease of a machine that ran
@@ -425,7 +426,7 @@
   stored({"m1"}, {job("req-1", 1)});
   report("m1", {task("req-1", 0), task("req-9", 0, 4)}, kToken - 1);
   ASSERT_EQ(commands_.size(), 1U) << "with that very answer";
-  EXPECT_EQ(commands_[0].verb, Verb::stop);
+  EXPECT_EQ(commands_[0].type, CommandType::stop);
   EXPECT_EQ(commands_[0].task.job, "req-9");
 }
 
@@ -438,7 +439,7 @@
   const auto wait = [&](int seconds, int heard) {
     for (int second = 0; second < seconds; ++second) {
       for (int i = 0; i < heard; ++i)
-        report(all[static_cast<std::size_t>(i)], i == 0 ? busy() : std::vector<TaskReport>{});
+        report(all[static_cast<std::size_t>(i)], i == 0 ? busy() : std::vector<TaskStatus>{});
       run(Seconds(1));
     }
   };
@@ -481,11 +482,11 @@
     std::optional<Seconds> started;
     report("m2", busy());
     run(Seconds(1));
-    if (gone) controller_->no_older_leader(now_);
+    if (gone) controller_->former_leaders_gone(now_);
     for (int second = 0; second < 70 && !started; ++second) {
       report("m2", busy());
       run(Seconds(1));
-      if (count(Verb::start) > 0) started = now_ - start;
+      if (count(CommandType::start) > 0) started = now_ - start;
     }
     ASSERT_TRUE(started);
     EXPECT_EQ(*started < Seconds(32), gone) << started->count();
@@ -501,12 +502,12 @@
   report("m2", {});
   run(Seconds(7));  // m3 is asked once, and the answer is still awaited
   EXPECT_TRUE(returned_.empty());
-  controller_->orders_answered("m3", nullptr, now_);
+  controller_->commands_answered("m3", nullptr, now_);
   report("m1", {});
   report("m2", {});
   run(Seconds(0.5));
   EXPECT_TRUE(returned_.empty());
-  controller_->orders_answered("m3", nullptr, now_);
+  controller_->commands_answered("m3", nullptr, now_);
   report("m1", {});
   report("m2", {});
   run(Seconds(0.5));
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -12,11 +12,11 @@
 
 using core::Seconds;
 using std::chrono::milliseconds;
-using store::Haste;
+using store::WritePriority;
 
 struct Outcome {
   std::uint64_t events = 0;  // reports, answers to orders, jobs
-  std::uint64_t looks = 0;
+  std::uint64_t inspections = 0;
   std::uint64_t changes = 0;  // of keys in the state service
   std::size_t done = 0;
   std::optional<Seconds> all_registered;
@@ -45,12 +45,12 @@
       for (auto& [id, worker] : workers_) live(worker);
       controller_.tick(now_, true, now_);
       for (auto& action : controller_.take_actions())
-        std::visit([&](auto& a) { carry_out(a); }, action);
+        std::visit([&](auto& a) { execute(a); }, action);
       write();
       if (!outcome_.all_registered && registered_ == static_cast<std::size_t>(machines_))
         outcome_.all_registered = Seconds(now_ - start);
     }
-    outcome_.looks = controller_.looks();
+    outcome_.inspections = controller_.inspections();
     return outcome_;
   }
 
@@ -61,7 +61,7 @@
   };
   struct Worker {
     core::MachineId id;
-    std::uint64_t sequence = 0;
+    std::uint64_t heartbeat_sequence = 0;
     core::TimePoint next_report{};
     std::map<core::TaskKey, Live> tasks;
     std::map<core::TaskKey, core::Attempt> exited;
@@ -95,9 +95,9 @@
     workers_[id].next_report = now_;
   }
 
-  core::WorkerReport report_of(Worker& worker) {
-    core::WorkerReport report{worker.id, "10.0.0.1:1",      "small", "a", true,
-                              1,         ++worker.sequence, 7,       {},  {}};
+  core::Heartbeat report_of(Worker& worker) {
+    core::Heartbeat report{
+        worker.id, "10.0.0.1:1", "small", "a", true, 1, ++worker.heartbeat_sequence, 7, {}, {}};
     for (const auto& [key, live] : worker.tasks)
       report.tasks.push_back({key, live.attempt, core::TaskState::running, core::ExitCause::none});
     for (const auto& [key, attempt] : worker.exited)
@@ -124,41 +124,41 @@
   }
 
   void execute(Worker& worker, const core::Command& command) {
-    if (command.verb == core::Verb::forget) worker.exited.erase(command.task);
-    if (command.verb == core::Verb::start)
+    if (command.type == core::CommandType::acknowledge) worker.exited.erase(command.task);
+    if (command.type == core::CommandType::start)
       worker.tasks.try_emplace(command.task, Live{command.attempt, now_ + std::chrono::seconds(9)});
   }
 
-  void carry_out(core::SendOrders& orders) {
+  void execute(core::SendCommands& orders) {
     auto& worker = workers_.at(orders.machine);
     for (const auto& command : orders.commands) execute(worker, command);
     ++outcome_.events;
     const auto report = report_of(worker);
-    controller_.orders_answered(worker.id, &report, now_);
+    controller_.commands_answered(worker.id, &report, now_);
   }
-  void carry_out(core::SaveMachine& save) {
+  void execute(core::SaveMachine& save) {
     records_.put(save.record.id, store::Json{save.record.endpoint}, 260,
-                 save.only_images ? Haste::lazy : Haste::soon, now_,
+                 save.only_images ? WritePriority::deferred : WritePriority::urgent, now_,
                  [this, id = save.record.id, again = save.only_images] {
                    if (!again) ++registered_;
                    controller_.machine_saved(id, true, true);
                  });
   }
-  void carry_out(core::SaveProgress& save) {
-    progress_.put(save.record.job, store::Json::array(), 60, Haste::lazy, now_,
+  void execute(core::SaveProgress& save) {
+    progress_.put(save.record.job, store::Json::array(), 60, WritePriority::deferred, now_,
                   [this, save] { controller_.progress_saved(save, true); });
   }
-  void carry_out(core::FinishJob& finish) {
+  void execute(core::FinishJob& finish) {
     outcome_.changes += 2;
     ++outcome_.done;
     progress_.erase(finish.job, now_);
     controller_.job_closed(finish.job, now_);
   }
-  void carry_out(core::Rent& rent) {
-    controller_.rental_answered(rent.name, {core::RentalAnswer::Kind::no_capacity, {}}, now_);
+  void execute(core::ScaleOut& rent) {
+    controller_.scale_out_answered(rent.name, {core::ScaleOutResult::Kind::no_capacity, {}}, now_);
   }
   template <typename Other>
-  void carry_out(Other&) {}
+  void execute(Other&) {}
 
   // One transaction of at most 12 changes each 400 ms: 30 changes a second.
   void write() {
@@ -204,7 +204,7 @@
   EXPECT_LT(paged(many), paged(few) * 4);
   EXPECT_LT(paged(many), 90U * 15) << "a second's share of the budget";
   const auto per_event = [](const Outcome& o) {
-    return static_cast<double>(o.looks) / static_cast<double>(o.events);
+    return static_cast<double>(o.inspections) / static_cast<double>(o.events);
   };
   EXPECT_LT(per_event(many), per_event(few) * 2.5);
   EXPECT_LT(per_event(many), 60);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -81,7 +81,7 @@
 }
 
 TEST(Tuning, IsCheckedAndUnknownNamesAreRefused) {
-  EXPECT_EQ(parse_operators("clearing_wait_s: 45").tuning.clearing_wait, core::Seconds(45));
+  EXPECT_EQ(parse_operators("clearing_wait_s: 45").tuning.consolidation_wait, core::Seconds(45));
   EXPECT_EQ(parse_operators("").tuning.round, core::Tuning{}.round);
   EXPECT_THROW(parse_operators("clearing_wiat_s: 45"), SettingsError);
   EXPECT_THROW(parse_operators("round_s: fast"), SettingsError);
@@ -89,7 +89,7 @@
   EXPECT_THROW(parse_operators("why_address: here"), SettingsError);
   EXPECT_THROW(parse_operators("round_s: 1000"), SettingsError);
   const auto gentle = parse_operators("{most_orders: 64, most_given_up: 0, still_alive: 1}").tuning;
-  EXPECT_EQ(gentle.most_orders, 64U);
+  EXPECT_EQ(gentle.max_commands_in_flight, 64U);
   EXPECT_EQ(gentle.most_given_up, 0);
   EXPECT_EQ(gentle.still_alive, 1);
   for (const char* bad :
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -24,7 +24,8 @@
   world.expect_all_known();
   world.run(Seconds(475));
   // One that is being moved to others at this moment is back soon (seed 1124 of Operations).
-  for (int looks = 0; looks < 5 && world.missing_replicas() > 0; ++looks) world.run(Seconds(3));
+  for (int inspections = 0; inspections < 5 && world.missing_replicas() > 0; ++inspections)
+    world.run(Seconds(3));
   EXPECT_EQ(world.missing_replicas(), 0U) << world.state();
   world.cancel_services();
   // A gang of the size of its team's limit waits for the team's replicas to go, and such gangs run
--- a/tests/solver_test.cpp
+++ b/tests/solver_test.cpp
@@ -153,13 +153,13 @@
       return problem.jobs[j].id + " has no reason";
     out.reasons += why.reasons.size();
     const State empty(problem);
-    const auto& looked_at = why.impossible ? empty : state;
-    if (!why.reasons.empty() && !fits(looked_at, j, without(why.reasons)))
+    const auto& note_inspections = why.impossible ? empty : state;
+    if (!why.reasons.empty() && !fits(note_inspections, j, without(why.reasons)))
       return problem.jobs[j].id + " does not fit without its reasons";
     for (std::size_t kept = 0; kept < why.reasons.size(); ++kept) {
       auto rest = why.reasons;
       rest.erase(rest.begin() + static_cast<std::ptrdiff_t>(kept));
-      if (fits(looked_at, j, without(rest)))
+      if (fits(note_inspections, j, without(rest)))
         return problem.jobs[j].id + " fits with " + code_of(why.reasons[kept]) + " kept";
     }
   }
--- a/tests/standins.hpp
+++ b/tests/standins.hpp
@@ -61,7 +61,7 @@
   // The same for all. Holds do not run out, and have their full time afterwards.
   void outage(bool on) {
     if (outage_ && !on)
-      for (auto& [hold, kept] : std::map(holds_)) extend(hold, kept.ttl);
+      for (auto& [lease, kept] : std::map(holds_)) extend(lease, kept.ttl);
     outage_ = on;
   }
   // Executed when they come, answered so much later.
@@ -111,7 +111,7 @@
   struct Entry {
     Json value;
     std::uint64_t revision = 0;
-    std::uint64_t hold = 0;
+    std::uint64_t lease = 0;
   };
   struct Watch {
     std::size_t door;
@@ -136,32 +136,32 @@
            {}});
     }
     if (path == "/holds") {
-      const auto hold = ++last_hold_;
-      extend(hold, std::chrono::milliseconds(Json::parse(request.body).at("ttl_ms").get<int>()));
-      return respond({200, Json{{"tenure", hold}}.dump(), {}});
+      const auto lease = ++last_hold_;
+      extend(lease, std::chrono::milliseconds(Json::parse(request.body).at("ttl_ms").get<int>()));
+      return respond({200, Json{{"tenure", lease}}.dump(), {}});
     }
-    const auto hold = std::stoull(path.substr(7));
-    if (!holds_.contains(hold)) return respond({404, "{}", {}});
+    const auto lease = std::stoull(path.substr(7));
+    if (!holds_.contains(lease)) return respond({404, "{}", {}});
     if (request.method == "DELETE")
-      end(hold);
+      end(lease);
     else
-      extend(hold, holds_.at(hold).ttl);
+      extend(lease, holds_.at(lease).ttl);
     respond({200, "{}", {}});
   }
 
-  void extend(std::uint64_t hold, std::chrono::milliseconds ttl) {
+  void extend(std::uint64_t lease, std::chrono::milliseconds ttl) {
     auto timer = std::make_shared<asio::steady_timer>(io_, ttl);
-    timer->async_wait([this, hold](const asio::error_code& error) {
-      if (!error && !outage_) end(hold);
+    timer->async_wait([this, lease](const asio::error_code& error) {
+      if (!error && !outage_) end(lease);
     });
-    holds_[hold] = {ttl, timer};
+    holds_[lease] = {ttl, timer};
   }
 
-  void end(std::uint64_t hold) {
-    holds_.erase(hold);
+  void end(std::uint64_t lease) {
+    holds_.erase(lease);
     ++revision_;
     for (auto entry = entries_.begin(); entry != entries_.end();)
-      if (entry->second.hold == hold) {
+      if (entry->second.lease == lease) {
         changes_.push_back({{"delete", entry->first}, {"stamp", revision_}});
         entry = entries_.erase(entry);
       } else {
@@ -318,17 +318,17 @@
     for (const auto& command : commands) {
       const std::pair key{command.at("cut").get<std::string>(),
                           command.at("try").get<std::uint64_t>()};
-      const auto verb = command.at("verb").get<std::string>();
-      if (verb == "start" && !tasks_.contains(key)) {
+      const auto type = command.at("verb").get<std::string>();
+      if (type == "start" && !tasks_.contains(key)) {
         ++starts_;
         tasks_[key] = {
             "running", "",
             std::chrono::steady_clock::now() +
                 std::chrono::milliseconds(key.first.starts_with("req-9") ? 600'000 : 100)};
-      } else if (verb == "kill" && tasks_.contains(key) && tasks_[key].state != "exited") {
+      } else if (type == "kill" && tasks_.contains(key) && tasks_[key].state != "exited") {
         tasks_[key].state = "exited";
         tasks_[key].cause = "halted";
-      } else if (verb == "reap") {
+      } else if (type == "reap") {
         tasks_.erase(key);
       }
     }
--- a/tests/storm.hpp
+++ b/tests/storm.hpp
@@ -33,13 +33,13 @@
   std::size_t started = 0;
   std::size_t done = 0;
   std::size_t most_sockets = 0;
-  std::size_t refused = 0;      // connections
-  std::size_t most_orders = 0;  // sent in one second
-  std::size_t rented = 0;       // asked for
+  std::size_t refused = 0;                 // connections
+  std::size_t max_commands_in_flight = 0;  // sent in one second
+  std::size_t rented = 0;                  // asked for
   std::size_t returned = 0;
-  Seconds recovered{-1};  // from the last takeover on
-  RecoveryCost held_up;   // of the last reckoning
-  Squared squared;
+  Seconds recovered{-1};       // from the last takeover on
+  ReconciliationCost held_up;  // of the last reckoning
+  ReconciliationStats stats;
   Seconds latest_event{0};  // waited for the processor
 };
 
@@ -108,9 +108,9 @@
     std::string zone;
     bool dead = false;
     TimePoint hangs_until{};
-    std::uint64_t session = 1;
-    std::uint64_t sequence = 0;
-    Token token = 0;
+    std::uint64_t epoch = 1;
+    std::uint64_t heartbeat_sequence = 0;
+    FencingToken token = 0;
     std::size_t node = 0;
     bool connected = false;
     std::uint64_t in_flight = 0;  // number of the report that is not answered; 0: none
@@ -162,7 +162,7 @@
     if (!controller_ || nodes_[leading_].busy_until > now_) return;
     controller_->tick(now_, true, now_);
     for (auto& action : controller_->take_actions())
-      std::visit([&](auto& a) { carry_out(a); }, action);
+      std::visit([&](auto& a) { execute(a); }, action);
     if (outcome_.recovered < Seconds(0) && !controller_->recovering())
       outcome_.recovered = now_ - won_;
   }
@@ -185,8 +185,8 @@
   }
   void note_leader() {
     if (!controller_) return;
-    outcome_.held_up = controller_->reckoning().cost();
-    outcome_.squared = controller_->reckoning().squared();
+    outcome_.held_up = controller_->reconciler().cost();
+    outcome_.stats = controller_->reconciler().stats();
   }
   void lead(std::size_t node) {
     leading_ = node;
@@ -199,12 +199,12 @@
     settings.workers = kTimes;
     settings.cloud_calls_per_s = 10;
     settings.sockets = {plan_.told_its_sockets ? plan_.sockets : 1'000'000, plan_.nodes};
-    Inheritance inheritance;
-    for (const auto& [id, record] : records_) inheritance.machines.push_back(record);
-    for (const auto& [id, record] : jobs_) inheritance.jobs.push_back(record);
-    for (const auto& [key, record] : progress_) inheritance.progress.push_back(record);
+    RecoveredState recovered;
+    for (const auto& [id, record] : records_) recovered.machines.push_back(record);
+    for (const auto& [id, record] : jobs_) recovered.jobs.push_back(record);
+    for (const auto& [key, record] : progress_) recovered.progress.push_back(record);
     controller_ = std::make_unique<Controller>(std::move(settings), token_, now_,
-                                               now_ + std::chrono::seconds(45), inheritance);
+                                               now_ + std::chrono::seconds(45), recovered);
     controller_->set_catalog({{"bench", {16, 0, 128}, 60, 0.5, 1.1, 0.39, Seconds(30), zones_}});
   }
   void submit() {
@@ -230,7 +230,7 @@
     outcome_.most_sockets = std::max(outcome_.most_sockets, nodes_[node].sockets());
   }
 
-  // As agent::OrdersSender does it.
+  // As agent::CommandSender does it.
   void close_lines(std::size_t most) {
     auto& lines = nodes_[leading_].lines;
     while (plan_.closes_lines && lines.size() > most) {
@@ -243,16 +243,17 @@
       lines.erase(oldest);
     }
   }
-  void carry_out(SendOrders& orders) {
+  void execute(SendCommands& orders) {
     const auto second = std::chrono::duration_cast<std::chrono::seconds>(now_ - TimePoint{});
-    outcome_.most_orders = std::max(outcome_.most_orders, ++orders_in_second_[second.count()]);
+    outcome_.max_commands_in_flight =
+        std::max(outcome_.max_commands_in_flight, ++orders_in_second_[second.count()]);
     auto& lines = nodes_[leading_].lines;
     const auto most = controller_->orders().shares().orders;
     if (!lines.contains(orders.machine)) {
       close_lines(most - 1);
       if (!room_for_socket(leading_))
         return worked(
-            [this, id = orders.machine] { controller_->orders_answered(id, nullptr, now_); });
+            [this, id = orders.machine] { controller_->commands_answered(id, nullptr, now_); });
     }
     auto& line = lines[orders.machine];
     line = {++sends_, true};
@@ -264,7 +265,7 @@
       return;
     }
     later(Seconds(between(0.004, 0.02)), [this, orders, token = token_, &worker] {
-      if (token >= worker.token && orders.session == worker.session) {
+      if (token >= worker.token && orders.epoch == worker.epoch) {
         worker.token = token;
         for (const auto& command : orders.commands) execute(worker, command);
       }
@@ -273,34 +274,34 @@
             [this, token, report] { answered(report.machine, token, &report); });
     });
   }
-  void answered(const MachineId& id, Token token, const WorkerReport* report) {
+  void answered(const MachineId& id, FencingToken token, const Heartbeat* report) {
     if (!controller_ || token != token_) return;
     if (const auto line = nodes_[leading_].lines.find(id); line != nodes_[leading_].lines.end())
       line->second.busy = false;
     close_lines(controller_->orders().shares().orders);
     worked([this, id, copy = report ? std::optional(*report) : std::nullopt] {
-      controller_->orders_answered(id, copy ? &*copy : nullptr, now_);
+      controller_->commands_answered(id, copy ? &*copy : nullptr, now_);
     });
   }
-  void carry_out(SaveMachine& save) {
+  void execute(SaveMachine& save) {
     records_[save.record.id] = save.record;
     controller_->machine_saved(save.record.id, !save.record.endpoint.empty(), true);
   }
-  void carry_out(DeleteMachine& gone) { records_.erase(gone.id); }
-  void carry_out(SaveProgress& save) {
+  void execute(DeleteMachine& gone) { records_.erase(gone.id); }
+  void execute(SaveProgress& save) {
     progress_[{save.record.job, save.record.chunk}] = save.record;
     controller_->progress_saved(save, true);
   }
-  void carry_out(FinishJob& finish) {
+  void execute(FinishJob& finish) {
     jobs_.erase(finish.job);
     std::erase_if(progress_, [&](const auto& e) { return e.first.first == finish.job; });
     controller_->job_closed(finish.job, now_);
   }
-  void carry_out(Rent& rent) {
+  void execute(ScaleOut& rent) {
     outcome_.rented += static_cast<std::size_t>(rent.count);
-    controller_->rental_answered(rent.name, {RentalAnswer::Kind::no_capacity, {}}, now_);
+    controller_->scale_out_answered(rent.name, {ScaleOutResult::Kind::no_capacity, {}}, now_);
   }
-  void carry_out(Release& release) {
+  void execute(ScaleIn& release) {
     later(Seconds(0.2), [this, machines = release.machines, token = token_] {
       if (!controller_ || token != token_) return;
       if (!cloud_down_)
@@ -312,13 +313,13 @@
           nodes_[leading_].lines.erase(id);
           ++outcome_.returned;
         }
-      controller_->release_answered(machines, !cloud_down_, now_);
+      controller_->scale_in_answered(machines, !cloud_down_, now_);
       if (!cloud_down_)
         for (const auto& id : machines) records_.erase(id);
     });
   }
   template <typename Other>
-  void carry_out(Other&) {}
+  void execute(Other&) {}
 
   // --- workers
   void hang_up(Worker& worker) {
@@ -333,9 +334,9 @@
   void execute(Worker& worker, const Command& command) {
     const auto found = worker.tasks.find(command.task);
     const bool known = found != worker.tasks.end() && found->second.attempt == command.attempt;
-    if (command.verb == Verb::forget && known) worker.tasks.erase(found);
-    if (command.verb == Verb::stop && known) found->second.exited = true;
-    if (command.verb != Verb::start || found != worker.tasks.end()) return;
+    if (command.type == CommandType::acknowledge && known) worker.tasks.erase(found);
+    if (command.type == CommandType::stop && known) found->second.exited = true;
+    if (command.type != CommandType::start || found != worker.tasks.end()) return;
     const auto [elsewhere, only] = on_.try_emplace(command.task, worker.id);
     if (!only && elsewhere->second != worker.id) {
       const auto& other = workers_[index_.at(elsewhere->second)];
@@ -348,9 +349,17 @@
     worker.tasks[command.task] = {command.attempt,
                                   now_ + to_duration(plan_.run * between(0.7, 1.3)), false};
   }
-  WorkerReport report_of(Worker& worker) {
-    WorkerReport report{worker.id,      worker.id,         "bench",      worker.zone, true,
-                        worker.session, ++worker.sequence, worker.token, {},          {}};
+  Heartbeat report_of(Worker& worker) {
+    Heartbeat report{worker.id,
+                     worker.id,
+                     "bench",
+                     worker.zone,
+                     true,
+                     worker.epoch,
+                     ++worker.heartbeat_sequence,
+                     worker.token,
+                     {},
+                     {}};
     for (const auto& [key, task] : worker.tasks)
       report.tasks.push_back({key, task.attempt,
                               task.exited ? TaskState::exited : TaskState::running,
@@ -362,7 +371,7 @@
     if (now_ - worker.answered_sent > to_duration(kTimes.lease)) {
       for (const auto& [key, task] : worker.tasks) outcome_.killed_by_lease += task.exited ? 0 : 1;
       worker.tasks.clear();
-      ++worker.session;
+      ++worker.epoch;
       worker.answered_sent = now_;
     }
     if (now_ < worker.hangs_until) return;
@@ -403,7 +412,7 @@
       if (token_ > worker.token) worker.next_report = now_ + milliseconds(500);
       worker.token = token_;
       worker.answered_sent = sent;
-      if (worker.session == report.session)
+      if (worker.epoch == report.epoch)
         for (const auto& command : controller_->response_commands(report)) execute(worker, command);
     });
     later(Seconds(4), [this, &worker, number] {
@@ -423,7 +432,7 @@
   std::vector<Node> nodes_;
   std::size_t leading_ = 0;
   std::unique_ptr<Controller> controller_;
-  Token token_ = 0;
+  FencingToken token_ = 0;
   TimePoint won_{};
   Revision revision_ = 0;
   std::map<MachineId, MachineRecord> records_;
--- a/tests/storm_test.cpp
+++ b/tests/storm_test.cpp
@@ -10,10 +10,11 @@
 std::ostream& operator<<(std::ostream& out, const Outcome& o) {
   return out << "started " << o.started << " done " << o.done << " killed by lease "
              << o.killed_by_lease << " most sockets " << o.most_sockets << " refused " << o.refused
-             << " most orders a second " << o.most_orders << " rented " << o.rented << " returned "
-             << o.returned << " recovered after " << o.recovered.count() << " s, held up "
-             << o.held_up.total().count() << " task-s, adopted " << o.squared.adopted
-             << ", longest wait for the processor " << o.latest_event.count() << " s\n";
+             << " most orders a second " << o.max_commands_in_flight << " rented " << o.rented
+             << " returned " << o.returned << " recovered after " << o.recovered.count()
+             << " s, held up " << o.held_up.total().count() << " task-s, adopted "
+             << o.stats.adopted << ", longest wait for the processor " << o.latest_event.count()
+             << " s\n";
 }
 
 // A fleet that runs, then takeovers every eight seconds.
@@ -100,7 +101,7 @@
 // after five.
 TEST(Storm, SilentMachinesAreReturnedOnceTheWaitCostsMore) {
   const auto outcome = with_dead(20, false);
-  EXPECT_GE(outcome.squared.returned, 20U);
+  EXPECT_GE(outcome.stats.returned, 20U);
   EXPECT_LT(outcome.recovered, Seconds(3));
 }
 
--- a/tests/together_test.cpp
+++ b/tests/together_test.cpp
@@ -16,11 +16,11 @@
       : zones_(std::move(zones)), team_(std::move(team)) {
     take_over({});
   }
-  void take_over(Inheritance inheritance) {
+  void take_over(RecoveredState recovered) {
     ControllerSettings settings{{team_}, WorkerTimes{}, Tuning{}, 10.0, Seconds(10),
                                 {},      {{"c", 1.75}}, {}};
     controller_ = std::make_unique<Controller>(settings, 5, now_, now_ + std::chrono::seconds(60),
-                                               std::move(inheritance));
+                                               std::move(recovered));
     controller_->set_catalog({{"g4", {32, 4, 256}, 50, 1, 10.0, 4.0, Seconds(25), zones_}});
   }
 
@@ -50,11 +50,11 @@
   }
   void report(const MachineId& id) {
     auto& worker = workers_.at(id);
-    ++worker.sequence;
+    ++worker.heartbeat_sequence;
     controller_->report(worker, now_);
   }
   // A task's state as its worker reports it.
-  TaskReport* task(const MachineId& id) {
+  TaskStatus* task(const MachineId& id) {
     auto& tasks = workers_.at(id).tasks;
     return tasks.empty() ? nullptr : &tasks.back();
   }
@@ -81,18 +81,18 @@
         for (auto& [id, worker] : workers_) report(id);
       controller_->tick(now_, true, cut_off_.value_or(now_));
       for (auto& action : controller_->take_actions())
-        std::visit([&](auto& a) { carry_out(a); }, action);
+        std::visit([&](auto& a) { execute(a); }, action);
     }
   }
 
-  std::vector<Command> commands(Verb verb) const {
+  std::vector<Command> commands(CommandType type) const {
     std::vector<Command> out;
     for (const auto& command : sent_)
-      if (command.verb == verb) out.push_back(command);
+      if (command.type == type) out.push_back(command);
     return out;
   }
   void forget_commands() { sent_.clear(); }
-  const std::vector<Rent>& rentals() const { return rentals_; }
+  const std::vector<ScaleOut>& rentals() const { return rentals_; }
   void all(TaskState state) {
     for (auto& [id, worker] : workers_)
       for (auto& entry : worker.tasks)
@@ -100,27 +100,28 @@
   }
 
  private:
-  void carry_out(SendOrders& orders) {
+  void execute(SendCommands& orders) {
     if (!workers_.contains(orders.machine)) return;  // it answers nothing
     auto& worker = workers_.at(orders.machine);
     for (const auto& command : orders.commands) {
       const auto known =
-          std::find_if(worker.tasks.begin(), worker.tasks.end(), [&](const TaskReport& t) {
+          std::find_if(worker.tasks.begin(), worker.tasks.end(), [&](const TaskStatus& t) {
             return t.attempt == command.attempt && t.task == command.task;
           });
-      if (command.verb == Verb::start && known == worker.tasks.end())
+      if (command.type == CommandType::start && known == worker.tasks.end())
         worker.tasks.push_back({command.task, command.attempt, TaskState::fetching});
-      if (command.verb == Verb::forget && known != worker.tasks.end()) worker.tasks.erase(known);
+      if (command.type == CommandType::acknowledge && known != worker.tasks.end())
+        worker.tasks.erase(known);
       sent_.push_back(command);
     }
-    ++worker.sequence;
+    ++worker.heartbeat_sequence;
     const auto answer = worker;
-    controller_->orders_answered(orders.machine, &answer, now_);
+    controller_->commands_answered(orders.machine, &answer, now_);
   }
-  void carry_out(SaveMachine& save) { controller_->machine_saved(save.record.id, true, true); }
-  void carry_out(Rent& rent) { rentals_.push_back(rent); }
+  void execute(SaveMachine& save) { controller_->machine_saved(save.record.id, true, true); }
+  void execute(ScaleOut& rent) { rentals_.push_back(rent); }
   template <typename Other>
-  void carry_out(Other&) {}
+  void execute(Other&) {}
 
   std::vector<std::string> zones_;
   Team team_;
@@ -128,9 +129,9 @@
   int steps_ = 0;
   std::optional<TimePoint> cut_off_;
   std::unique_ptr<Controller> controller_;
-  std::map<MachineId, WorkerReport> workers_;
+  std::map<MachineId, Heartbeat> workers_;
   std::vector<Command> sent_;
-  std::vector<Rent> rentals_;
+  std::vector<ScaleOut> rentals_;
 };
 
 const Resources kWhole{28, 4, 200};
@@ -145,11 +146,11 @@
   desk.machine("m2", "a");
   desk.machine("m3", "b");
   desk.run(Seconds(3));
-  EXPECT_TRUE(desk.commands(Verb::start).empty());
+  EXPECT_TRUE(desk.commands(CommandType::start).empty());
   ASSERT_FALSE(desk.rentals().empty());
   desk.machine("m4", "a");
   desk.run(Seconds(1));
-  const auto starts = desk.commands(Verb::start);
+  const auto starts = desk.commands(CommandType::start);
   ASSERT_EQ(starts.size(), 3U);
   for (const auto& start : starts) EXPECT_EQ(start.attempt, starts[0].attempt);
   EXPECT_EQ(desk.task("m3"), nullptr);
@@ -160,7 +161,7 @@
   desk.submit(Desk::spec(Shape::gang, 2, kWhole));
   for (const char* id : {"m1", "m2", "m3"}) desk.machine(id, "a");
   desk.run(Seconds(1));
-  auto starts = desk.commands(Verb::start);
+  auto starts = desk.commands(CommandType::start);
   ASSERT_EQ(starts.size(), 2U);
   desk.all(TaskState::running);
   desk.run(Seconds(3));
@@ -174,14 +175,14 @@
   desk.task(hosts[0])->cause = ExitCause::error;
   desk.report(hosts[0]);
   desk.run(Seconds(5));
-  EXPECT_TRUE(desk.commands(Verb::start).empty());
-  ASSERT_FALSE(desk.commands(Verb::stop).empty());
-  EXPECT_EQ(desk.commands(Verb::stop)[0].attempt, starts[0].attempt);
+  EXPECT_TRUE(desk.commands(CommandType::start).empty());
+  ASSERT_FALSE(desk.commands(CommandType::stop).empty());
+  EXPECT_EQ(desk.commands(CommandType::stop)[0].attempt, starts[0].attempt);
   desk.task(hosts[1])->state = TaskState::exited;
   desk.task(hosts[1])->cause = ExitCause::stopped;
   desk.report(hosts[1]);
   desk.run(Seconds(2));
-  const auto again = desk.commands(Verb::start);
+  const auto again = desk.commands(CommandType::start);
   ASSERT_EQ(again.size(), 2U);
   EXPECT_GT(again[0].attempt, starts[0].attempt);
   EXPECT_EQ(again[0].attempt, again[1].attempt);
@@ -199,19 +200,19 @@
 }
 
 TEST(Gang, OfTwoThatAreShortTheFirstKeepsItsMachines) {
-  GangRooms rooms;
-  rooms.new_round();
-  rooms.note_short("a");
-  EXPECT_TRUE(rooms.another_is_short("a"));
-  EXPECT_TRUE(rooms.another_is_short(""));  // any zone may be the same one
-  EXPECT_FALSE(rooms.another_is_short("b"));
+  GangReservations reservations;
+  reservations.new_round();
+  reservations.note_short("a");
+  EXPECT_TRUE(reservations.another_is_short("a"));
+  EXPECT_TRUE(reservations.another_is_short(""));  // any zone may be the same one
+  EXPECT_FALSE(reservations.another_is_short("b"));
   // Short gangs hold half of the zones at most, so that small ones find places in the others.
-  EXPECT_FALSE(rooms.may_be_short("a", 4));
-  EXPECT_TRUE(rooms.may_be_short("b", 4));
-  rooms.note_short("b");
-  EXPECT_FALSE(rooms.may_be_short("c", 4));
-  rooms.new_round();
-  EXPECT_FALSE(rooms.another_is_short("a"));
+  EXPECT_FALSE(reservations.may_be_short("a", 4));
+  EXPECT_TRUE(reservations.may_be_short("b", 4));
+  reservations.note_short("b");
+  EXPECT_FALSE(reservations.may_be_short("c", 4));
+  reservations.new_round();
+  EXPECT_FALSE(reservations.another_is_short("a"));
 }
 
 TEST(Service, RentalsKeepTheSpread) {
@@ -248,12 +249,12 @@
   desk.end("m1", "req-2");
   desk.forget_commands();
   desk.run(Seconds(25));
-  EXPECT_TRUE(desk.commands(Verb::stop).empty());
+  EXPECT_TRUE(desk.commands(CommandType::stop).empty());
   desk.run(Seconds(15));
   std::set<TaskKey> stopped;
-  for (const auto& stop : desk.commands(Verb::stop)) stopped.insert(stop.task);
+  for (const auto& stop : desk.commands(CommandType::stop)) stopped.insert(stop.task);
   EXPECT_EQ(stopped.size(), 1U);
-  EXPECT_TRUE(desk.commands(Verb::start).empty());
+  EXPECT_TRUE(desk.commands(CommandType::start).empty());
 }
 
 // A replica comes before an array of lower priority that took its room, and takes no more than
@@ -265,13 +266,13 @@
   desk.submit(filler);
   desk.machine("m1", "a");
   desk.run(Seconds(1));
-  ASSERT_EQ(desk.commands(Verb::start).size(), 4U);
+  ASSERT_EQ(desk.commands(CommandType::start).size(), 4U);
   auto service = Desk::spec(Shape::service, 1, kQuarter);
   service.priority = Priority::production;
   desk.submit(service);
   desk.run(Seconds(3));
   std::set<TaskKey> stopped;
-  for (const auto& stop : desk.commands(Verb::stop)) stopped.insert(stop.task);
+  for (const auto& stop : desk.commands(CommandType::stop)) stopped.insert(stop.task);
   ASSERT_EQ(stopped.size(), 1U);
   EXPECT_EQ(stopped.begin()->job, "req-2");
 }
@@ -293,7 +294,7 @@
   desk.submit(late);
   desk.machine("m1", "a");
   desk.run(Seconds(0.3));
-  const auto starts = desk.commands(Verb::start);
+  const auto starts = desk.commands(CommandType::start);
   ASSERT_EQ(starts.size(), 4U);
   for (const auto& start : starts) EXPECT_EQ(start.task.job, "req-3");
 }
@@ -307,7 +308,7 @@
   desk.submit(spec);
   desk.machine("m1", "a");
   desk.run(Seconds(5));
-  EXPECT_EQ(desk.commands(Verb::start).size(), 20U);
+  EXPECT_EQ(desk.commands(CommandType::start).size(), 20U);
 }
 
 TEST(Guarantee, MayBeInGpusAlone) {
@@ -319,22 +320,23 @@
   desk.submit(Desk::spec(Shape::array, 4, kQuarter));
   desk.machine("m1", "a");
   desk.run(Seconds(0.3));
-  ASSERT_EQ(desk.commands(Verb::start).size(), 4U);
+  ASSERT_EQ(desk.commands(CommandType::start).size(), 4U);
   desk.machine("m2", "a");
   desk.machine("m3", "a");
   desk.run(Seconds(1));
-  EXPECT_EQ(desk.commands(Verb::start).size(), 8U) << "the limit is 8 GPUs, and none of processors";
+  EXPECT_EQ(desk.commands(CommandType::start).size(), 8U)
+      << "the limit is 8 GPUs, and none of processors";
 }
 
 // A job accepted before the takeover, and a machine that answers nothing.
-Inheritance beside_silent(const JobSpec& spec, bool silent_is_spot) {
+RecoveredState beside_silent(const JobSpec& spec, bool silent_is_spot) {
   JobRecord record;
   record.spec = spec;
   record.revision = 2;
-  Inheritance inheritance;
-  inheritance.jobs = {record};
-  inheritance.machines = {{"m8", "10.0.0.8:1", "g4", "a", silent_is_spot, {}}};
-  return inheritance;
+  RecoveredState recovered;
+  recovered.jobs = {record};
+  recovered.machines = {{"m8", "10.0.0.8:1", "g4", "a", silent_is_spot, {}}};
+  return recovered;
 }
 
 // Found in the logs of rough days: spot machines are taken often, so nearly every takeover finds
@@ -345,7 +347,7 @@
     desk.take_over(beside_silent(Desk::spec(Shape::service, 2, kQuarter), silent_is_spot));
     desk.machine("m1", "a");
     desk.run(Seconds(1));
-    EXPECT_EQ(desk.commands(Verb::start).size(), silent_is_spot ? 2U : 0U);
+    EXPECT_EQ(desk.commands(CommandType::start).size(), silent_is_spot ? 2U : 0U);
   }
 }
 
@@ -357,7 +359,7 @@
     desk.machine("m1", "a");
     desk.submit(Desk::spec(Shape::array, 1, kQuarter));
     desk.run(Seconds(1));
-    ASSERT_EQ(desk.commands(Verb::start).size(), 1U);
+    ASSERT_EQ(desk.commands(CommandType::start).size(), 1U);
     desk.all(TaskState::running);
     desk.run(Seconds(3));
     desk.silence("m1");
@@ -365,7 +367,7 @@
     if (cut_off) desk.cut_off();
     desk.machine("m2", "a");
     desk.run(Seconds(20));
-    EXPECT_EQ(desk.commands(Verb::start).size(), cut_off ? 1U : 2U);
+    EXPECT_EQ(desk.commands(CommandType::start).size(), cut_off ? 1U : 2U);
   }
 }
 
@@ -377,7 +379,7 @@
     if (cut_off) desk.cut_off();
     desk.machine("m1", "a");
     desk.run(Seconds(20));
-    EXPECT_EQ(desk.commands(Verb::start).size(), cut_off ? 0U : 1U);
+    EXPECT_EQ(desk.commands(CommandType::start).size(), cut_off ? 0U : 1U);
   }
 }
 
@@ -397,7 +399,7 @@
     auto spec = Desk::spec(Shape::array, 1, kQuarter);
     spec.spot_allowed = true;
     spec.checkpoint_every = Seconds(15);
-    spec.save_time = Seconds(5);
+    spec.checkpoint_time = Seconds(5);
     desk.submit(spec);
     desk.machine("m1", "a", true);
     desk.run(Seconds(1));
@@ -407,9 +409,10 @@
     desk.run(ran);
     desk.notice("m1", notice);
     desk.run(Seconds(0.5));
-    const auto stops = desk.commands(Verb::stop);
+    const auto stops = desk.commands(CommandType::stop);
     ASSERT_FALSE(stops.empty());
-    EXPECT_EQ(stops[0].grace >= spec.save_time, saves) << ran.count() << " s, " << notice.count();
+    EXPECT_EQ(stops[0].grace >= spec.checkpoint_time, saves)
+        << ran.count() << " s, " << notice.count();
   }
 }
 
--- a/tests/why_test.cpp
+++ b/tests/why_test.cpp
@@ -14,16 +14,16 @@
 using core::TimePoint;
 using Json = nlohmann::json;
 
-constexpr core::Token kToken = 7;
+constexpr core::FencingToken kToken = 7;
 
 class Why : public ::testing::Test {
  protected:
   Why() {
-    core::TakenOver takeover;
+    core::LeaderElected takeover;
     takeover.settings.teams = teams_;
     takeover.settings.cloud_calls_per_s = 3;
     takeover.token = kToken;
-    takeover.older_leases_end = now_;
+    takeover.former_leases_end = now_;
     controller_ = core::make_controller(takeover, now_);
     controller_->set_catalog(types_);
     for (const char* name : {"m-1", "m-2"}) {
@@ -53,34 +53,34 @@
     for (int i = 0; i < 30; ++i) {
       now_ += std::chrono::milliseconds(200);
       for (auto& [name, worker] : workers_) {
-        ++worker.sequence;
+        ++worker.heartbeat_sequence;
         controller_->report(worker, now_);
       }
       controller_->tick(now_, true, now_);
       for (const auto& action : controller_->take_actions()) {
         if (const auto* save = std::get_if<core::SaveMachine>(&action))
           controller_->machine_saved(save->record.id, true, true);
-        const auto* orders = std::get_if<core::SendOrders>(&action);
+        const auto* orders = std::get_if<core::SendCommands>(&action);
         if (orders == nullptr) continue;
         auto& worker = workers_.at(orders->machine);
         for (const auto& command : orders->commands)
-          if (command.verb == core::Verb::start)
+          if (command.type == core::CommandType::start)
             worker.tasks.push_back(
                 {command.task, command.attempt, core::TaskState::running, {}, false});
-        ++worker.sequence;
-        controller_->orders_answered(orders->machine, &worker, now_);
+        ++worker.heartbeat_sequence;
+        controller_->commands_answered(orders->machine, &worker, now_);
       }
     }
   }
 
-  advice::Advice why(const std::string& id) {
-    const auto out = advice::why(*controller_, teams_, types_, id, now_);
+  diagnostics::Advice why(const std::string& id) {
+    const auto out = diagnostics::why(*controller_, teams_, types_, id, now_);
     EXPECT_TRUE(out);
-    return out.value_or(advice::Advice{});
+    return out.value_or(diagnostics::Advice{});
   }
-  static std::vector<std::string> codes(const advice::Advice& advice) {
+  static std::vector<std::string> codes(const diagnostics::Advice& diagnostics) {
     std::vector<std::string> out;
-    for (const auto& cause : advice.causes) out.push_back(cause.code);
+    for (const auto& cause : diagnostics.causes) out.push_back(cause.code);
     return out;
   }
 
@@ -88,7 +88,7 @@
   std::vector<core::MachineType> types_{{"big", {16, 0, 64}, 60, 1, 2, 1, Seconds(20), {"a", "b"}}};
   TimePoint now_{std::chrono::hours(1)};
   core::Revision revision_ = 100;
-  std::map<std::string, core::WorkerReport> workers_;
+  std::map<std::string, core::Heartbeat> workers_;
   std::unique_ptr<core::Controller> controller_;
 };
 
@@ -101,15 +101,15 @@
   EXPECT_TRUE(why("first").causes.empty());
   open("second", 3, {2, 0, 1});
   settle();
-  const auto advice = why("second");
-  EXPECT_EQ(advice.waiting, 3U);
-  EXPECT_FALSE(advice.impossible);
-  EXPECT_EQ(codes(advice), Codes{"cpus"});
-  EXPECT_EQ(advice.machines, 2U);
-  ASSERT_TRUE(advice.fits_in) << "the first job's tasks are expected to end";
-  EXPECT_GT(*advice.fits_in, Seconds(0));
-  EXPECT_LE(*advice.fits_in, Seconds(50));
-  EXPECT_EQ(advice.rentable_types, std::vector<std::string>{"big"});
+  const auto diagnostics = why("second");
+  EXPECT_EQ(diagnostics.waiting, 3U);
+  EXPECT_FALSE(diagnostics.impossible);
+  EXPECT_EQ(codes(diagnostics), Codes{"cpus"});
+  EXPECT_EQ(diagnostics.machines, 2U);
+  ASSERT_TRUE(diagnostics.fits_in) << "the first job's tasks are expected to end";
+  EXPECT_GT(*diagnostics.fits_in, Seconds(0));
+  EXPECT_LE(*diagnostics.fits_in, Seconds(50));
+  EXPECT_EQ(diagnostics.rentable_types, std::vector<std::string>{"big"});
 }
 
 TEST_F(Why, TeamLimitsZonesAndWhatFitsNowhere) {
@@ -139,18 +139,18 @@
   EXPECT_TRUE(gang.impossible);
   EXPECT_EQ(codes(gang), Codes{"cpus"}) << "nine of four processors on two machines of 16";
   EXPECT_EQ(codes(why("spread")), Codes{"zone"}) << "without its spread it would fit as well";
-  EXPECT_FALSE(advice::why(*controller_, teams_, types_, "unknown", now_));
+  EXPECT_FALSE(diagnostics::why(*controller_, teams_, types_, "unknown", now_));
 }
 
 TEST_F(Why, WhatIsSpentAddsUp) {
-  advice::Spending spending;
+  diagnostics::CostBreakdown spending;
   spending.sample(controller_->fleet(), now_);
   EXPECT_EQ(spending.paid(), 0);
   EXPECT_EQ(spending.text(), "spent 0.00");
   // An hour of two empty machines, at 2 each.
   now_ += std::chrono::hours(1);
   spending.sample(controller_->fleet(), now_);
-  EXPECT_DOUBLE_EQ(spending.paid_for(advice::Use::empty), 4);
+  EXPECT_DOUBLE_EQ(spending.paid_for(diagnostics::Use::empty), 4);
   // Three tasks of four processors on machines of 16: 12 of 32 processors are used. One is on
   // each machine at least, or else its machine is empty.
   open("some", 3, {4, 0, 1});
@@ -160,9 +160,11 @@
   const auto before = spending;
   now_ += std::chrono::hours(1);
   spending.sample(controller_->fleet(), now_);
-  const auto paid = [&](advice::Use use) { return spending.paid_for(use) - before.paid_for(use); };
-  EXPECT_DOUBLE_EQ(paid(advice::Use::running), 4 * 12 / 32.0);
-  EXPECT_DOUBLE_EQ(paid(advice::Use::beside) + paid(advice::Use::empty), 4 * 20 / 32.0);
+  const auto paid = [&](diagnostics::Use use) {
+    return spending.paid_for(use) - before.paid_for(use);
+  };
+  EXPECT_DOUBLE_EQ(paid(diagnostics::Use::running), 4 * 12 / 32.0);
+  EXPECT_DOUBLE_EQ(paid(diagnostics::Use::beside) + paid(diagnostics::Use::empty), 4 * 20 / 32.0);
   EXPECT_DOUBLE_EQ(spending.paid() - before.paid(), 4);
 }
 
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -55,9 +55,9 @@
   TimePoint mute_until{};       // it reaches no controller, and answers what it is told
   bool follows_stale = false;   // it reports to a leader that has lost the store and its siblings
   int lives = 1;                // of the machine: each has an endpoint of its own
-  std::uint64_t session = 1;
-  std::uint64_t sequence = 0;
-  Token token = 0;
+  std::uint64_t epoch = 1;
+  std::uint64_t heartbeat_sequence = 0;
+  FencingToken token = 0;
   TimePoint answered_sent{};
   TimePoint next_report{};
   std::optional<TimePoint> taken_at;
@@ -72,15 +72,15 @@
 struct LeaderProcess {
   std::unique_ptr<Controller> controller;
   Leadership leadership;
-  Token token = 0;
+  FencingToken token = 0;
   bool cut = false;            // from the store, and from the workers on the far side
   bool keeps_workers = false;  // it has lost the store and the others, and no worker
   std::set<MachineId> far_side;
 };
 
 struct Watcher {
-  std::function<void(Token, TimePoint, const Event&)> event;
-  std::function<void(Token, TimePoint, const std::vector<Action>&, Controller&)> actions;
+  std::function<void(FencingToken, TimePoint, const Event&)> event;
+  std::function<void(FencingToken, TimePoint, const std::vector<Action>&, Controller&)> actions;
 };
 
 class World {
@@ -255,18 +255,18 @@
     leader_ = std::make_unique<LeaderProcess>(
         LeaderProcess{nullptr, Leadership(kTimes, milliseconds(25)), revision_, false, false, {}});
     leader_->leadership.won(revision_, 1, now_);
-    leader_->leadership.informed(now_);
-    Inheritance inheritance;
-    for (const auto& [id, record] : machine_records_) inheritance.machines.push_back(record);
-    for (const auto& [id, job] : jobs_) inheritance.jobs.push_back(job.record);
-    for (const auto& [key, record] : progress_) inheritance.progress.push_back(record);
+    leader_->leadership.record_read_barrier(now_);
+    RecoveredState recovered;
+    for (const auto& [id, record] : machine_records_) recovered.machines.push_back(record);
+    for (const auto& [id, job] : jobs_) recovered.jobs.push_back(job.record);
+    for (const auto& [key, record] : progress_) recovered.progress.push_back(record);
     // With `commits_` leaders differ in whether they record starts; one that does not takes the
     // mark.
     Tuning tuning;
     tuning.commit_starts = commits_ && (commits_always_ || takeovers_ % 3 != 0);
     if (!tuning.commit_starts) placements_marked_ = false;
-    inheritance.placements_marked = placements_marked_;
-    for (const auto& [id, record] : placements_) inheritance.placements.push_back(record);
+    recovered.placements_marked = placements_marked_;
+    for (const auto& [id, record] : placements_) recovered.placements.push_back(record);
     ControllerSettings settings{
         teams_,
         kTimes,
@@ -276,17 +276,17 @@
         {{"c0", Seconds(60)}},
         {{"c1", 1.75}},
         WallTime(std::chrono::duration_cast<milliseconds>(now_.time_since_epoch())),
-        !deaf_at_ || now_ - *deaf_at_ > std::chrono::minutes(3)};
-    inheritance.beliefs = believed_;
-    const TakenOver event{settings, leader_->token, leader_->leadership.older_leases_end(now_),
-                          inheritance};
+        !isolated_at_ || now_ - *isolated_at_ > std::chrono::minutes(3)};
+    recovered.learned_state = learned_state_;
+    const LeaderElected event{settings, leader_->token, leader_->leadership.former_leases_end(now_),
+                              recovered};
     leader_->controller = make_controller(event, now_);
     if (watcher_.event) watcher_.event(leader_->token, now_, event);
     feed(*leader_, CatalogKnown{types_});
     // The other controllers say that they follow, unless one of them still leads behind a cut.
     if (chance(0.5))
       later(Seconds(between(0.1, 3)), [this, token = leader_->token] {
-        if (leader_ && leader_->token == token && !stale_) feed(*leader_, OlderLeadersGone{});
+        if (leader_ && leader_->token == token && !stale_) feed(*leader_, FormerLeadersGone{});
       });
   }
 
@@ -300,7 +300,7 @@
   }
 
   void lead_no_more() {
-    if (believes_ && leader_) believed_ = leader_->controller->beliefs(now_, wall_now());
+    if (believes_ && leader_) learned_state_ = leader_->controller->learned_state(now_, wall_now());
     leader_.reset();
     leader_token_ = 0;
     next_takeover_ = now_ + to_duration(Seconds(between(0.1, 4)));
@@ -311,32 +311,33 @@
   void drive(LeaderProcess& leader) {
     const bool refused = refused_ && &leader == leader_.get();
     if (!leader.cut && !refused) {
-      leader.leadership.proved(now_);
+      leader.leadership.record_proof(now_);
       // All that closed so long ago has reached the core, unless news are lacking.
       if (!news_lack_ || &leader != leader_.get())
-        leader.leadership.informed(now_ - milliseconds(400) - (slow() ? kSlowest : Duration{}));
+        leader.leadership.record_read_barrier(now_ - milliseconds(400) -
+                                              (slow() ? kSlowest : Duration{}));
     }
-    feed(leader, Ticked{leader.leadership.may_serve(now_), leader.leadership.contact()});
+    feed(leader, Ticked{leader.leadership.may_serve(now_), leader.leadership.last_proven()});
     auto actions = leader.controller->take_actions();
     for (const auto& action : actions) actions_digest_.add(action);
     if (&leader == leader_.get() && watcher_.actions)
       watcher_.actions(leader.token, now_, actions, *leader.controller);
     const auto token = leader.token;
-    for (auto& action : actions) std::visit([&](auto& a) { carry_out(leader, token, a); }, action);
+    for (auto& action : actions) std::visit([&](auto& a) { execute(leader, token, a); }, action);
     if (resigning_ == token) {
       resigning_ = 0;
       if (leader_ && leader_->token == token) lead_no_more();
     }
   }
 
-  LeaderProcess* process(Token token) {
+  LeaderProcess* process(FencingToken token) {
     if (leader_ && leader_->token == token) return leader_.get();
     if (stale_ && stale_->token == token) return stale_.get();
     return nullptr;
   }
-  bool store_takes(Token token) const { return token == leader_token_; }
+  bool store_takes(FencingToken token) const { return token == leader_token_; }
   // A write of that leader: while the state service refuses it, it is tried again.
-  void stored(Token token, Seconds delay, std::function<void()> what) {
+  void stored(FencingToken token, Seconds delay, std::function<void()> what) {
     later(delay, [this, token, what = std::move(what)] {
       if (refused_ && store_takes(token)) return stored(token, Seconds(0.5), what);
       what();
@@ -358,7 +359,7 @@
     return stale_ == nullptr || !stale_->far_side.contains(id);
   }
 
-  void carry_out(LeaderProcess& leader, Token token, SendOrders& orders) {
+  void execute(LeaderProcess& leader, FencingToken token, SendCommands& orders) {
     if (!reaches(leader, orders.machine) || chance(loss())) {
       later(Seconds(2), [this, token, id = orders.machine] { orders_lost(token, id); });
       // Held packets: the commands may still arrive, much later.
@@ -368,10 +369,10 @@
     }
     later(Seconds(between(0.001, 0.2)), [this, token, orders] { deliver(token, orders, true); });
   }
-  void orders_lost(Token token, const MachineId& id) {
-    if (auto* leader = process(token)) feed(*leader, OrdersAnswered{id, std::nullopt});
+  void orders_lost(FencingToken token, const MachineId& id) {
+    if (auto* leader = process(token)) feed(*leader, CommandsAnswered{id, std::nullopt});
   }
-  void deliver(Token token, const SendOrders& orders, bool answered) {
+  void deliver(FencingToken token, const SendCommands& orders, bool answered) {
     const auto found = workers_.find(orders.machine);
     if (found == workers_.end() || found->second.gone || now_ < found->second.up_at)
       return answered ? orders_lost(token, orders.machine) : void();
@@ -392,7 +393,7 @@
         later(Seconds(2), [this, token, id = orders.machine] { orders_lost(token, id); });
       return;
     }
-    if (token >= worker.token && orders.session == worker.session) {
+    if (token >= worker.token && orders.epoch == worker.epoch) {
       worker.token = token;
       for (const auto& command : orders.commands) execute(worker, command);
     }
@@ -403,10 +404,10 @@
       return;
     }
     later(Seconds(between(0.001, 0.1)), [this, token, id = worker.id, report] {
-      if (auto* leader = process(token)) feed(*leader, OrdersAnswered{id, report});
+      if (auto* leader = process(token)) feed(*leader, CommandsAnswered{id, report});
     });
   }
-  void carry_out(LeaderProcess&, Token token, SaveMachine& save) {
+  void execute(LeaderProcess&, FencingToken token, SaveMachine& save) {
     stored(token, Seconds(between(0.01, 0.5)), [this, token, save] {
       const bool ok = store_takes(token) && !chance(loss());
       // Records of rentals have pages of their own: one that comes late replaces no registration.
@@ -418,12 +419,12 @@
         feed(*leader, MachineSaved{save.record.id, !save.record.endpoint.empty(), ok});
     });
   }
-  void carry_out(LeaderProcess&, Token token, DeleteMachine& gone) {
+  void execute(LeaderProcess&, FencingToken token, DeleteMachine& gone) {
     stored(token, Seconds(between(0.01, 0.5)), [this, token, gone] {
       if (store_takes(token)) machine_records_.erase(gone.id);
     });
   }
-  void carry_out(LeaderProcess&, Token token, SaveProgress& save) {
+  void execute(LeaderProcess&, FencingToken token, SaveProgress& save) {
     stored(token, Seconds(between(0.01, 0.5)), [this, token, save] {
       const bool ok = store_takes(token);
       if (ok) progress_[{save.record.job, save.record.chunk}] = save.record;
@@ -431,7 +432,7 @@
       if (auto* leader = process(token)) feed(*leader, ProgressSaved{save, ok && !chance(loss())});
     });
   }
-  void carry_out(LeaderProcess&, Token token, SavePlacements& save) {
+  void execute(LeaderProcess&, FencingToken token, SavePlacements& save) {
     // Without an answer it is written again; a late one of a past leader fails.
     stored(token, Seconds(between(0.01, troubles_ ? 2.0 : 0.4)), [this, token, save] {
       if (!store_takes(token)) return;
@@ -446,14 +447,14 @@
         feed(*leader, PlacementsSaved{save.record.job, save.version});
     });
   }
-  void carry_out(LeaderProcess&, Token token, MarkPlacements&) {
+  void execute(LeaderProcess&, FencingToken token, MarkPlacements&) {
     stored(token, Seconds(between(0.01, 1.0)), [this, token] {
       if (!store_takes(token)) return;
       placements_marked_ = true;
       ++marks_;
     });
   }
-  void carry_out(LeaderProcess&, Token token, FinishJob& finish) {
+  void execute(LeaderProcess&, FencingToken token, FinishJob& finish) {
     // No answer: it is tried again, and the first one is carried out after that.
     if (meetings_ && more_chance(0.2)) {
       ++late_writes_;
@@ -467,7 +468,7 @@
       if (auto* leader = process(token)) feed(*leader, FinishAnswered{finish.job, now_});
     });
   }
-  bool end_job(Token token, const FinishJob& finish) {
+  bool end_job(FencingToken token, const FinishJob& finish) {
     const auto job = jobs_.find(finish.job);
     if (!store_takes(token) || outage_ || job == jobs_.end() ||
         job->second.record.revision != finish.revision)
@@ -481,21 +482,21 @@
     close(finish.job);
     return true;
   }
-  void carry_out(LeaderProcess&, Token token, DeleteProgress& gone) {
+  void execute(LeaderProcess&, FencingToken token, DeleteProgress& gone) {
     const auto erase = [this, token, gone] {
       if (store_takes(token))
         for (const auto chunk : gone.chunks) progress_.erase({gone.job, chunk});
     };
     refused_ ? stored(token, Seconds(0.5), erase) : erase();
   }
-  void carry_out(LeaderProcess&, Token token, Rent& rent) {
+  void execute(LeaderProcess&, FencingToken token, ScaleOut& rent) {
     later(Seconds(between(0.1, 0.6)), [this, token, rent] {
       EXPECT_TRUE(rental_names_.insert(rent.name).second) << "a rental name was used twice";
-      RentalAnswer answer;
+      ScaleOutResult answer;
       if (troubles_ && chance(0.15)) {
-        answer.kind = RentalAnswer::Kind::no_capacity;
+        answer.kind = ScaleOutResult::Kind::no_capacity;
       } else if (workers_.size() < 14) {
-        answer.kind = RentalAnswer::Kind::rented;
+        answer.kind = ScaleOutResult::Kind::rented;
         const int count = troubles_ && chance(0.2) ? rent.count / 2 : rent.count;
         for (int i = 0; i < std::min(count, 4); ++i) {
           const double factor = troubles_ && chance(0.1) ? 50 : between(0.6, 1.5);
@@ -503,24 +504,24 @@
                                          now_ + to_duration(type(rent.type).boot * factor)));
         }
       } else {
-        answer.kind = RentalAnswer::Kind::no_capacity;
+        answer.kind = ScaleOutResult::Kind::no_capacity;
       }
-      if (troubles_ && chance(0.05)) answer = RentalAnswer{};  // the answer was lost
-      if (auto* leader = process(token)) feed(*leader, RentalAnswered{rent.name, answer});
+      if (troubles_ && chance(0.05)) answer = ScaleOutResult{};  // the answer was lost
+      if (auto* leader = process(token)) feed(*leader, ScaleOutAnswered{rent.name, answer});
     });
   }
-  void carry_out(LeaderProcess& leader, Token token, Release& release) {
+  void execute(LeaderProcess& leader, FencingToken token, ScaleIn& release) {
     const bool ok = !leader.cut && !chance(loss() * 3);
     later(Seconds(between(0.1, 0.5)), [this, token, release, ok] {
       if (ok)
         for (const auto& id : release.machines) workers_.erase(id);
-      if (auto* owner = process(token)) feed(*owner, ReleaseAnswered{release.machines, ok});
+      if (auto* owner = process(token)) feed(*owner, ScaleInAnswered{release.machines, ok});
     });
   }
-  void carry_out(LeaderProcess&, Token, JobSuspected&) {}
-  void carry_out(LeaderProcess&, Token token, Resign& resign) {
+  void execute(LeaderProcess&, FencingToken, JobSuspected&) {}
+  void execute(LeaderProcess&, FencingToken token, Resign& resign) {
     resigning_ = token;
-    if (resign.deaf) deaf_at_ = now_;
+    if (resign.isolated) isolated_at_ = now_;
   }
 
   MachineId boot(const std::string& type, const std::string& zone, bool spot, TimePoint up) {
@@ -548,12 +549,12 @@
   void execute(Worker& worker, const Command& command) {
     const std::pair key{command.task, command.attempt};
     const auto known = worker.tasks.find(key);
-    if (command.verb == Verb::forget) {
+    if (command.type == CommandType::acknowledge) {
       if (known != worker.tasks.end() && known->second.state == TaskState::exited)
         worker.tasks.erase(known);
       return;
     }
-    if (command.verb == Verb::stop) {
+    if (command.type == CommandType::stop) {
       if (known != worker.tasks.end() && known->second.state != TaskState::exited)
         stop(command, known->second);
       return;
@@ -566,7 +567,7 @@
       if (other.first == command.task && live.state != TaskState::exited)
         exit(task, ExitCause::busy);
     if (!(used(worker) + spec.per_task).fits_in(type(worker.type).capacity))
-      exit(task, ExitCause::no_room);
+      exit(task, ExitCause::no_capacity);
     task.ready = now_ + to_duration(Seconds(worker.images.contains(spec.image) ? 0 : 2));
     if (task.state != TaskState::exited) {
       EXPECT_TRUE(allowed_on(spec, worker.type, worker.zone, worker.spot))
@@ -575,12 +576,12 @@
     worker.tasks.emplace(key, task);
   }
 
-  // A running task that saves needs `save_time` for it; a second stop without grace ends it.
+  // A running task that saves needs `checkpoint_time` for it; a second stop without grace ends it.
   void stop(const Command& command, LiveTask& task) {
     const auto& spec = specs_.at(command.task.job);
     const bool saves = task.state == TaskState::running && spec.checkpoint_every > Seconds(0) &&
-                       command.grace >= spec.save_time;
-    if (task.state == TaskState::saving && command.grace > Seconds(0)) return;
+                       command.grace >= spec.checkpoint_time;
+    if (task.state == TaskState::checkpointing && command.grace > Seconds(0)) return;
     if (spec.shape == Shape::gang && task.state == TaskState::running) {
       auto& run = gang_runs_[{command.task.job, command.attempt}];
       if (!run.first_stop) {
@@ -590,8 +591,8 @@
       if (saves && now_ - *run.first_stop <= to_duration(kTimes.gang_peer)) ++run.told;
     }
     if (!saves) return exit(task, ExitCause::stopped);
-    task.state = TaskState::saving;
-    task.ends = now_ + to_duration(spec.save_time);
+    task.state = TaskState::checkpointing;
+    task.ends = now_ + to_duration(spec.checkpoint_time);
     ++saves_;
   }
 
@@ -615,7 +616,7 @@
       return;
     }
     if (now_ - worker.answered_sent > to_duration(kTimes.lease)) {
-      ++worker.session;
+      ++worker.epoch;
       worker.tasks.clear();
       worker.answered_sent = now_;
       worker.next_report = now_;
@@ -625,7 +626,7 @@
     for (auto& [key, task] : worker.tasks) {
       const auto& spec = specs_.at(key.first.job);
       const bool gang = spec.shape == Shape::gang;
-      if (task.state == TaskState::saving && now_ >= task.ends) {
+      if (task.state == TaskState::checkpointing && now_ >= task.ends) {
         exit(task, ExitCause::stopped);
         task.stored = !gang || gang_runs_[{key.first.job, key.second}].told == spec.tasks;
         if (!gang) saved_[key.first] += Seconds(now_ - task.began);
@@ -703,7 +704,7 @@
               std::min(member.worker->next_report, now_ + milliseconds(300));
         }
       } else if (run.running && !run.broken &&
-                 count(TaskState::running) + count(TaskState::saving) < spec.tasks) {
+                 count(TaskState::running) + count(TaskState::checkpointing) < spec.tasks) {
         run.broken = now_ + to_duration(Seconds(between(0.2, kTimes.gang_peer.count())));
       }
       for (auto& member : all) {
@@ -720,17 +721,17 @@
     }
   }
 
-  WorkerReport report_of(Worker& worker) {
-    WorkerReport report{worker.id,
-                        "10.0.0.1:" + std::to_string(worker.lives),
-                        worker.type,
-                        worker.zone,
-                        worker.spot,
-                        worker.session,
-                        ++worker.sequence,
-                        worker.token,
-                        {},
-                        {}};
+  Heartbeat report_of(Worker& worker) {
+    Heartbeat report{worker.id,
+                     "10.0.0.1:" + std::to_string(worker.lives),
+                     worker.type,
+                     worker.zone,
+                     worker.spot,
+                     worker.epoch,
+                     ++worker.heartbeat_sequence,
+                     worker.token,
+                     {},
+                     {}};
     if (worker.taken_at) report.notice = Seconds(*worker.taken_at - now_);
     for (const auto& [key, task] : worker.tasks)
       report.tasks.push_back({key.first, key.second, task.state, task.cause, task.stored});
@@ -759,11 +760,11 @@
           worker != workers_.end() && now_ < worker->second.unreached_until)
         return;
       if (chance(loss())) return;
-      later(Seconds(0.02), [this, id, sent, token, commands, session = report.session] {
+      later(Seconds(0.02), [this, id, sent, token, commands, epoch = report.epoch] {
         const auto found = workers_.find(id);
         if (found == workers_.end()) return;
         auto& worker = found->second;
-        if (worker.gone || now_ < worker.hangs_until || worker.session != session ||
+        if (worker.gone || now_ < worker.hangs_until || worker.epoch != epoch ||
             token < worker.token)
           return;
         if (token > worker.token) worker.next_report = std::min(worker.next_report, now_);
@@ -776,7 +777,7 @@
 
   // A copy arrives once more, from seconds to well over a lease later, whatever became of the
   // machine and of who led then.
-  void copy_later(const WorkerReport& report) {
+  void copy_later(const Heartbeat& report) {
     later(Seconds(more_between(1, 3 * kTimes.lease.count())), [this, report] {
       ++late_copies_;
       for (auto* leader : {&leader_, &stale_})
@@ -838,7 +839,7 @@
       }
       if (spec.shape == Shape::array && chance(0.3)) {
         spec.checkpoint_every = Seconds(5);
-        spec.save_time = Seconds(between(0.5, 3));
+        spec.checkpoint_time = Seconds(between(0.5, 3));
       }
       if (spec.shape == Shape::array && !spec.spread && chance(0.25)) {
         spec.shape = Shape::gang;
@@ -889,7 +890,7 @@
     if (leader_ && chance(0.0015)) lead_no_more();  // crash
     if (leader_ && !stale_ && chance(0.0008)) {
       // Cut off from the store with some of the workers; it goes on for as long as it may.
-      if (believes_) believed_ = leader_->controller->beliefs(now_, wall_now());
+      if (believes_) learned_state_ = leader_->controller->learned_state(now_, wall_now());
       stale_ = std::move(leader_);
       stale_->cut = true;
       for (const auto& [id, worker] : workers_)
@@ -1016,7 +1017,7 @@
         ++came_back_;
         worker.tasks.clear();
         worker.images.clear();
-        if (more_chance(0.7)) ++worker.session;
+        if (more_chance(0.7)) ++worker.epoch;
         if (more_chance(0.5)) ++worker.lives;
         worker.next_report = now_ + to_duration(Seconds(more_between(0.05, 0.9)));
       }
@@ -1077,11 +1078,11 @@
           continue;
         text << "\n  counted, and not there: " << other.job << "/" << other.index << " on " << id
              << (assignment.seen ? ", seen" : "") << (assignment.stop ? ", stopped" : "")
-             << (assignment.abandoned ? ", abandoned" : "") << ", placed "
+             << (assignment.orphaned ? ", abandoned" : "") << ", placed "
              << Seconds(now_ - assignment.placed).count() << " s ago"
              << (machine.releasing ? ", returned: " + machine.release_cause : "")
-             << (machine.unreached_since ? ", unreached" : "")
-             << (machine.in_doubt.contains(assignment.attempt) ? ", in doubt" : "");
+             << (machine.unacknowledged_since ? ", unreached" : "")
+             << (machine.in_doubt_attempts.contains(assignment.attempt) ? ", in doubt" : "");
       }
     for (const auto& [id, worker] : workers_) {
       if (!fits_now(spec, worker, zones)) continue;
@@ -1093,8 +1094,9 @@
       }
       text << "free " << machine->free().cpus << (machine->confirmed ? "" : ", not confirmed")
            << (machine->registered ? "" : ", not registered")
-           << (machine->reached && !machine->unreached_since ? "" : ", not reached")
-           << (machine->mute_since ? ", mute" : "") << (machine->clearing ? ", clearing" : "")
+           << (machine->last_acknowledged && !machine->unacknowledged_since ? "" : ", not reached")
+           << (machine->outbound_partition_since ? ", mute" : "")
+           << (machine->draining ? ", clearing" : "")
            << (machine->quarantined ? ", quarantined" : "")
            << (machine->notice_ends ? ", notice" : "")
            << (machine->releasing ? ", returned: " + machine->release_cause : "")
@@ -1150,7 +1152,7 @@
     text << worker.id << ", answered a report sent " << ago(worker.answered_sent)
          << " s ago; seconds since the end of its hang " << ago(worker.hangs_until) << ", cut "
          << ago(worker.unreached_until) << ", muteness " << ago(worker.mute_until) << "; token "
-         << worker.token << ", session " << worker.session;
+         << worker.token << ", session " << worker.epoch;
     if (stale_) text << "; an older leader " << stale_->token << " is there";
     if (!leader_) return text.str() + "; no leader";
     text << "; leader " << leader_->token << " since " << ago(took_over_) << " s"
@@ -1158,14 +1160,16 @@
          << (leader_->controller->recovering() ? ", reckoning" : "");
     const auto* machine = leader_->controller->fleet().find(worker.id);
     if (machine == nullptr) return text.str() + ", does not know it";
-    if (machine->heard) text << ", heard " << ago(*machine->heard) << " s ago";
-    if (machine->unreached_since) text << ", unreached for " << ago(*machine->unreached_since);
-    if (machine->mute_since) text << ", mute for " << ago(*machine->mute_since);
+    if (machine->last_heartbeat) text << ", heard " << ago(*machine->last_heartbeat) << " s ago";
+    if (machine->unacknowledged_since)
+      text << ", unreached for " << ago(*machine->unacknowledged_since);
+    if (machine->outbound_partition_since)
+      text << ", mute for " << ago(*machine->outbound_partition_since);
     text << (machine->confirmed ? "" : ", not confirmed")
          << (machine->releasing ? ", returned: " + machine->release_cause : "");
     for (const auto& [key, assignment] : machine->tasks)
       text << "; " << key.job << "/" << key.index << (assignment.stop ? " stopped" : "")
-           << (assignment.abandoned ? " abandoned" : "");
+           << (assignment.orphaned ? " abandoned" : "");
     return text.str();
   }
 
@@ -1269,12 +1273,12 @@
   std::unique_ptr<LeaderProcess> stale_;
   TimePoint next_takeover_{};
   TimePoint took_over_{};
-  Token resigning_ = 0;
-  std::optional<TimePoint> deaf_at_;
+  FencingToken resigning_ = 0;
+  std::optional<TimePoint> isolated_at_;
   std::size_t takeovers_ = 0;
 
   Revision revision_ = 0;
-  Token leader_token_ = 0;
+  FencingToken leader_token_ = 0;
   std::map<JobId, StoredJob> jobs_;
   std::map<JobId, JobSpec> specs_;
   std::map<MachineId, MachineRecord> machine_records_;
@@ -1297,8 +1301,8 @@
   std::size_t marks_ = 0;
   bool placements_marked_ = false;
   std::map<JobId, PlacementRecord> placements_;
-  std::map<JobId, std::pair<Token, std::uint64_t>> placement_versions_;
-  Beliefs believed_;
+  std::map<JobId, std::pair<FencingToken, std::uint64_t>> placement_versions_;
+  LearnedState learned_state_;
 };
 
 }  // namespace violetpulley::core::simulated
