--- a/bench/history_bench.cpp
+++ b/bench/history_bench.cpp
@@ -21,7 +21,7 @@
 
 using core::Seconds;
 using core::TimePoint;
-using history::Acted;
+using history::ActionsRecorded;
 using history::Record;
 using std::chrono::milliseconds;
 
@@ -57,7 +57,7 @@
       origin_.inheritance.machines.push_back(
           {name, "10.0.0.1:1", "big", i % 2 ? "a" : "b", true, {}});
       auto& worker = workers_[name];
-      worker.report = {name, "10.0.0.1:1", "big", i % 2 ? "a" : "b", true, 1, 0, 7, {}, {}};
+      worker.heartbeat = {name, "10.0.0.1:1", "big", i % 2 ? "a" : "b", true, 1, 0, 7, {}, {}};
       worker.next = now_ + milliseconds(i * 6000 / machines);
     }
     controller_ = core::make_controller(origin_, now_);
@@ -86,7 +86,7 @@
 
  private:
   struct Worker {
-    core::Heartbeat report;
+    core::Heartbeat heartbeat;
     std::map<core::TaskKey, TimePoint> ends;
     TimePoint next{};
   };
@@ -104,13 +104,14 @@
     for (auto& [id, worker] : workers_)
       if (now_ >= worker.next) {
         worker.next = now_ + std::chrono::seconds(6);
-        report(worker);
+        heartbeat(worker);
       }
     feed(core::Ticked{true, now_});
     const auto actions = controller_->take_actions();
     if (actions.empty()) return;
     ++written_;
-    sink_({7, now_, Acted{digests_ ? history::digest_of(actions) : 0}}, *controller_, true);
+    sink_({7, now_, ActionsRecorded{digests_ ? history::digest_of(actions) : 0}}, *controller_,
+          true);
     for (const auto& action : actions) std::visit([&](const auto& a) { execute(a); }, action);
   }
 
@@ -131,21 +132,21 @@
     open_tasks_ += record.spec.tasks;
     feed(core::JobOpened{record});
   }
-  void report(Worker& worker) {
-    for (auto& task : worker.report.tasks) {
+  void heartbeat(Worker& worker) {
+    for (auto& task : worker.heartbeat.tasks) {
       if (task.state == core::TaskState::fetching) task.state = core::TaskState::running;
       if (task.state == core::TaskState::running && now_ >= worker.ends[task.task]) {
         task.state = core::TaskState::exited;
         task.cause = core::ExitCause::done;
       }
     }
-    ++worker.report.sequence;
-    feed(core::MachineReported{worker.report});
+    ++worker.heartbeat.sequence;
+    feed(core::HeartbeatReceived{worker.heartbeat});
   }
-  void execute(const core::SendCommands& orders) {
-    auto& worker = workers_.at(orders.machine);
-    for (const auto& command : orders.commands) {
-      auto& tasks = worker.report.tasks;
+  void execute(const core::SendCommands& batch) {
+    auto& worker = workers_.at(batch.machine);
+    for (const auto& command : batch.commands) {
+      auto& tasks = worker.heartbeat.tasks;
       const auto same = [&](const core::TaskStatus& task) {
         return task.attempt == command.attempt;
       };
@@ -158,8 +159,8 @@
         worker.ends.erase(command.task);
       }
     }
-    ++worker.report.sequence;
-    feed(core::CommandsAnswered{orders.machine, worker.report});
+    ++worker.heartbeat.sequence;
+    feed(core::CommandsAnswered{batch.machine, worker.heartbeat});
   }
   void execute(const core::SaveMachine& save) {
     feed(core::MachineSaved{save.record.id, true, true});
@@ -206,7 +207,7 @@
   Recorder(const std::string& path, std::optional<history::Key> key, bool saves)
       : files_(path, true), saves_(saves) {
     history::LogSettings settings;
-    settings.save_every = Seconds(30);
+    settings.snapshot_interval = Seconds(30);
     log_ = std::make_unique<history::EventLog>(files_, key, settings, history::Contents{}, "bench",
                                                core::WallTime{});
   }
@@ -216,15 +217,15 @@
     if (const auto* event = std::get_if<core::Event>(&record.what))
       log_->record(record.token, record.at, *event);
     else
-      log_->acted(record.token, record.at, std::get<Acted>(record.what).digest);
+      log_->record_actions(record.token, record.at, std::get<ActionsRecorded>(record.what).digest);
     if (between) log_->flush(record.at);
     writing_ += Seconds(core::Clock::now() - written_from).count();
     if (!between || !saves_) return;
     const auto begun = cpu_now();
-    if (log_->saving())
-      log_->continue_save();
-    else if (log_->save_due(record.at))
-      log_->begin_save(controller, origin, elected_at, record.at, core::WallTime{});
+    if (log_->snapshotting())
+      log_->continue_snapshot();
+    else if (log_->snapshot_due(record.at))
+      log_->begin_snapshot(controller, origin, elected_at, record.at, core::WallTime{});
     else
       return;
     const auto took = cpu_now() - begun;
@@ -232,9 +233,9 @@
     longest_ = std::max(longest_, took);
   }
   double longest_slice() const { return longest_; }
-  double saving() const { return saving_; }
+  double snapshotting() const { return saving_; }
   double writing() const { return writing_; }
-  std::uint64_t saves() const { return log_->saves_made(); }
+  std::uint64_t saves() const { return log_->snapshots_made(); }
 
  private:
   history::Directory files_;
@@ -270,7 +271,7 @@
     history::Directory files(path, false);
     history::Replay replay;
     const auto contents =
-        history::Reader(files, {}).recover(replay, [](const history::Damaged&) {});
+        history::Reader(files, {}).recover(replay, [](const history::CorruptionError&) {});
     std::printf(
         "recovery %s: %8llu records, %8.1f MB on disk, %6.3f s, %6.1f MB more memory, %llu jobs\n",
         saves ? "with saves   " : "without saves",
@@ -308,7 +309,7 @@
   std::uint64_t bytes = 0;
   std::size_t on_machines = 0;
   double longest = 0;
-  double saving = 0;
+  double snapshotting = 0;
   double writing = 0;
   std::uint64_t saves = 0;
   for (const bool on : {false, true}) {
@@ -332,7 +333,7 @@
     on_machines = yard.tasks_on_machines();
     if (recorder) {
       longest = recorder->longest_slice();
-      saving = recorder->saving();
+      snapshotting = recorder->snapshotting();
       writing = recorder->writing();
       saves = recorder->saves();
       bytes = size_of(path);
@@ -349,8 +350,9 @@
       machines, on_machines, key ? "signed" : "unsigned", static_cast<unsigned long long>(records),
       static_cast<unsigned long long>(jobs), spent[0] / static_cast<double>(records) * 1e6,
       spent[1] / static_cast<double>(records) * 1e6, (spent[1] / spent[0] - 1) * 100,
-      writing / static_cast<double>(records) * 1e6, saving / static_cast<double>(records) * 1e6,
-      static_cast<unsigned long long>(saves), longest * 1e3, static_cast<double>(bytes) / 1e6);
+      writing / static_cast<double>(records) * 1e6,
+      snapshotting / static_cast<double>(records) * 1e6, static_cast<unsigned long long>(saves),
+      longest * 1e3, static_cast<double>(bytes) / 1e6);
 }
 
 }  // namespace
--- a/bench/solver_bench.cpp
+++ b/bench/solver_bench.cpp
@@ -49,7 +49,7 @@
   return out;
 }
 
-void report(benchmark::State& state, const Problem& problem, const Found& found) {
+void heartbeat(benchmark::State& state, const Problem& problem, const Found& found) {
   const auto bound = bound_of(problem);
   Amount placed = 0;
   Amount most = 0;
@@ -69,14 +69,14 @@
   const auto problem = sized(state);
   Found found;
   for (auto _ : state) found = fill(problem);
-  report(state, problem, found);
+  heartbeat(state, problem, found);
 }
 
 void BM_Fast(benchmark::State& state) {
   const auto problem = sized(state);
   Found found;
   for (auto _ : state) found = search_fast(problem, {1, 2, 1});
-  report(state, problem, found);
+  heartbeat(state, problem, found);
 }
 
 void sizes(benchmark::internal::Benchmark* bench) {
--- a/src/agent/agent_codec.cpp
+++ b/src/agent/agent_codec.cpp
@@ -82,27 +82,27 @@
 
 core::Heartbeat parse_heartbeat(const std::string& body) {
   const auto json = Json::parse(body);
-  core::Heartbeat report;
-  report.machine = name_at(json, "rig");
-  report.endpoint = name_at(json, "endpoint");
-  report.type = name_at(json, "bench");
-  report.zone = name_at(json, "district");
+  core::Heartbeat heartbeat;
+  heartbeat.machine = name_at(json, "rig");
+  heartbeat.endpoint = name_at(json, "endpoint");
+  heartbeat.type = name_at(json, "bench");
+  heartbeat.zone = name_at(json, "district");
   const auto spot = json.find("loaners");
-  report.spot = spot != json.end() && !spot->is_null() && spot->get<bool>();
-  report.epoch = integer(json.at("shift"), "shift");
-  report.heartbeat_sequence = integer(json.at("tally"), "tally");
+  heartbeat.spot = spot != json.end() && !spot->is_null() && spot->get<bool>();
+  heartbeat.epoch = integer(json.at("shift"), "shift");
+  heartbeat.heartbeat_sequence = integer(json.at("tally"), "tally");
   const auto token = json.find("baton");
-  if (token != json.end() && !token->is_null()) report.token = integer(*token, "baton");
+  if (token != json.end() && !token->is_null()) heartbeat.token = integer(*token, "baton");
   const auto notice = json.find("recall_s");
   if (notice != json.end() && !notice->is_null()) {
     const auto left = notice->get<double>();
     if (!(left >= -3600 && left < 1e7)) throw std::invalid_argument("recall_s is out of range");
-    report.notice = Seconds(left);
+    heartbeat.notice = Seconds(left);
   }
   const auto tasks = json.find("cuts");
-  if (tasks == json.end() || tasks->is_null()) return report;
+  if (tasks == json.end() || tasks->is_null()) return heartbeat;
   if (!tasks->is_array()) throw std::invalid_argument("cuts must be a list");
-  report.tasks.reserve(tasks->size());
+  heartbeat.tasks.reserve(tasks->size());
   for (const auto& item : *tasks) {
     core::TaskStatus entry;
     entry.task = parse_task(item.at("cut").get<std::string>());
@@ -112,9 +112,9 @@
       entry.cause = parse_cause(item.at("cause").get<std::string>());
     const auto stored = item.find("stored");
     entry.stored = stored != item.end() && stored->is_boolean() && stored->get<bool>();
-    report.tasks.push_back(std::move(entry));
+    heartbeat.tasks.push_back(std::move(entry));
   }
-  return report;
+  return heartbeat;
 }
 
 std::string response_body(core::FencingToken token, const std::vector<core::Command>& commands) {
--- a/src/agent/agent_codec.hpp
+++ b/src/agent/agent_codec.hpp
@@ -3,7 +3,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace violetpulley::agent {
 
--- a/src/agent/orders_sender.hpp
+++ b/src/agent/command_sender.hpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <set>
 
-#include "core/actions.hpp"
+#include "core/model/actions.hpp"
 #include "net/http_client.hpp"
 
 namespace violetpulley::agent {
@@ -17,18 +17,18 @@
   // No report: no answer, or nonsense.
   using Answered = std::function<void(const core::MachineId&, const core::Heartbeat*)>;
 
-  CommandSender(asio::io_context& io, core::FencingToken token, std::size_t most_lines,
+  CommandSender(asio::io_context& io, core::FencingToken token, std::size_t max_connections,
                 Answered answered)
-      : io_(io), token_(token), most_lines_(most_lines), answered_(std::move(answered)) {}
+      : io_(io), token_(token), max_connections_(max_connections), answered_(std::move(answered)) {}
 
-  void send(const core::SendCommands& orders);
+  void send(const core::SendCommands& batch);
   void drop(const core::MachineId& machine);
   // At least one.
-  void set_most_lines(std::size_t most) { most_lines_ = std::max<std::size_t>(1, most); }
-  std::size_t lines() const { return lines_.size(); }
+  void set_max_connections(std::size_t most) { max_connections_ = std::max<std::size_t>(1, most); }
+  std::size_t connections() const { return connections_.size(); }
 
  private:
-  struct Line {
+  struct Connection {
     std::string endpoint;
     std::unique_ptr<net::HttpClient> client;
     std::uint64_t used = 0;  // the larger, the later
@@ -39,10 +39,10 @@
   void erase(const core::MachineId& machine);
   asio::io_context& io_;
   core::FencingToken token_;
-  std::size_t most_lines_;
+  std::size_t max_connections_;
   std::uint64_t sends_ = 0;
   Answered answered_;
-  std::map<core::MachineId, Line> lines_;
+  std::map<core::MachineId, Connection> connections_;
   std::set<std::pair<std::uint64_t, core::MachineId>> idle_;  // lines by their last use
 };
 
--- a/src/api/job_codec.hpp
+++ b/src/api/job_codec.hpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace violetpulley::api {
 
--- a/src/api/operator_api.hpp
+++ b/src/api/operator_api.hpp
@@ -6,8 +6,8 @@
 #include <map>
 #include <optional>
 
-#include "advice/why.hpp"
-#include "core/rate_limiter.hpp"
+#include "core/dispatch/rate_limiter.hpp"
+#include "diagnostics/placement_explanation.hpp"
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
 
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -6,7 +6,7 @@
 
 #include "core/controller.hpp"
 #include "net/http_server.hpp"
-#include "store/job_mirror.hpp"
+#include "store/job_replica.hpp"
 
 namespace violetpulley::api {
 
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -105,8 +105,8 @@
        false);
 }
 
-void CloudClient::rent(const core::ScaleOut& request,
-                       std::function<void(core::ScaleOutResult)> done) {
+void CloudClient::request_machines(const core::ScaleOut& request,
+                                   std::function<void(core::ScaleOutResult)> done) {
   const Json body{{"hire", request.name},
                   {"bench", request.type},
                   {"district", request.zone},
@@ -122,7 +122,7 @@
             const auto json = Json::parse(response->body);
             if (response->status == 200) {
               answer.machines = json.at("rigs").get<std::vector<std::string>>();
-              answer.kind = Kind::rented;
+              answer.kind = Kind::granted;
             } else if (response->status == 503 && json.value("error", "") == "no capacity") {
               answer.kind = Kind::no_capacity;
             }
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -4,7 +4,7 @@
 #include <deque>
 
 #include "core/controller.hpp"
-#include "core/rate_limiter.hpp"
+#include "core/dispatch/rate_limiter.hpp"
 #include "net/http_client.hpp"
 
 namespace violetpulley::cloud {
@@ -21,7 +21,8 @@
     std::string body;  // as the cloud sent it
   };
   void catalog(std::function<void(std::optional<Catalog>)> done);
-  void rent(const core::ScaleOut& request, std::function<void(core::ScaleOutResult)> done);
+  void request_machines(const core::ScaleOut& request,
+                        std::function<void(core::ScaleOutResult)> done);
   void release(const std::vector<core::MachineId>& machines, std::function<void(bool)> done);
   void list(std::function<void(std::optional<std::vector<core::ListedMachine>>)> done);
 
--- a/src/commands/history.cpp
+++ b/src/commands/history.cpp
@@ -35,7 +35,7 @@
 }
 
 // What was found wrong, in the form that was asked for.
-int damaged(const Options& options, const history::Damaged& problem) {
+int damaged(const Options& options, const history::CorruptionError& problem) {
   if (options.json)
     std::cout << Json{{"ok", false},
                       {"file", problem.file},
@@ -52,7 +52,7 @@
 int guarded(const Options& options, const Work& work) {
   try {
     return work();
-  } catch (const history::Damaged& problem) {
+  } catch (const history::CorruptionError& problem) {
     return damaged(options, problem);
   } catch (const config::SettingsError& problem) {
     std::cerr << "violetpulley: " << problem.what() << "\n";
@@ -82,17 +82,17 @@
                           {"records", segment.records},
                           {"bytes", segment.bytes},
                           {"torn_bytes", segment.torn_bytes}});
-    Json saves = Json::array();
-    for (const auto& save : contents.saves)
-      saves.push_back({{"name", save.name},
-                       {"records", save.head.events},
-                       {"bytes", save.bytes},
-                       {"state", history::hex(save.state_digest)}});
+    Json snapshots = Json::array();
+    for (const auto& save : contents.snapshots)
+      snapshots.push_back({{"name", save.name},
+                           {"records", save.head.events},
+                           {"bytes", save.bytes},
+                           {"state", history::hex(save.state_digest)}});
     std::cout << Json{{"ok", true},
                       {"history", contents.history},
                       {"records", contents.events()},
                       {"segments", std::move(segments)},
-                      {"saves", std::move(saves)}}
+                      {"saves", std::move(snapshots)}}
                      .dump()
               << "\n";
     return kFine;
@@ -100,7 +100,7 @@
   for (const auto& segment : contents.segments)
     std::cout << segment.name << "  records " << segment.head.first_event << " to "
               << segment.head.first_event + segment.records << ", " << segment.bytes << " bytes\n";
-  for (const auto& save : contents.saves)
+  for (const auto& save : contents.snapshots)
     std::cout << save.name << "  covers records up to " << save.head.events << ", state "
               << history::hex(save.state_digest) << ", " << save.bytes << " bytes\n";
   std::cout << "good: " << contents.events() << " records\n";
@@ -184,9 +184,9 @@
   }
   const auto events = contents.events();
   history::EventLog log(files, new_key, {}, contents, contents.history, replay.wall_now());
-  log.begin_save(*replay.controller(), replay.origin(), replay.elected_at(), replay.now(),
-                 replay.wall_now());
-  while (log.saving()) log.continue_save();
+  log.begin_snapshot(*replay.controller(), replay.origin(), replay.elected_at(), replay.now(),
+                     replay.wall_now());
+  while (log.snapshotting()) log.continue_snapshot();
   log.prune(1);
   std::cout << "compacted: " << events << " records are in one save, state "
             << history::hex(replay.state_digest()) << "\n";
--- a/src/config/history_settings.cpp
+++ b/src/config/history_settings.cpp
@@ -54,17 +54,17 @@
                            const std::string& name) { out.directory = text(node, name); }},
       {"key_file", [&out](const YAML::Node& node,
                           const std::string& name) { out.key = load_key(text(node, name), name); }},
-      {"interval_s", seconds_field(out.log.save_every, {1, 86400})},
+      {"interval_s", seconds_field(out.log.snapshot_interval, {1, 86400})},
       {"sync",
        choice(out.log.sync, std::map<std::string, SyncPolicy>{{"never", SyncPolicy::never},
                                                               {"interval", SyncPolicy::interval},
                                                               {"always", SyncPolicy::always}})},
-      {"sync_every_s", seconds_field(out.log.sync_every, {0.01, 3600})},
+      {"sync_every_s", seconds_field(out.log.sync_interval, {0.01, 3600})},
       {"most_mb",
        [&out](const YAML::Node& node, const std::string& name) {
          out.log.max_bytes = static_cast<std::uint64_t>(number(node, name, {1, 1e6}) * 1024 * 1024);
        }},
-      {"most_age_s", seconds_field(out.most_age, {1, 30 * 86400.0})},
+      {"most_age_s", seconds_field(out.max_age, {1, 30 * 86400.0})},
   };
   read_fields(yaml, "history settings", setters);
   if (out.home == HistoryHome::directory && out.directory.empty())
--- a/src/config/history_settings.hpp
+++ b/src/config/history_settings.hpp
@@ -16,7 +16,7 @@
   std::string directory;
   std::optional<history::Key> key;
   history::LogSettings log;
-  core::Seconds most_age{3600};  // older beliefs are not gone by
+  core::Seconds max_age{3600};  // older beliefs are not gone by
 };
 
 // Throws SettingsError with the field at fault. `key_file` is read and checked here.
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <sstream>
 
-#include "core/leadership.hpp"
+#include "core/failover/leadership.hpp"
 #include "net/http_client.hpp"
 
 namespace violetpulley::config {
@@ -133,7 +133,7 @@
 
   const auto& workers = table_at(settings, "settings.", "workers");
   const std::string w = "settings.workers.";
-  out.workers.report = core::Seconds(number_at(workers, w, "report_s", 0.1));
+  out.workers.heartbeat_interval = core::Seconds(number_at(workers, w, "report_s", 0.1));
   out.workers.lease = core::Seconds(number_at(workers, w, "lease_s", 1));
   out.workers.cancel = core::Seconds(number_at(workers, w, "cancel_s", 1));
   out.workers.gang_wait = core::Seconds(number_at(workers, w, "gang_wait_s", 0, 30.0));
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -4,7 +4,7 @@
 #include <filesystem>
 #include <stdexcept>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace violetpulley::config {
 
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -46,7 +46,7 @@
        [&out](const YAML::Node& node, const std::string& name) {
          out.quarantine_errors = static_cast<int>(number(node, name, {1, 1000}));
        }},
-      {"most_given_up", plain(out.most_given_up, {0, 1})},
+      {"most_given_up", plain(out.max_declared_dead_share, {0, 1})},
       {"begin_within_s", seconds_field(out.begin_within, {10, 86'400})},
       {"still_alive", plain(out.still_alive, {0, 1})},
       {"most_orders",
--- a/src/core/machine_clearing.cpp
+++ b/src/core/autoscaling/consolidation.cpp
@@ -1,9 +1,9 @@
-#include "core/machine_clearing.hpp"
+#include "core/autoscaling/consolidation.hpp"
 
 #include <algorithm>
 
-#include "core/clearing.hpp"
-#include "core/starts.hpp"
+#include "core/autoscaling/consolidation_rules.hpp"
+#include "core/dispatch/task_starter.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/machine_clearing.hpp
+++ b/src/core/autoscaling/consolidation.hpp
@@ -2,22 +2,22 @@
 // times are the machines' own.
 #pragma once
 
-#include "core/bindings.hpp"
-#include "core/machine_watch.hpp"
-#include "core/scarcity.hpp"
+#include "core/autoscaling/scarcity.hpp"
+#include "core/machines/machine_watch.hpp"
+#include "core/scheduling/task_bindings.hpp"
 
 namespace violetpulley::core {
 
 class Consolidation {
  public:
   Consolidation(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet,
-                Jobs& jobs, CommandDispatcher& orders, const Bindings& bindings,
+                Jobs& jobs, CommandDispatcher& commands, const TaskBindings& bindings,
                 const Scarcity& scarcity, MachineWatch& watch)
       : settings_(settings),
         catalog_(catalog),
         fleet_(fleet),
         jobs_(jobs),
-        commands_(orders),
+        commands_(commands),
         bindings_(bindings),
         scarcity_(scarcity),
         watch_(watch) {}
@@ -30,7 +30,7 @@
   Fleet& fleet_;
   Jobs& jobs_;
   CommandDispatcher& commands_;
-  const Bindings& bindings_;
+  const TaskBindings& bindings_;
   const Scarcity& scarcity_;
   MachineWatch& watch_;
 };
--- a/src/core/clearing.hpp
+++ b/src/core/autoscaling/consolidation_rules.hpp
@@ -1,7 +1,7 @@
 // When an underused machine is cleared (paper 3.4, heuristic 2; DESIGN).
 #pragma once
 
-#include "core/fleet.hpp"
+#include "core/machines/fleet.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/market.cpp
+++ b/src/core/autoscaling/instance_offerings.cpp
@@ -1,4 +1,4 @@
-#include "core/market.hpp"
+#include "core/autoscaling/instance_offerings.hpp"
 
 #include <algorithm>
 
--- a/src/core/market.hpp
+++ b/src/core/autoscaling/instance_offerings.hpp
@@ -2,8 +2,8 @@
 // DESIGN, "Expected trouble"). Owns when each was asked for last and which ones rest.
 #pragma once
 
-#include "core/catalog.hpp"
-#include "core/scaler.hpp"
+#include "core/autoscaling/scaler.hpp"
+#include "core/model/catalog.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/rental_groups.hpp
+++ b/src/core/autoscaling/scale_out_groups.hpp
@@ -1,7 +1,7 @@
 // What rentals are for: values handed between the parts that choose machines to rent.
 #pragma once
 
-#include "core/catalog.hpp"
+#include "core/model/catalog.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/rentals.cpp
+++ b/src/core/autoscaling/scale_out_planner.cpp
@@ -1,8 +1,8 @@
-#include "core/rentals.hpp"
+#include "core/autoscaling/scale_out_planner.hpp"
 
 #include <algorithm>
 
-#include "core/limits.hpp"
+#include "core/model/limits.hpp"
 
 namespace violetpulley::core {
 
@@ -25,13 +25,13 @@
   for (const auto& candidate : queue) {
     const auto& job = *candidate.job;
     const auto& spec = job.spec();
-    const auto limit = starts_.quota_left(spec.team);
+    const auto limit = task_starter_.quota_left(spec.team);
     if (!limit || job.gang() || job.suspected) continue;
     auto& free = room.try_emplace(spec.team, *limit).first->second;
     ScalerJob entry{&spec, candidate.estimate, {}, {}};
     for (const auto index : job.waiting) {
       if (!spec.per_task.fits_in(free)) break;
-      if (starts_.held(job, index)) continue;
+      if (task_starter_.held(job, index)) continue;
       free -= spec.per_task;
       if (!job.tasks[index].bound.empty()) continue;
       entry.tasks.push_back(index);
@@ -54,7 +54,7 @@
 // Where the job's tasks are or will be: those too that wait for machines which boot or are being
 // rented.
 ZoneUse ScaleOutPlanner::zone_claims(const Job& job) const {
-  auto use = starts_.zone_use(job);
+  auto use = task_starter_.zone_use(job);
   if (!job.spec().spread) return use;
   for (const auto index : job.waiting) {
     const auto& bound = job.tasks[index].bound;
@@ -80,7 +80,7 @@
         !spec.spot_allowed || forecaster_.age(job, now) > settings_.tuning.on_demand_patience;
     return (waited || !catalog_.expensive(option.type->name, option.spot)) &&
            !scarcity_.reserved_for_others(spec, option.type->name) &&
-           zone_allowed(spec, starts_.zone_use(job), option.zone);
+           zone_allowed(spec, task_starter_.zone_use(job), option.zone);
   };
   Scaler scaler(std::move(unplaced_tasks), offerings_.options(now), may_use_offering);
   ScaleOutPlan chosen;
@@ -95,7 +95,7 @@
     } while (groups.size() < kMaxMachinesPerRequest && scaler.repeats(*choice));
     if (groups.size() >= kMaxMachinesPerRequest) scaler.exhaust(*choice);
   }
-  gangs_.add_scale_out_groups(queue, chosen, now);
+  gang_scheduler_.add_scale_out_groups(queue, chosen, now);
   // Requests are few a second: the option that was asked for longest ago comes first, so that
   // none starves behind another that fills one request after the other.
   std::vector<OfferingKey> order;
@@ -125,7 +125,7 @@
   rental.sent = now;
   for (const auto& group : groups) {
     bindings_.bind(group.tasks, rental.request.name);
-    gangs_.asked(group.gang, group.places);
+    gang_scheduler_.asked(group.gang, group.places);
   }
   rental.groups = std::move(groups);
   out_.push_back(rental.request);
@@ -141,7 +141,7 @@
   const auto& request = rental.request;
   const OfferingKey option{request.type, request.zone, request.spot};
   const auto rest = now + to_duration(settings_.tuning.refused_cooldown);
-  if (answer.kind != ScaleOutResult::Kind::rented) {
+  if (answer.kind != ScaleOutResult::Kind::granted) {
     // A refused pair rests and others are tried; with no answer, what was rented after all will
     // show up in the machine list.
     offerings_.start_cooldown(option, answer.kind == ScaleOutResult::Kind::no_capacity
@@ -152,8 +152,8 @@
   }
   for (std::size_t i = 0; i < rental.groups.size(); ++i) {
     auto& group = rental.groups[i];
-    gangs_.answered(group.gang, group.places);
-    if (answer.kind != ScaleOutResult::Kind::rented || i >= answer.machines.size()) {
+    gang_scheduler_.answered(group.gang, group.places);
+    if (answer.kind != ScaleOutResult::Kind::granted || i >= answer.machines.size()) {
       bindings_.unbind(group.tasks, name);
       continue;
     }
@@ -168,7 +168,7 @@
       catalog_.apply(*machine);
       registry_.save(*machine);
     }
-    gangs_.rented(group.gang, *machine);
+    gang_scheduler_.granted(group.gang, *machine);
     bindings_.rebind(std::move(group.tasks), name, id);
   }
   last_scale_ = now - to_duration(settings_.tuning.round);
--- a/src/core/rentals.hpp
+++ b/src/core/autoscaling/scale_out_planner.hpp
@@ -2,15 +2,15 @@
 // the groups bound to what was rented. Owns the requests under way and the token bucket for them.
 #pragma once
 
-#include "core/gangs.hpp"
-#include "core/rate_limiter.hpp"
-#include "core/registry.hpp"
-#include "core/scarcity.hpp"
+#include "core/autoscaling/scarcity.hpp"
+#include "core/dispatch/rate_limiter.hpp"
+#include "core/machines/machine_registry.hpp"
+#include "core/scheduling/gang_scheduler.hpp"
 
 namespace violetpulley::core {
 
 struct ScaleOutResult {
-  enum class Kind { rented, no_capacity, refused, unknown } kind = Kind::unknown;
+  enum class Kind { granted, no_capacity, refused, unknown } kind = Kind::unknown;
   std::vector<MachineId> machines;
 
   template <class S, class F>
@@ -22,21 +22,21 @@
 class ScaleOutPlanner {
  public:
   ScaleOutPlanner(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
-                  Fleet& fleet, Jobs& jobs, const Starts& starts,
+                  Fleet& fleet, Jobs& jobs, const TaskStarter& starts,
                   const DeadlineForecaster& forecaster, InstanceOfferings& offerings,
-                  Bindings& bindings, const Scarcity& scarcity, Gangs& gangs, Registry& registry,
-                  FencingToken token)
+                  TaskBindings& bindings, const Scarcity& scarcity, GangScheduler& gangs,
+                  MachineRegistry& registry, FencingToken token)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
         fleet_(fleet),
         jobs_(jobs),
-        starts_(starts),
+        task_starter_(starts),
         forecaster_(forecaster),
         offerings_(offerings),
         bindings_(bindings),
         scarcity_(scarcity),
-        gangs_(gangs),
+        gang_scheduler_(gangs),
         registry_(registry),
         token_(token),
         rate_(settings.cloud_calls_per_s * kScaleOutCallShare,
@@ -73,13 +73,13 @@
   const Catalog& catalog_;
   Fleet& fleet_;
   Jobs& jobs_;
-  const Starts& starts_;
+  const TaskStarter& task_starter_;
   const DeadlineForecaster& forecaster_;
   InstanceOfferings& offerings_;
-  Bindings& bindings_;
+  TaskBindings& bindings_;
   const Scarcity& scarcity_;
-  Gangs& gangs_;
-  Registry& registry_;
+  GangScheduler& gang_scheduler_;
+  MachineRegistry& registry_;
   FencingToken token_;
   std::map<std::string, PendingScaleOut> requests_in_flight_;
   std::uint64_t next_request_ = 1;
--- a/src/core/scaler.cpp
+++ b/src/core/autoscaling/scaler.cpp
@@ -1,4 +1,4 @@
-#include "core/scaler.hpp"
+#include "core/autoscaling/scaler.hpp"
 
 #include <algorithm>
 
--- a/src/core/scaler.hpp
+++ b/src/core/autoscaling/scaler.hpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <map>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/scarcity.cpp
+++ b/src/core/autoscaling/scarcity.cpp
@@ -1,4 +1,4 @@
-#include "core/scarcity.hpp"
+#include "core/autoscaling/scarcity.hpp"
 
 #include <algorithm>
 
--- a/src/core/scarcity.hpp
+++ b/src/core/autoscaling/scarcity.hpp
@@ -3,8 +3,8 @@
 // clearing. Owns what the last rounds saw.
 #pragma once
 
-#include "core/catalog.hpp"
-#include "core/jobs.hpp"
+#include "core/jobs/jobs.hpp"
+#include "core/model/catalog.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <sstream>
 
-#include "core/on_machines.hpp"
+#include "core/jobs/each_assignment.hpp"
 
 namespace violetpulley::core {
 
@@ -18,27 +18,27 @@
       registry_(out_, fleet_),
       commands_(settings_.sockets, settings_.tuning.max_commands_in_flight, out_, fleet_, jobs_),
       assignments_(out_, fleet_, jobs_, recovery_),
-      starts_(settings_, catalog_, fleet_, jobs_, commands_, forecaster_, recovery_, token),
-      reconciler_(settings_, catalog_, fleet_, jobs_, recovery_, commands_, starts_, now),
+      task_starter_(settings_, catalog_, fleet_, jobs_, commands_, forecaster_, recovery_, token),
+      reconciler_(settings_, catalog_, fleet_, jobs_, recovery_, commands_, task_starter_, now),
       offerings_(catalog_),
       bindings_(out_, jobs_),
       scarcity_(catalog_, jobs_),
-      preemption_(settings_, out_, fleet_, jobs_, commands_, starts_, bindings_),
-      gangs_(settings_, out_, catalog_, fleet_, jobs_, commands_, starts_, forecaster_, offerings_,
-             bindings_, preemption_),
-      scale_out_(settings_, out_, catalog_, fleet_, jobs_, starts_, forecaster_, offerings_,
-                 bindings_, scarcity_, gangs_, registry_, token),
+      preemption_(settings_, out_, fleet_, jobs_, commands_, task_starter_, bindings_),
+      gang_scheduler_(settings_, out_, catalog_, fleet_, jobs_, commands_, task_starter_,
+                      forecaster_, offerings_, bindings_, preemption_),
+      scale_out_(settings_, out_, catalog_, fleet_, jobs_, task_starter_, forecaster_, offerings_,
+                 bindings_, scarcity_, gang_scheduler_, registry_, token),
       watch_(settings_, out_, catalog_, fleet_, failure_detector_, commands_, recovery_,
              reconciler_, assignments_, registry_, now),
       heartbeats_(settings_, out_, catalog_, fleet_, failure_detector_, jobs_, estimator_,
-                  forecaster_, recovery_, reconciler_, registry_, commands_, assignments_, gangs_,
-                  token),
+                  forecaster_, recovery_, reconciler_, registry_, commands_, assignments_,
+                  gang_scheduler_, token),
       consolidation_(settings_, catalog_, fleet_, jobs_, commands_, bindings_, scarcity_, watch_),
-      replicas_(settings_, out_, fleet_, jobs_, commands_, starts_, bindings_),
-      starvation_guard_(settings_, fleet_, jobs_, starts_, forecaster_, bindings_),
-      placing_(settings_, out_, catalog_, fleet_, jobs_, recovery_, reconciler_, commands_,
-               forecaster_, starts_, bindings_, scarcity_, preemption_, gangs_, scale_out_,
-               starvation_guard_) {
+      replica_consolidation_(settings_, out_, fleet_, jobs_, commands_, task_starter_, bindings_),
+      starvation_guard_(settings_, fleet_, jobs_, task_starter_, forecaster_, bindings_),
+      scheduler_(settings_, out_, catalog_, fleet_, jobs_, recovery_, reconciler_, commands_,
+                 forecaster_, task_starter_, bindings_, scarcity_, preemption_, gang_scheduler_,
+                 scale_out_, starvation_guard_) {
   for (const auto& record : recovered.jobs) {
     jobs_.open(record, now);
     jobs_.at(record.spec.id).from_former_leader = record.revision < token;
@@ -84,7 +84,7 @@
                      assignment.orphaned = true;
                      commands_.stop(machine, assignment, now);
                    });
-  gangs_.job_closed(id);
+  gang_scheduler_.job_closed(id);
   jobs_.close(id);
 }
 
@@ -108,7 +108,7 @@
     }
     // The answer proves that the machine and all that was on it are gone.
     assignments_.lose_all(*machine, now);
-    gangs_.machine_gone(*machine);
+    gang_scheduler_.machine_gone(*machine);
     bindings_.machine_gone(id);
     recovery_.confirm(id);
     commands_.gone(*machine);
@@ -139,9 +139,9 @@
   recovery_.check(proved);
   reconciler_.ask(now);
   if (watch_.watch(now, may_place, proved)) consolidation_.consolidate(now);
-  replicas_.gather(now);
-  gangs_.restart_broken(now);
-  if (may_place) placing_.round(now);
+  replica_consolidation_.consolidate(now);
+  gang_scheduler_.restart_broken(now);
+  if (may_place) scheduler_.round(now);
   jobs_.finish_complete(now);
   jobs_.persist(now);
   if (settings_.tuning.commit_starts) jobs_.persist_placements(!recovery_.recovering());
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -3,11 +3,11 @@
 // which owns its state and says in its header what it decides.
 #pragma once
 
-#include "core/machine_clearing.hpp"
-#include "core/placing.hpp"
-#include "core/reckoning.hpp"
-#include "core/replicas.hpp"
-#include "core/reports.hpp"
+#include "core/autoscaling/consolidation.hpp"
+#include "core/failover/heartbeat_handler.hpp"
+#include "core/failover/reconciler.hpp"
+#include "core/scheduling/replica_consolidation.hpp"
+#include "core/scheduling/scheduler.hpp"
 
 namespace violetpulley::core {
 
@@ -45,7 +45,9 @@
   void job_opened(const JobRecord& record, TimePoint now) { jobs_.open(record, now); }
   void job_closed(const JobId& id, TimePoint now);
 
-  void report(const Heartbeat& report, TimePoint now) { heartbeats_.report(report, now); }
+  void heartbeat(const Heartbeat& heartbeat, TimePoint now) {
+    heartbeats_.heartbeat(heartbeat, now);
+  }
   // Every other controller has said, after it saw our key, that it does not lead.
   void former_leaders_gone(TimePoint now) { recovery_.former_leaders_gone(now); }
   // Workers come to another controller.
@@ -57,11 +59,12 @@
     return failure_detector_.no_heartbeats(now) || failure_detector_.no_lease_renewals(now);
   }
   // Stops and forgets that travel in the answer to a report.
-  std::vector<Command> response_commands(const Heartbeat& report) const {
-    return commands_.response_commands(report.machine, {report.epoch, report.heartbeat_sequence});
+  std::vector<Command> response_commands(const Heartbeat& heartbeat) const {
+    return commands_.response_commands(heartbeat.machine,
+                                       {heartbeat.epoch, heartbeat.heartbeat_sequence});
   }
-  void commands_answered(const MachineId& machine, const Heartbeat* report, TimePoint now) {
-    heartbeats_.commands_answered(machine, report, now);
+  void commands_answered(const MachineId& machine, const Heartbeat* heartbeat, TimePoint now) {
+    heartbeats_.commands_answered(machine, heartbeat, now);
   }
 
   void machine_saved(const MachineId& id, bool with_endpoint, bool ok) {
@@ -89,7 +92,7 @@
   const InstanceOfferings& offerings() const { return offerings_; }
   bool recovering() const { return recovery_.recovering(); }
   const Reconciler& reconciler() const { return reconciler_; }
-  const CommandDispatcher& orders() const { return commands_; }
+  const CommandDispatcher& commands() const { return commands_; }
   // Machines looked at so far, each time counted; tests hold it against the events.
   std::uint64_t inspections() const { return out_.inspections(); }
   std::string summary() const;
@@ -113,16 +116,16 @@
     visit("reckoning", self.reconciler_);
     visit("registry", self.registry_);
     visit("orders", self.commands_);
-    visit("starts", self.starts_);
+    visit("starts", self.task_starter_);
     visit("market", self.offerings_);
     visit("bindings", self.bindings_);
     visit("scarcity", self.scarcity_);
-    visit("gangs", self.gangs_);
+    visit("gangs", self.gang_scheduler_);
     visit("rentals", self.scale_out_);
     visit("watch", self.watch_);
-    visit("replicas", self.replicas_);
+    visit("replicas", self.replica_consolidation_);
     visit("standing", self.starvation_guard_);
-    visit("placing", self.placing_);
+    visit("placing", self.scheduler_);
   }
 
  private:
@@ -137,23 +140,23 @@
   DeadlineForecaster forecaster_;
   FailureDetector failure_detector_;
   Recovery recovery_;
-  Registry registry_;
+  MachineRegistry registry_;
   CommandDispatcher commands_;
   Assignments assignments_;
-  Starts starts_;
+  TaskStarter task_starter_;
   Reconciler reconciler_;
   InstanceOfferings offerings_;
-  Bindings bindings_;
+  TaskBindings bindings_;
   Scarcity scarcity_;
   Preemption preemption_;
-  Gangs gangs_;
+  GangScheduler gang_scheduler_;
   ScaleOutPlanner scale_out_;
   MachineWatch watch_;
   HeartbeatHandler heartbeats_;
   Consolidation consolidation_;
-  Replicas replicas_;
+  ReplicaConsolidation replica_consolidation_;
   StarvationGuard starvation_guard_;
-  Placing placing_;
+  Scheduler scheduler_;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/orders.cpp
+++ b/src/core/dispatch/command_dispatcher.cpp
@@ -1,10 +1,10 @@
-#include "core/orders.hpp"
+#include "core/dispatch/command_dispatcher.hpp"
 
 #include <algorithm>
 #include <limits>
 #include <tuple>
 
-#include "core/on_machines.hpp"
+#include "core/jobs/each_assignment.hpp"
 
 namespace violetpulley::core {
 
@@ -30,7 +30,7 @@
 bool CommandDispatcher::committed(const TaskKey& key, const Assignment& assignment) const {
   if (assignment.record == 0) return true;
   const auto job = jobs_.find(key.job);
-  return job != jobs_.end() && assignment.record <= job->second.placed_saved;
+  return job != jobs_.end() && assignment.record <= job->second.committed_placement_version;
 }
 
 std::vector<Command> CommandDispatcher::commands_for(const Machine& machine,
@@ -41,15 +41,15 @@
   // that an older leader had seen cancelled outlived `cancel_s`, as the machine was cut off right
   // after (seed 1379 of Hunted).
   if (!machine.confirmed) {
-    for (const auto& entry : machine.reported)
+    for (const auto& entry : machine.task_statuses)
       if (entry.state != TaskState::exited && !jobs_.table().contains(entry.task.job))
         commands.push_back({CommandType::stop, entry.task, entry.attempt, Seconds(0)});
     return commands;
   }
-  for (const auto& entry : machine.reported)
+  for (const auto& entry : machine.task_statuses)
     if (entry.state == TaskState::exited && acknowledgeable(machine, entry))
       commands.push_back({CommandType::acknowledge, entry.task, entry.attempt, Seconds(0)});
-  for (const auto& entry : machine.reported) {
+  for (const auto& entry : machine.task_statuses) {
     if (entry.state == TaskState::exited) continue;
     const auto ours = machine.tasks.find(entry.task);
     if (ours == machine.tasks.end() || ours->second.attempt != entry.attempt)
@@ -70,9 +70,10 @@
 }
 
 std::vector<Command> CommandDispatcher::response_commands(const MachineId& id,
-                                                          HeartbeatNumber report) const {
+                                                          HeartbeatNumber heartbeat) const {
   const auto* machine = fleet_.find(id);
-  if (machine == nullptr || report != HeartbeatNumber{machine->epoch, machine->heartbeat_sequence})
+  if (machine == nullptr ||
+      heartbeat != HeartbeatNumber{machine->epoch, machine->heartbeat_sequence})
     return {};
   return commands_for(*machine, false);
 }
@@ -150,7 +151,7 @@
   std::sort(ready.begin(), ready.end(), [](const auto& a, const auto& b) {
     return std::tie(a.first, a.second->id) < std::tie(b.first, b.second->id);
   });
-  window_.set_share(shares().orders);
+  window_.set_share(shares().commands);
   for (const auto& [urgency, machine] : ready) {
     // Stops are safety traffic; machines that are likely dead leave half of the window to the
     // others.
--- a/src/core/orders.hpp
+++ b/src/core/dispatch/command_dispatcher.hpp
@@ -5,10 +5,10 @@
 
 #include <set>
 
-#include "core/fleet.hpp"
-#include "core/jobs.hpp"
-#include "core/order_window.hpp"
-#include "core/sockets.hpp"
+#include "core/dispatch/in_flight_window.hpp"
+#include "core/dispatch/socket_budget.hpp"
+#include "core/jobs/jobs.hpp"
+#include "core/machines/fleet.hpp"
 
 namespace violetpulley::core {
 
@@ -29,7 +29,7 @@
   std::vector<Command> commands_for(const Machine& machine, bool with_starts) const;
   // Stops and forgets that travel in the answer to a report, if it is the newest of its machine: a
   // late copy of one carries nothing.
-  std::vector<Command> response_commands(const MachineId& machine, HeartbeatNumber report) const;
+  std::vector<Command> response_commands(const MachineId& machine, HeartbeatNumber heartbeat) const;
   // Sends what the window admits; the rest stays due. Stops come first, then tasks in the order in
   // which placing chose them, then machines that did not answer the last time.
   void send(TimePoint now);
@@ -41,7 +41,7 @@
   std::size_t room() const;
   SocketShares shares() const {
     auto shares = share_sockets(sockets_, fleet_.all().size());
-    if (most_ > 0) shares.orders = std::min(shares.orders, most_);
+    if (most_ > 0) shares.commands = std::min(shares.commands, most_);
     return shares;
   }
   const InFlightWindow& window() const { return window_; }
--- a/src/core/order_window.hpp
+++ b/src/core/dispatch/in_flight_window.hpp
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace violetpulley::core {
 
@@ -52,14 +52,14 @@
   }
 
  private:
-  static constexpr std::size_t kLeast = 32;
+  static constexpr std::size_t kMin = 32;
   static constexpr std::chrono::milliseconds kJudged{500};
   static constexpr Seconds kQuick{0.1};
   static constexpr Seconds kSlow{0.25};
   static constexpr std::size_t kShrink = 16;  // by this part for each slow answer
-  std::size_t least() const { return std::min(share_, std::max(kLeast, share_ / 4)); }
-  std::size_t share_ = kLeast;
-  std::size_t size_ = kLeast;
+  std::size_t least() const { return std::min(share_, std::max(kMin, share_ / 4)); }
+  std::size_t share_ = kMin;
+  std::size_t size_ = kMin;
   std::size_t in_flight_ = 0;
   std::size_t peak_ = 0;
   std::size_t answers_ = 0;  // since it was last judged
--- a/src/core/rate_limiter.hpp
+++ b/src/core/dispatch/rate_limiter.hpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/sockets.hpp
+++ b/src/core/dispatch/socket_budget.hpp
@@ -19,14 +19,14 @@
 };
 
 struct SocketShares {
-  std::size_t own = 0;      // state service, cloud, siblings, listeners, files
-  std::size_t reports = 0;  // kept open for workers; one beyond is closed after its answer
-  std::size_t users = 0;    // the same for users and health checks
-  std::size_t orders = 0;   // order lists under way and lines kept, together
+  std::size_t own = 0;         // state service, cloud, siblings, listeners, files
+  std::size_t heartbeats = 0;  // kept open for workers; one beyond is closed after its answer
+  std::size_t users = 0;       // the same for users and health checks
+  std::size_t commands = 0;    // order lists under way and lines kept, together
 
   // What may be accepted at all: connections beyond a share have to be answered before they close.
   std::size_t accepted(std::size_t sockets) const {
-    return sockets > own + orders ? sockets - own - orders : 0;
+    return sockets > own + commands ? sockets - own - commands : 0;
   }
 };
 
@@ -43,12 +43,12 @@
   shares.own = std::min(all / 2, kOwnAtLeast + kOfSibling * budget.nodes);
   const auto rest = all - shares.own;
   const auto least = std::max<std::size_t>(8, rest / 10);  // of orders, and of users
-  shares.reports = std::min(machines + machines / 10 + 16, rest - 2 * least);
+  shares.heartbeats = std::min(machines + machines / 10 + 16, rest - 2 * least);
   // Nine tenths of all are enough for everything, so that an error of ours shows before it hurts.
-  const auto left = rest - shares.reports;
+  const auto left = rest - shares.heartbeats;
   const auto spare = std::min(all / 10, left - 2 * least);
-  shares.orders = std::max(least, (left - spare) / 2);
-  shares.users = std::max(least, left - spare - shares.orders);
+  shares.commands = std::max(least, (left - spare) / 2);
+  shares.users = std::max(least, left - spare - shares.commands);
   return shares;
 }
 
--- a/src/core/starts.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -1,10 +1,10 @@
-#include "core/starts.hpp"
+#include "core/dispatch/task_starter.hpp"
 
-#include "core/assignments.hpp"
-#include "core/contact.hpp"
-#include "core/limits.hpp"
-#include "core/packer.hpp"
-#include "core/scaler.hpp"
+#include "core/autoscaling/scaler.hpp"
+#include "core/failover/assignments.hpp"
+#include "core/machines/failure_detector.hpp"
+#include "core/model/limits.hpp"
+#include "core/scheduling/bin_packer.hpp"
 
 namespace violetpulley::core {
 
@@ -19,7 +19,7 @@
   return gb_per_s > 0 ? Seconds(spec.image_gb / gb_per_s) : Seconds(0);
 }
 
-bool Starts::placeable(const Machine& machine, TimePoint now) const {
+bool TaskStarter::placeable(const Machine& machine, TimePoint now) const {
   if (!machine.up() || !machine.confirmed || !machine.registered || machine.releasing) return false;
   // All that starts on a mute machine ends with its lease.
   if (!reached(machine) || machine.outbound_partition_since) return false;
@@ -28,7 +28,7 @@
          now - *machine.last_heartbeat < to_duration(settings_.tuning.silent_after);
 }
 
-bool Starts::within_limit(const JobSpec& spec, std::size_t tasks) const {
+bool TaskStarter::within_limit(const JobSpec& spec, std::size_t tasks) const {
   const auto found = catalog_.teams().find(spec.team);
   if (found == catalog_.teams().end()) return false;
   const auto more = spec.per_task * static_cast<double>(tasks);
@@ -36,20 +36,21 @@
       .fits_in(limit_of(found->second));
 }
 
-std::optional<Resources> Starts::quota_left(const std::string& team) const {
+std::optional<Resources> TaskStarter::quota_left(const std::string& team) const {
   const auto found = catalog_.teams().find(team);
   if (found == catalog_.teams().end()) return std::nullopt;
   return limit_of(found->second) - fleet_.team_use(team) - recovery_.uncertain();
 }
 
 // Where every task of the job possibly is, for same_zone and spread; empty for other jobs.
-ZoneUse Starts::zone_use(const Job& job) const {
+ZoneUse TaskStarter::zone_use(const Job& job) const {
   ZoneUse use;
   if (!job.spec().same_zone && !job.spec().spread) return use;
   for (TaskIndex i = 0; i < job.tasks.size(); ++i) {
     const auto& task = job.tasks[i];
     // One that is held up may be where it was recorded.
-    const bool held = task.phase == Phase::waiting && job.placed_known && recovery_.held(job, i);
+    const bool held =
+        task.phase == Phase::waiting && job.placements_complete && recovery_.held(job, i);
     if (task.phase != Phase::assigned && !held) continue;
     if (const auto* machine = fleet_.find(held ? job.placed[i] : task.machine))
       ++use[machine->zone];
@@ -58,7 +59,8 @@
 }
 
 // The one place where starts are made: limits and places are checked here, whatever chose them.
-bool Starts::start(Job& job, TaskIndex index, Machine& machine, Attempt attempt, TimePoint now) {
+bool TaskStarter::start(Job& job, TaskIndex index, Machine& machine, Attempt attempt,
+                        TimePoint now) {
   const auto& spec = job.spec();
   const auto& task = job.tasks[index];
   if (task.phase != Phase::waiting || recovery_.held(job, index)) return false;
--- a/src/core/starts.hpp
+++ b/src/core/dispatch/task_starter.hpp
@@ -3,10 +3,10 @@
 // attempts.
 #pragma once
 
-#include "core/jobs.hpp"
-#include "core/orders.hpp"
-#include "core/outlooks.hpp"
-#include "core/recovery.hpp"
+#include "core/dispatch/command_dispatcher.hpp"
+#include "core/failover/recovery.hpp"
+#include "core/jobs/deadline_forecaster.hpp"
+#include "core/jobs/jobs.hpp"
 
 namespace violetpulley::core {
 
@@ -19,16 +19,16 @@
 // How long a machine of that rate fetches the job's image.
 Seconds fetch_time(const JobSpec& spec, double gb_per_s);
 
-class Starts {
+class TaskStarter {
  public:
-  Starts(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet, Jobs& jobs,
-         CommandDispatcher& orders, const DeadlineForecaster& forecaster, const Recovery& recovery,
-         FencingToken token)
+  TaskStarter(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet, Jobs& jobs,
+              CommandDispatcher& commands, const DeadlineForecaster& forecaster,
+              const Recovery& recovery, FencingToken token)
       : settings_(settings),
         catalog_(catalog),
         fleet_(fleet),
         jobs_(jobs),
-        commands_(orders),
+        commands_(commands),
         forecaster_(forecaster),
         recovery_(recovery),
         // Attempts come from the token and a counter, so no two leaders ever choose the same one.
--- a/src/core/events.cpp
+++ b/src/core/events.cpp
@@ -37,10 +37,10 @@
       controller.job_opened(e.record, now);
     } else if constexpr (std::is_same_v<T, JobClosed>) {
       controller.job_closed(e.id, now);
-    } else if constexpr (std::is_same_v<T, MachineReported>) {
-      controller.report(e.report, now);
+    } else if constexpr (std::is_same_v<T, HeartbeatReceived>) {
+      controller.heartbeat(e.heartbeat, now);
     } else if constexpr (std::is_same_v<T, CommandsAnswered>) {
-      controller.commands_answered(e.machine, e.report ? &*e.report : nullptr, now);
+      controller.commands_answered(e.machine, e.heartbeat ? &*e.heartbeat : nullptr, now);
     } else if constexpr (std::is_same_v<T, MachineSaved>) {
       controller.machine_saved(e.id, e.with_endpoint, e.ok);
     } else if constexpr (std::is_same_v<T, ProgressSaved>) {
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -42,19 +42,19 @@
     f(s.id);
   }
 };
-struct MachineReported {
-  Heartbeat report;
+struct HeartbeatReceived {
+  Heartbeat heartbeat;
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.report);
+    f(s.heartbeat);
   }
 };
 struct CommandsAnswered {
   MachineId machine;
-  std::optional<Heartbeat> report;  // none: no answer came
+  std::optional<Heartbeat> heartbeat;  // none: no answer came
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.machine, s.report);
+    f(s.machine, s.heartbeat);
   }
 };
 struct MachineSaved {
@@ -141,7 +141,7 @@
 };
 
 // New kinds go to the end: a record names its kind by its place here.
-using Event = std::variant<LeaderElected, CatalogKnown, JobOpened, JobClosed, MachineReported,
+using Event = std::variant<LeaderElected, CatalogKnown, JobOpened, JobClosed, HeartbeatReceived,
                            CommandsAnswered, MachineSaved, ProgressSaved, FinishAnswered,
                            ScaleOutAnswered, ScaleInAnswered, CloudListed, Ticked, PlacementsSaved,
                            FormerLeadersGone, PeerReceivesHeartbeats>;
--- a/src/core/assignments.cpp
+++ b/src/core/failover/assignments.cpp
@@ -1,4 +1,4 @@
-#include "core/assignments.hpp"
+#include "core/failover/assignments.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -71,11 +71,11 @@
     if (!orphaned) lost(key);
   }
   fleet_.before_change(machine);
-  machine.reported.clear();
+  machine.task_statuses.clear();
   recovery_.update_unknown_tasks(machine, now);
 }
 
-void Assignments::runs_now(Assignment& assignment, Job* job, TimePoint now) {
+void Assignments::mark_running(Assignment& assignment, Job* job, TimePoint now) {
   assignment.running_since = now;
   if (job == nullptr || assignment.orphaned) return;
   jobs_.before_change(*job);
--- a/src/core/assignments.hpp
+++ b/src/core/failover/assignments.hpp
@@ -2,8 +2,8 @@
 // (PROTOCOL, "Gangs", for what saves are worth). Owns nothing; joins jobs and machines.
 #pragma once
 
-#include "core/jobs.hpp"
-#include "core/recovery.hpp"
+#include "core/failover/recovery.hpp"
+#include "core/jobs/jobs.hpp"
 
 namespace violetpulley::core {
 
@@ -16,7 +16,7 @@
       : out_(out), fleet_(fleet), jobs_(jobs), recovery_(recovery) {}
 
   // `job`: null if it has ended.
-  void runs_now(Assignment& assignment, Job* job, TimePoint now);
+  void mark_running(Assignment& assignment, Job* job, TimePoint now);
   // `stored`: its progress was saved when it was stopped.
   void drop(Machine& machine, const TaskKey& key, TimePoint now, bool stored = false);
   // It is not there any more, and a start that was held may bring it back under this attempt.
--- a/src/core/reports.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -1,4 +1,4 @@
-#include "core/reports.hpp"
+#include "core/failover/heartbeat_handler.hpp"
 
 #include <algorithm>
 
@@ -12,49 +12,49 @@
 constexpr Seconds kFirstPause{2};
 }  // namespace
 
-void HeartbeatHandler::handle(const Heartbeat& report, HeartbeatSource said, TimePoint now) {
-  if (report.token > token_) {
-    out_.push_back(Resign{"worker " + report.machine + " has seen a higher token", false});
+void HeartbeatHandler::handle(const Heartbeat& heartbeat, HeartbeatSource said, TimePoint now) {
+  if (heartbeat.token > token_) {
+    out_.push_back(Resign{"worker " + heartbeat.machine + " has seen a higher token", false});
     return;
   }
-  auto* known = fleet_.find(report.machine);
+  auto* known = fleet_.find(heartbeat.machine);
   if (known == nullptr) {
     // A machine that was released may still have a report on its way, or a copy of one.
-    if (registry_.was_released(report.machine)) return;
-    known = &fleet_.add(report.machine);
+    if (registry_.was_released(heartbeat.machine)) return;
+    known = &fleet_.add(heartbeat.machine);
     known->since = now;
     reconciler_.count(&ReconciliationStats::unregistered);
   }
   auto& machine = *known;
-  if (std::pair(report.epoch, report.heartbeat_sequence) <=
+  if (std::pair(heartbeat.epoch, heartbeat.heartbeat_sequence) <=
       std::pair(machine.epoch, machine.heartbeat_sequence))
     return reconciler_.count(&ReconciliationStats::late);
-  if (machine.epoch != 0 && report.epoch > machine.epoch) {
+  if (machine.epoch != 0 && heartbeat.epoch > machine.epoch) {
     reconciler_.count(&ReconciliationStats::new_sessions);
     assignments_.lose_all(machine, now);
     failure_detector_.agent_restarted(machine);
   }
   fleet_.before_change(machine);
-  if (report.epoch > machine.epoch) machine.in_doubt_attempts.clear();
+  if (heartbeat.epoch > machine.epoch) machine.in_doubt_attempts.clear();
   const bool first = !machine.up();
-  machine.epoch = report.epoch;
-  machine.heartbeat_sequence = report.heartbeat_sequence;
+  machine.epoch = heartbeat.epoch;
+  machine.heartbeat_sequence = heartbeat.heartbeat_sequence;
   failure_detector_.record_heartbeat(machine, said, now);
-  const bool moved =
-      machine.type != report.type || machine.zone != report.zone || machine.spot != report.spot;
-  if (machine.registered && machine.endpoint != report.endpoint) machine.registered = false;
-  machine.endpoint = report.endpoint;
+  const bool moved = machine.type != heartbeat.type || machine.zone != heartbeat.zone ||
+                     machine.spot != heartbeat.spot;
+  if (machine.registered && machine.endpoint != heartbeat.endpoint) machine.registered = false;
+  machine.endpoint = heartbeat.endpoint;
   if (first || moved) {
-    machine.type = report.type;
-    machine.zone = report.zone;
-    machine.spot = report.spot;
+    machine.type = heartbeat.type;
+    machine.zone = heartbeat.zone;
+    machine.spot = heartbeat.spot;
     catalog_.apply(machine);
   }
   if (first) {
     machine.up_since = now;
     commands_.want(machine);
   }
-  if (report.token == token_ && !machine.confirmed) {
+  if (heartbeat.token == token_ && !machine.confirmed) {
     machine.confirmed = true;
     failure_detector_.record_acknowledgement(machine, now);  // our token did
     recovery_.confirm(machine.id);
@@ -65,17 +65,17 @@
   // wait for, nor one that what it lists is on. Until it answers, only what ended is believed.
   const bool known_truth = machine.confirmed || recovery_.is_unconfirmed(machine.id);
   if (machine.confirmed && !machine.registered && !machine.registering) registry_.save(machine);
-  if (report.notice && !machine.notice_ends) {
-    machine.notice_ends = now + to_duration(*report.notice);
+  if (heartbeat.notice && !machine.notice_ends) {
+    machine.notice_ends = now + to_duration(*heartbeat.notice);
     for (auto& [key, assignment] : machine.tasks)
       if (now + to_duration(remaining_of(assignment, now)) > *machine.notice_ends)
-        commands_.stop_with_checkpoint(machine, key, assignment, *report.notice, now);
+        commands_.stop_with_checkpoint(machine, key, assignment, *heartbeat.notice, now);
     out_.want_placing();
   }
 
-  machine.reported = report.tasks;
+  machine.task_statuses = heartbeat.tasks;
   std::vector<Attempt> listed;  // an attempt's number belongs to one task only
-  for (const auto& entry : report.tasks) listed.push_back(entry.attempt);
+  for (const auto& entry : heartbeat.tasks) listed.push_back(entry.attempt);
   std::sort(listed.begin(), listed.end());
   // What was seen and is listed no more is gone. What was never seen may still be started by a
   // command on its way (docs/safety.md, "One copy of a task", 5). It goes before the list is taken
@@ -97,7 +97,7 @@
     if (!orphaned) assignments_.lost(key);
     out_.want_placing();
   }
-  for (const auto& entry : report.tasks)
+  for (const auto& entry : heartbeat.tasks)
     if (known_truth || entry.state == TaskState::exited) update_assignment(machine, entry, now);
   if (known_truth) recovery_.update_unknown_tasks(machine, now);
 }
@@ -114,7 +114,7 @@
   if (entry.state == TaskState::running && !assignment.running_since) {
     const auto found_job = jobs_.find(entry.task.job);
     auto* job = found_job == jobs_.end() ? nullptr : &found_job->second;
-    assignments_.runs_now(assignment, job, now);
+    assignments_.mark_running(assignment, job, now);
     if (job != nullptr) fleet_.touch_image(machine, assignment.image, job->spec().image_gb, true);
   }
 }
@@ -129,7 +129,7 @@
   if (entry.state == TaskState::exited) {
     if (entry.cause == ExitCause::done && task.phase == Phase::waiting && !job.service()) {
       reconciler_.count(&ReconciliationStats::ended);
-      if (job.gang()) return gangs_.done(job);
+      if (job.gang()) return gang_scheduler_.done(job);
       jobs_.task_done(job, entry.task.index);
       jobs_.progress_changed(job, entry.task.index);
     }
@@ -145,7 +145,7 @@
   assignment.state = entry.state;
   assignment.seen = true;
   if (entry.state == TaskState::running) {
-    assignments_.runs_now(assignment, &job, now);
+    assignments_.mark_running(assignment, &job, now);
     fleet_.touch_image(machine, assignment.image, job.spec().image_gb, true);
   }
   fleet_.assign(machine, entry.task, std::move(assignment));
@@ -181,7 +181,7 @@
     fleet_.touch_image(machine, assignment.image, job.spec().image_gb, true);
     machine.errors = 0;
     machine.error_jobs.clear();
-    if (job.gang()) return gangs_.done(job);
+    if (job.gang()) return gang_scheduler_.done(job);
     jobs_.task_done(job, index);
     jobs_.progress_changed(job, index);
     return;
--- a/src/core/reports.hpp
+++ b/src/core/failover/heartbeat_handler.hpp
@@ -2,11 +2,11 @@
 // "Delayed messages"; DESIGN: rebuild from reports). Owns nothing: joins the parts it changes.
 #pragma once
 
-#include "core/assignments.hpp"
-#include "core/contact.hpp"
-#include "core/gangs.hpp"
-#include "core/reckoning.hpp"
-#include "core/registry.hpp"
+#include "core/failover/assignments.hpp"
+#include "core/failover/reconciler.hpp"
+#include "core/machines/failure_detector.hpp"
+#include "core/machines/machine_registry.hpp"
+#include "core/scheduling/gang_scheduler.hpp"
 
 namespace violetpulley::core {
 
@@ -15,8 +15,8 @@
   HeartbeatHandler(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
                    Fleet& fleet, FailureDetector& contact, Jobs& jobs, Estimator& estimator,
                    const DeadlineForecaster& forecaster, Recovery& recovery, Reconciler& reconciler,
-                   Registry& registry, CommandDispatcher& orders, Assignments& assignments,
-                   Gangs& gangs, FencingToken token)
+                   MachineRegistry& registry, CommandDispatcher& commands, Assignments& assignments,
+                   GangScheduler& gangs, FencingToken token)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
@@ -28,20 +28,20 @@
         recovery_(recovery),
         reconciler_(reconciler),
         registry_(registry),
-        commands_(orders),
+        commands_(commands),
         assignments_(assignments),
-        gangs_(gangs),
+        gang_scheduler_(gangs),
         token_(token) {}
 
   // A report of the worker's own.
-  void report(const Heartbeat& report, TimePoint now) {
-    handle(report, HeartbeatSource::report, now);
+  void heartbeat(const Heartbeat& heartbeat, TimePoint now) {
+    handle(heartbeat, HeartbeatSource::heartbeat, now);
   }
   // `answer`: null if none came.
   void commands_answered(const MachineId& id, const Heartbeat* answer, TimePoint now);
 
  private:
-  void handle(const Heartbeat& report, HeartbeatSource said, TimePoint now);
+  void handle(const Heartbeat& heartbeat, HeartbeatSource said, TimePoint now);
   void update_assignment(Machine& machine, const TaskStatus& entry, TimePoint now);
   void handle_task_exit(Machine& machine, const TaskStatus& entry, TimePoint now);
   void adopt(Machine& machine, const TaskStatus& entry, TimePoint now);
@@ -58,10 +58,10 @@
   const DeadlineForecaster& forecaster_;
   Recovery& recovery_;
   Reconciler& reconciler_;
-  Registry& registry_;
+  MachineRegistry& registry_;
   CommandDispatcher& commands_;
   Assignments& assignments_;
-  Gangs& gangs_;
+  GangScheduler& gang_scheduler_;
   FencingToken token_;
 };
 
--- a/src/core/leadership.hpp
+++ b/src/core/failover/leadership.hpp
@@ -4,7 +4,7 @@
 // cancellation that any node has confirmed (docs/safety.md, "Leading is not being informed").
 #pragma once
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace violetpulley::core {
 
@@ -67,8 +67,8 @@
            now - last_proven_ < to_duration(serving_time());
   }
   // Earliest time at which an unconfirmed machine's lease has run out under any older leader.
-  TimePoint former_leases_end(TimePoint takeover) const {
-    return takeover + to_duration(serving_time() + times_.lease + 2 * margin_);
+  TimePoint former_leases_end(TimePoint elected_at) const {
+    return elected_at + to_duration(serving_time() + times_.lease + 2 * margin_);
   }
 
  private:
--- a/src/core/reckoning.cpp
+++ b/src/core/failover/reconciler.cpp
@@ -1,18 +1,18 @@
-#include "core/reckoning.hpp"
+#include "core/failover/reconciler.hpp"
 
 #include <algorithm>
 
-#include "core/gang_rooms.hpp"
-#include "core/scaler.hpp"
+#include "core/autoscaling/scaler.hpp"
+#include "core/scheduling/gang_reservations.hpp"
 
 namespace violetpulley::core {
 
 namespace {
-constexpr std::chrono::milliseconds kCostEvery{250};
+constexpr std::chrono::milliseconds kCostInterval{250};
 // Two asks and their answers' way; a first packet that is lost is sent again after a second.
-constexpr std::chrono::milliseconds kLeastPatience{1000};
+constexpr std::chrono::milliseconds kMinPatience{1000};
 // A higher token is a change, which a worker reports after half a second at most.
-constexpr std::chrono::milliseconds kSaysMore{1200};
+constexpr std::chrono::milliseconds kSecondHeartbeatDelay{1200};
 }  // namespace
 
 void Reconciler::begin() {
@@ -48,7 +48,7 @@
     queue_.pop_front();
     const auto* machine = fleet_.find(id);
     if (machine != nullptr && machine->last_heartbeat)
-      awaiting_second_heartbeat_.emplace_back(*machine->last_heartbeat + kSaysMore, id);
+      awaiting_second_heartbeat_.emplace_back(*machine->last_heartbeat + kSecondHeartbeatDelay, id);
     else
       due(id);
   }
@@ -86,7 +86,7 @@
 
 void Reconciler::judge(TimePoint now) {
   patience_exhausted_ = false;
-  if (!recovery_.recovering() || now - elected_at_ < kLeastPatience) return;
+  if (!recovery_.recovering() || now - elected_at_ < kMinPatience) return;
   struct Count {
     std::size_t up = 0;
     std::size_t silent = 0;
@@ -95,7 +95,7 @@
       return static_cast<double>(silent) <= static_cast<double>(up) * most;
     }
   };
-  const auto most = settings_.tuning.most_given_up;
+  const auto most = settings_.tuning.max_declared_dead_share;
   std::map<std::string, Count> zones;
   Count all;
   Seconds price{0};
@@ -114,12 +114,12 @@
 }
 
 void Reconciler::note_cost(TimePoint now) {
-  if (!recovery_.recovering() || (cost_noted_ && now - *cost_noted_ < kCostEvery)) return;
+  if (!recovery_.recovering() || (cost_noted_ && now - *cost_noted_ < kCostInterval)) return;
   const Seconds since = cost_noted_ ? Seconds(now - *cost_noted_) : Seconds(0);
   cost_noted_ = now;
   std::vector<const Machine*> open;
   for (const auto& [id, machine] : fleet_.all())
-    if (machine.free().cpus > 0 && starts_.placeable(machine, now)) open.push_back(&machine);
+    if (machine.free().cpus > 0 && task_starter_.placeable(machine, now)) open.push_back(&machine);
   ReconciliationCost more;
   Resources need;
   Seconds run{0};
--- a/src/core/reckoning.hpp
+++ b/src/core/failover/reconciler.hpp
@@ -6,7 +6,7 @@
 
 #include <deque>
 
-#include "core/starts.hpp"
+#include "core/dispatch/task_starter.hpp"
 
 namespace violetpulley::core {
 
@@ -47,16 +47,16 @@
 class Reconciler {
  public:
   Reconciler(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet,
-             const Jobs& jobs, const Recovery& recovery, CommandDispatcher& orders,
-             const Starts& starts, TimePoint takeover)
+             const Jobs& jobs, const Recovery& recovery, CommandDispatcher& commands,
+             const TaskStarter& starts, TimePoint elected_at)
       : settings_(settings),
         catalog_(catalog),
         fleet_(fleet),
         jobs_(jobs),
         recovery_(recovery),
-        commands_(orders),
-        starts_(starts),
-        elected_at_(takeover) {}
+        commands_(commands),
+        task_starter_(starts),
+        elected_at_(elected_at) {}
 
   // Puts the machines that Recovery waits for in the order in which they are asked: those first
   // that most tasks may be on.
@@ -66,16 +66,16 @@
   // which it is given time for: asking would double the work of a leader that has most of it now.
   void ask(TimePoint now);
 
-  // Looks at who is silent. Afterwards `gives_up` tells whether such a machine is waited for no
-  // longer: as soon as the wait has cost as much as returning all of them would, so that it never
-  // costs more than twice what the better of the two would have (ski rental).
+  // Looks at who is silent. Afterwards `unresponsive_too_long` tells whether such a machine is
+  // waited for no longer: as soon as the wait has cost as much as returning all of them would, so
+  // that it never costs more than twice what the better of the two would have (ski rental).
   void judge(TimePoint now);
   // It was asked more than once, and no answer came, while others' did. One that was not asked yet
   // is not silent, however long the takeover is ago.
   bool silent(const Machine& machine) const {
     return recovery_.is_unconfirmed(machine.id) && machine.unanswered_commands >= 2;
   }
-  bool gives_up(const Machine& machine) const {
+  bool unresponsive_too_long(const Machine& machine) const {
     return patience_exhausted_ && silent(machine) && responsive_zones_.contains(machine.zone);
   }
   // Every machine has answered or is silent: what is lacking now is lacking indeed.
@@ -107,7 +107,7 @@
   const Jobs& jobs_;
   const Recovery& recovery_;
   CommandDispatcher& commands_;
-  const Starts& starts_;
+  const TaskStarter& task_starter_;
   TimePoint elected_at_;
   std::deque<MachineId> queue_;
   std::deque<std::pair<TimePoint, MachineId>>
--- a/src/core/recovery.cpp
+++ b/src/core/failover/recovery.cpp
@@ -1,8 +1,8 @@
-#include "core/recovery.hpp"
+#include "core/failover/recovery.hpp"
 
 #include <algorithm>
 
-#include "core/scaler.hpp"
+#include "core/autoscaling/scaler.hpp"
 
 namespace violetpulley::core {
 
@@ -31,7 +31,7 @@
 // there at all: no leader ever starts a task where its job does not allow it.
 bool Recovery::blocked_on_reconciliation(const Job& job) const {
   if (!recovering_ || !job.from_former_leader) return false;
-  if (job.placed_known) {
+  if (job.placements_complete) {
     return std::any_of(job.waiting.begin(), job.waiting.end(),
                        [&](TaskIndex i) { return recorded_in_doubt(job, i); });
   }
@@ -49,13 +49,13 @@
 
 bool Recovery::held(const Job& job, TaskIndex index) const {
   if (!recovering_ || !job.from_former_leader) return false;
-  if (job.placed_known && !job.gang()) return recorded_in_doubt(job, index);
+  if (job.placements_complete && !job.gang()) return recorded_in_doubt(job, index);
   return blocked_on_reconciliation(job);
 }
 
 std::size_t Recovery::held(const Job& job) const {
   if (!recovering_ || !job.from_former_leader) return 0;
-  if (!job.placed_known || job.gang())
+  if (!job.placements_complete || job.gang())
     return blocked_on_reconciliation(job) ? job.waiting.size() : 0;
   return static_cast<std::size_t>(std::count_if(job.waiting.begin(), job.waiting.end(),
                                                 [&](TaskIndex i) { return held(job, i); }));
@@ -76,8 +76,8 @@
 
 // Live tasks of jobs that are unknown here take room and count for a team that is unknown.
 void Recovery::update_unknown_tasks(Machine& machine, TimePoint now) {
-  const bool foreign =
-      std::any_of(machine.reported.begin(), machine.reported.end(), [&](const TaskStatus& entry) {
+  const bool foreign = std::any_of(
+      machine.task_statuses.begin(), machine.task_statuses.end(), [&](const TaskStatus& entry) {
         return entry.state != TaskState::exited && !machine.tasks.contains(entry.task);
       });
   if (foreign)
--- a/src/core/recovery.hpp
+++ b/src/core/failover/recovery.hpp
@@ -7,8 +7,8 @@
 #include <algorithm>
 #include <set>
 
-#include "core/catalog.hpp"
-#include "core/job_table.hpp"
+#include "core/jobs/job.hpp"
+#include "core/model/catalog.hpp"
 #include "core/outbox.hpp"
 
 namespace violetpulley::core {
--- a/src/core/outlooks.cpp
+++ b/src/core/jobs/deadline_forecaster.cpp
@@ -1,10 +1,10 @@
-#include "core/outlooks.hpp"
+#include "core/jobs/deadline_forecaster.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "core/bins.hpp"
+#include "core/scheduling/run_time_bins.hpp"
 
 namespace violetpulley::core {
 
@@ -29,7 +29,7 @@
     if (lived + needed < within) best = std::min(best, within - lived);
   };
   if (spec.deadline) consider(*spec.deadline);
-  for (const auto& aim : settings_.aims)
+  for (const auto& aim : settings_.completion_objectives)
     if (aim.job_class == spec.job_class) consider(aim.within);
   return best;
 }
@@ -41,9 +41,10 @@
   const auto done = age(job, now) + estimate(spec);
   const bool late =
       spec.deadline &&
-      std::any_of(settings_.late_aims.begin(), settings_.late_aims.end(), [&](const LateAim& aim) {
-        return aim.job_class == spec.job_class && done < *spec.deadline * aim.times;
-      });
+      std::any_of(settings_.tardiness_objectives.begin(), settings_.tardiness_objectives.end(),
+                  [&](const TardinessObjective& aim) {
+                    return aim.job_class == spec.job_class && done < *spec.deadline * aim.times;
+                  });
   return late ? DeadlineForecast::late : DeadlineForecast::missed;
 }
 
--- a/src/core/outlooks.hpp
+++ b/src/core/jobs/deadline_forecaster.hpp
@@ -2,9 +2,9 @@
 // (paper 3.4, DESIGN), deadlines and the operators' aims. Owns nothing but the start's times.
 #pragma once
 
-#include "core/estimator.hpp"
-#include "core/job_table.hpp"
-#include "core/settings.hpp"
+#include "core/jobs/job.hpp"
+#include "core/jobs/run_time_estimator.hpp"
+#include "core/model/settings.hpp"
 
 namespace violetpulley::core {
 
@@ -14,8 +14,8 @@
 class DeadlineForecaster {
  public:
   DeadlineForecaster(const ControllerSettings& settings, const Estimator& estimator,
-                     TimePoint takeover)
-      : settings_(settings), estimator_(estimator), elected_at_(takeover) {}
+                     TimePoint elected_at)
+      : settings_(settings), estimator_(estimator), elected_at_(elected_at) {}
 
   Seconds estimate(const JobSpec& spec) const { return estimator_.estimate(spec); }
   Seconds estimate_left(const Job& job, TaskIndex index) const;
--- a/src/core/on_machines.hpp
+++ b/src/core/jobs/each_assignment.hpp
@@ -1,8 +1,8 @@
 // The tasks of a job that are, or may be, on machines.
 #pragma once
 
-#include "core/fleet.hpp"
-#include "core/job_table.hpp"
+#include "core/jobs/job.hpp"
+#include "core/machines/fleet.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/job_table.hpp
+++ b/src/core/jobs/job.hpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <unordered_map>
 
-#include "core/actions.hpp"
+#include "core/model/actions.hpp"
 
 namespace violetpulley::core {
 
@@ -45,10 +45,10 @@
   Attempt attempt = 0;  // of a gang whose tasks are on machines: they share it
   // Where each task was last started, as recorded or about to be; empty if nothing is recorded.
   std::vector<MachineId> placed;
-  bool placed_known = false;         // what an older leader recorded is all that there is
-  std::uint64_t placed_version = 0;  // of the newest record asked for
-  std::uint64_t placed_saved = 0;    // of the newest record that is committed
-  bool begun = false;                // a task of it has been on a machine
+  bool placements_complete = false;     // what an older leader recorded is all that there is
+  std::uint64_t placement_version = 0;  // of the newest record asked for
+  std::uint64_t committed_placement_version = 0;  // of the newest record that is committed
+  bool has_started = false;                       // a task of it has been on a machine
   // All of it has failed, on several machines: most likely it was submitted with a mistake. One
   // task at a time is tried, until one ends well.
   bool suspected = false;
@@ -58,8 +58,8 @@
   static void fields(S& s, F&& f) {
     f(s.record, s.from_former_leader, s.tasks, s.waiting, s.chunks_dirty, s.chunks_in_flight,
       s.chunks_stored, s.done, s.running, s.finishing, s.finish_retry, s.opened, s.failed_on,
-      s.failures, s.backoff_until, s.attempt, s.placed, s.placed_known, s.placed_version,
-      s.placed_saved, s.begun, s.suspected, s.pause, s.last_failure);
+      s.failures, s.backoff_until, s.attempt, s.placed, s.placements_complete, s.placement_version,
+      s.committed_placement_version, s.has_started, s.suspected, s.pause, s.last_failure);
   }
 
   Job() : Job(JobRecord{}) {}
@@ -89,7 +89,7 @@
   void set_assigned(TaskIndex index, const MachineId& machine) {
     auto& task = tasks[index];
     task.phase = Phase::assigned;
-    begun = true;
+    has_started = true;
     task.machine = machine;
     task.bound.clear();
     waiting.erase(index);
@@ -98,7 +98,7 @@
     auto& task = tasks[index];
     if (task.phase == Phase::done) return;
     task.phase = Phase::done;
-    begun = true;
+    has_started = true;
     task.machine.clear();
     task.bound.clear();
     waiting.erase(index);
--- a/src/core/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -1,4 +1,4 @@
-#include "core/jobs.hpp"
+#include "core/jobs/jobs.hpp"
 
 #include <algorithm>
 
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr std::chrono::milliseconds kPersistEvery{1000};
-constexpr std::size_t kMostPlacements = 400;  // tasks whose machines fit into one record
+constexpr std::size_t kMaxPlacements = 400;  // tasks whose machines fit into one record
 }  // namespace
 
 void Jobs::open(const JobRecord& record, TimePoint now) {
@@ -24,7 +24,7 @@
   if (auto chunks = job.chunks_written(); !chunks.empty() && !job.finishing)
     out_.push_back(DeleteProgress{id, std::move(chunks)});
   progress_dirty_.erase(id);
-  placed_dirty_.erase(id);
+  placements_dirty_.erase(id);
   complete_.erase(id);
   jobs_.erase(found);
   out_.want_placing();
@@ -50,11 +50,11 @@
 }
 
 void Jobs::restore_placements(const std::vector<PlacementRecord>& records) {
-  for (auto& [id, job] : jobs_) job.placed_known = job.records_starts();
+  for (auto& [id, job] : jobs_) job.placements_complete = job.records_starts();
   for (const auto& record : records) {
     const auto found = jobs_.find(record.job);
     if (found == jobs_.end() || !found->second.records_starts()) continue;
-    found->second.placed_known = record.known;
+    found->second.placements_complete = record.known;
     found->second.placed = record.machines;
   }
   mark_ = Mark::set;
@@ -120,16 +120,17 @@
   before_change(job);
   job.placed.resize(job.tasks.size());
   // The version counts batches: all starts until the next one is written share it.
-  if (placed_dirty_.insert(job.spec().id).second) ++job.placed_version;
+  if (placements_dirty_.insert(job.spec().id).second) ++job.placement_version;
   job.placed[index] = machine;
-  return job.placed_version;
+  return job.placement_version;
 }
 
 void Jobs::placements_saved(const JobId& id, std::uint64_t version) {
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return;
   before_change(found->second);
-  found->second.placed_saved = std::max(found->second.placed_saved, version);
+  found->second.committed_placement_version =
+      std::max(found->second.committed_placement_version, version);
 }
 
 void Jobs::persist_placements(bool all_accounted) {
@@ -141,16 +142,16 @@
         if (job.tasks[i].phase == Phase::assigned) record_start(job, i, job.tasks[i].machine);
     }
   }
-  for (const auto& id : placed_dirty_) {
+  for (const auto& id : placements_dirty_) {
     const auto& job = jobs_.at(id);
-    const bool known = job.placed.size() <= kMostPlacements;
+    const bool known = job.placed.size() <= kMaxPlacements;
     out_.push_back(SavePlacements{{id, known ? job.placed : std::vector<MachineId>{}, known},
-                                  job.placed_version});
+                                  job.placement_version});
   }
-  placed_dirty_.clear();
+  placements_dirty_.clear();
   if (mark_ != Mark::writing) return;
   const bool open = std::any_of(jobs_.begin(), jobs_.end(), [](const auto& entry) {
-    return entry.second.placed_saved < entry.second.placed_version;
+    return entry.second.committed_placement_version < entry.second.placement_version;
   });
   if (open) return;
   mark_ = Mark::set;
--- a/src/core/jobs.hpp
+++ b/src/core/jobs/jobs.hpp
@@ -5,7 +5,7 @@
 #include <functional>
 #include <set>
 
-#include "core/job_table.hpp"
+#include "core/jobs/job.hpp"
 #include "core/outbox.hpp"
 
 namespace violetpulley::core {
@@ -66,8 +66,8 @@
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.jobs_, s.progress_dirty_, s.complete_, s.broken_gangs_, s.last_persist_, s.placed_dirty_,
-      s.mark_);
+    f(s.jobs_, s.progress_dirty_, s.complete_, s.broken_gangs_, s.last_persist_,
+      s.placements_dirty_, s.mark_);
   }
 
  private:
@@ -79,7 +79,7 @@
   std::set<JobId> broken_gangs_;
   TimePoint last_persist_{};
   enum class Mark { none, writing, set };
-  std::set<JobId> placed_dirty_;
+  std::set<JobId> placements_dirty_;
   Mark mark_ = Mark::none;
   BeforeChange before_change_;
 };
--- a/src/core/estimator.hpp
+++ b/src/core/jobs/run_time_estimator.hpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <string>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/contact.cpp
+++ b/src/core/machines/failure_detector.cpp
@@ -1,8 +1,8 @@
-#include "core/contact.hpp"
+#include "core/machines/failure_detector.hpp"
 
 #include <algorithm>
 
-#include "core/orders.hpp"
+#include "core/dispatch/command_dispatcher.hpp"
 
 namespace violetpulley::core {
 
@@ -28,7 +28,7 @@
 // healthy machines were returned at the end of one).
 void FailureDetector::record_heartbeat(Machine& machine, HeartbeatSource said, TimePoint now) {
   fleet_.before_change(machine);
-  if (said == HeartbeatSource::report) {
+  if (said == HeartbeatSource::heartbeat) {
     machine.last_lease_renewal = last_lease_renewal_ = now;
     machine.outbound_partition_since.reset();
   }
@@ -93,27 +93,28 @@
 }
 
 // The time in which so many reports should have come.
-Duration FailureDetector::gap(double reports, Seconds least, Seconds most) const {
-  const auto each = settings_.workers.report / static_cast<double>(std::max<std::size_t>(1, up_));
-  return to_duration(std::clamp(each * reports, least, std::max(least, most)));
+Duration FailureDetector::gap(double heartbeats, Seconds least, Seconds most) const {
+  const auto each =
+      settings_.workers.heartbeat_interval / static_cast<double>(std::max<std::size_t>(1, up_));
+  return to_duration(std::clamp(each * heartbeats, least, std::max(least, most)));
 }
 
 // With nothing to tell, a healthy machine is quiet for as long as its reports may be apart.
 Duration FailureDetector::isolated_after() const {
   return to_duration(std::max(settings_.tuning.silent_after,
-                              settings_.workers.report * 1.25 + kCommandTravelTime));
+                              settings_.workers.heartbeat_interval * 1.25 + kCommandTravelTime));
 }
 
 // One report of a healthy machine may stay unanswered.
 Seconds FailureDetector::outbound_partition_after() const {
   return std::max(settings_.tuning.silent_after,
-                  settings_.workers.report * 1.25 + kNextControllerDelay);
+                  settings_.workers.heartbeat_interval * 1.25 + kNextControllerDelay);
 }
 
 // So many at once: it is rather this leader, or a cut.
 bool FailureDetector::many(std::size_t machines) const {
   return static_cast<double>(machines) >
-         std::max(1.0, static_cast<double>(up_) * settings_.tuning.most_given_up);
+         std::max(1.0, static_cast<double>(up_) * settings_.tuning.max_declared_dead_share);
 }
 
 bool FailureDetector::no_lease_renewals(TimePoint now) const {
@@ -129,7 +130,8 @@
   return (responsive_ * 2 >= up_ || up_ == 1) && !no_heartbeats(now);
 }
 
-bool FailureDetector::gives_up(const Machine& machine, Seconds boot, TimePoint now) const {
+bool FailureDetector::inbound_partition_expired(const Machine& machine, Seconds boot,
+                                                TimePoint now) const {
   if (!machine.unacknowledged_since || !machine.confirmed) return false;
   // One that says nothing either is silent, and judged as that.
   if (!machine.last_heartbeat ||
@@ -178,7 +180,8 @@
                             : to_duration(settings_.tuning.silent_after * 1.5);
   if (since(last_heartbeat_, now) > patience) return "no machine is heard from";
   if (last_heartbeat_ && unacknowledged_ >= std::min(kProbes, up_) &&
-      since(last_acknowledged_, now) > to_duration(settings_.workers.report + kProbeRetry))
+      since(last_acknowledged_, now) >
+          to_duration(settings_.workers.heartbeat_interval + kProbeRetry))
     return "its machines are heard, and none of them is reached";
   if (others && no_lease_renewals(now))
     return "its machines answer, and report to other controllers";
@@ -188,8 +191,8 @@
 std::vector<MachineId> FailureDetector::machines_to_probe(TimePoint now) const {
   std::vector<MachineId> probes;
   // A leader that hears no reports asks before it takes itself for deaf.
-  const bool due =
-      no_heartbeats(now) || since(last_acknowledged_, now) >= to_duration(settings_.workers.report);
+  const bool due = no_heartbeats(now) || since(last_acknowledged_, now) >=
+                                             to_duration(settings_.workers.heartbeat_interval);
   if (up_ < 2 || !due) return probes;
   for (const auto& [id, machine] : fleet_.all()) {
     if (!machine.up() || machine.releasing || !machine.confirmed || !machine.last_heartbeat)
--- a/src/core/contact.hpp
+++ b/src/core/machines/failure_detector.hpp
@@ -8,8 +8,8 @@
 // the leader itself is the one that is cut off.
 #pragma once
 
-#include "core/fleet.hpp"
-#include "core/settings.hpp"
+#include "core/machines/fleet.hpp"
+#include "core/model/settings.hpp"
 
 namespace violetpulley::core {
 
@@ -20,15 +20,15 @@
 }
 
 // What a worker says: in a report of its own, or in the answer to an order.
-enum class HeartbeatSource : std::uint8_t { report, answer };
+enum class HeartbeatSource : std::uint8_t { heartbeat, answer };
 
 class FailureDetector {
  public:
-  FailureDetector(const ControllerSettings& settings, Fleet& fleet, TimePoint takeover)
+  FailureDetector(const ControllerSettings& settings, Fleet& fleet, TimePoint elected_at)
       : settings_(settings),
         fleet_(fleet),
-        heartbeats_expected_since_(takeover),
-        renewals_expected_since_(takeover) {}
+        heartbeats_expected_since_(elected_at),
+        renewals_expected_since_(elected_at) {}
 
   // A report or an answer newer than all seen of this machine.
   void record_heartbeat(Machine& machine, HeartbeatSource said, TimePoint now);
@@ -58,7 +58,7 @@
   bool most_machines_responsive(TimePoint now) const;
   // It is heard, cannot be told anything, and is to be returned: tasks are stuck there and nothing
   // that runs there can end within its lease, or waiting has cost as much as another boot would.
-  bool gives_up(const Machine& machine, Seconds boot, TimePoint now) const;
+  bool inbound_partition_expired(const Machine& machine, Seconds boot, TimePoint now) const;
   // It answers orders, reports to nobody, so that all that starts there ends with each lease, and
   // is to be returned: nothing that runs there can end within its lease, and waiting has cost as
   // much as another boot would.
@@ -80,7 +80,7 @@
   // Since `last`, as far as anything could have been noticed; without it since we listen.
   Duration since(const std::optional<TimePoint>& last, TimePoint now) const;
   Duration since_renewed(const std::optional<TimePoint>& last, TimePoint now) const;
-  Duration gap(double reports, Seconds least, Seconds most) const;
+  Duration gap(double heartbeats, Seconds least, Seconds most) const;
   Duration isolated_after() const;
   Seconds outbound_partition_after() const;
   bool many(std::size_t machines) const;
--- a/src/core/fleet.cpp
+++ b/src/core/machines/fleet.cpp
@@ -1,4 +1,4 @@
-#include "core/fleet.hpp"
+#include "core/machines/fleet.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/fleet.hpp
+++ b/src/core/machines/fleet.hpp
@@ -6,8 +6,8 @@
 #include <set>
 #include <unordered_map>
 
-#include "core/bins.hpp"
-#include "core/types.hpp"
+#include "core/model/types.hpp"
+#include "core/scheduling/run_time_bins.hpp"
 
 namespace violetpulley::core {
 
@@ -82,7 +82,7 @@
   std::optional<TimePoint> notice_ends;
 
   std::map<TaskKey, Assignment> tasks;
-  std::vector<TaskStatus> reported;
+  std::vector<TaskStatus> task_statuses;
   std::vector<CachedImage> images;  // most recently used last
   bool images_changed = false;
 
@@ -116,12 +116,12 @@
   static void fields(S& s, F&& f) {
     f(s.id, s.endpoint, s.type, s.zone, s.spot, s.capacity, s.used, s.cache_gb, s.fetch_gb_per_s,
       s.price, s.epoch, s.heartbeat_sequence, s.confirmed, s.registered, s.registering, s.since,
-      s.up_since, s.last_heartbeat, s.notice_ends, s.tasks, s.reported, s.images, s.images_changed,
-      s.draining, s.quarantined, s.releasing, s.release_cause, s.release_retry, s.underused_since,
-      s.sparse_since, s.idle_since, s.reserved_for, s.errors, s.error_jobs, s.in_doubt_attempts,
-      s.starts_in_flight, s.commands_in_flight, s.unanswered_commands, s.next_commands_at,
-      s.commands_sent_at, s.last_acknowledged, s.unacknowledged_since, s.last_lease_renewal,
-      s.outbound_partition_since);
+      s.up_since, s.last_heartbeat, s.notice_ends, s.tasks, s.task_statuses, s.images,
+      s.images_changed, s.draining, s.quarantined, s.releasing, s.release_cause, s.release_retry,
+      s.underused_since, s.sparse_since, s.idle_since, s.reserved_for, s.errors, s.error_jobs,
+      s.in_doubt_attempts, s.starts_in_flight, s.commands_in_flight, s.unanswered_commands,
+      s.next_commands_at, s.commands_sent_at, s.last_acknowledged, s.unacknowledged_since,
+      s.last_lease_renewal, s.outbound_partition_since);
   }
 };
 
--- a/src/core/registry.cpp
+++ b/src/core/machines/machine_registry.cpp
@@ -1,4 +1,4 @@
-#include "core/registry.hpp"
+#include "core/machines/machine_registry.hpp"
 
 namespace violetpulley::core {
 
@@ -6,7 +6,7 @@
 constexpr std::size_t kRemembered = 20'000;  // names: about two megabytes
 }  // namespace
 
-void Registry::save(Machine& machine) {
+void MachineRegistry::save(Machine& machine) {
   MachineRecord record{machine.id, machine.endpoint, machine.type, machine.zone, machine.spot, {}};
   for (const auto& image : machine.images)
     if (image.present) record.images.emplace_back(image.name, image.gb);
@@ -16,7 +16,7 @@
   out_.push_back(SaveMachine{std::move(record), machine.registered});
 }
 
-void Registry::saved(const MachineId& id, bool with_endpoint, bool ok) {
+void MachineRegistry::saved(const MachineId& id, bool with_endpoint, bool ok) {
   auto* machine = fleet_.find(id);
   if (machine == nullptr) {
     if (ok) out_.push_back(DeleteMachine{id});
@@ -30,7 +30,7 @@
   out_.want_placing();
 }
 
-void Registry::released(const MachineId& id) {
+void MachineRegistry::released(const MachineId& id) {
   out_.push_back(DeleteMachine{id});
   if (!released_.insert(id).second) return;
   released_order_.push_back(id);
--- a/src/core/registry.hpp
+++ b/src/core/machines/machine_registry.hpp
@@ -5,14 +5,14 @@
 #include <deque>
 #include <set>
 
-#include "core/fleet.hpp"
+#include "core/machines/fleet.hpp"
 #include "core/outbox.hpp"
 
 namespace violetpulley::core {
 
-class Registry {
+class MachineRegistry {
  public:
-  Registry(Outbox& out, Fleet& fleet) : out_(out), fleet_(fleet) {}
+  MachineRegistry(Outbox& out, Fleet& fleet) : out_(out), fleet_(fleet) {}
 
   void save(Machine& machine);
   void saved(const MachineId& id, bool with_endpoint, bool ok);
--- a/src/core/machine_watch.cpp
+++ b/src/core/machines/machine_watch.cpp
@@ -1,11 +1,11 @@
-#include "core/machine_watch.hpp"
+#include "core/machines/machine_watch.hpp"
 
 #include <algorithm>
 
 namespace violetpulley::core {
 
 namespace {
-constexpr std::chrono::milliseconds kWatchEvery{500};
+constexpr std::chrono::milliseconds kWatchInterval{500};
 constexpr std::chrono::milliseconds kWatchIntervalWhileReconciling{200};
 constexpr std::chrono::seconds kReleaseRetry{3};
 constexpr std::size_t kMaxMachinesPerRelease = 100;  // PROTOCOL, POST /rentals/release
@@ -34,7 +34,8 @@
 }
 
 Seconds MachineWatch::boot_patience(const Machine& machine, double times) const {
-  return boot_of(machine) * (settings_.tuning.boot_late_factor * times) + settings_.workers.report;
+  return boot_of(machine) * (settings_.tuning.boot_late_factor * times) +
+         settings_.workers.heartbeat_interval;
 }
 
 // One that others pass never comes up, or so late that a new one is there sooner. Where several are
@@ -95,14 +96,15 @@
 }
 
 bool MachineWatch::watch(TimePoint now, bool serving, TimePoint proved) {
-  if (now - last_watch_ < (recovery_.recovering() ? kWatchIntervalWhileReconciling : kWatchEvery))
+  if (now - last_watch_ <
+      (recovery_.recovering() ? kWatchIntervalWhileReconciling : kWatchInterval))
     return false;
   last_watch_ = now;
   reconciler_.judge(now);
   failure_detector_.observe_fleet(now, serving);
   note_boots(now);
   const auto& tuning = settings_.tuning;
-  const bool most_responsive = failure_detector_.most_machines_responsive(now);
+  const bool fleet_responsive = failure_detector_.most_machines_responsive(now);
   out_.note_inspections(fleet_.all().size());
   int images_saved = 0;
   for (auto& [id, machine] : fleet_.all()) {
@@ -114,10 +116,10 @@
       const auto silent_after = recovery_.is_unconfirmed(id)
                                     ? std::min(tuning.silent_after, tuning.lost_after_failover)
                                     : tuning.silent_after;
-      if (most_responsive && reconciler_.gives_up(machine)) declare_dead(machine, now);
-      if (most_responsive && failure_detector_.gives_up(machine, boot_of(machine), now))
+      if (fleet_responsive && reconciler_.unresponsive_too_long(machine)) declare_dead(machine, now);
+      if (fleet_responsive && failure_detector_.inbound_partition_expired(machine, boot_of(machine), now))
         request_release(machine, "out of reach", now);
-      if (most_responsive &&
+      if (fleet_responsive &&
           failure_detector_.outbound_partition_expired(machine, boot_of(machine), now))
         request_release(machine, "not reporting", now);
       if (silence > silent_after) {
@@ -129,14 +131,14 @@
         // After a takeover most of 2,000 machines had not been asked yet when their time was over,
         // and a quarter of a healthy fleet was returned (docs/incidents/overload.md).
         const bool asked = !recovery_.is_unconfirmed(id) || reconciler_.silent(machine);
-        if (most_responsive && silence > (asked ? patience : patience + tuning.lost_after))
+        if (fleet_responsive && silence > (asked ? patience : patience + tuning.lost_after))
           declare_dead(machine, now);
         // The lease of a machine that answers nothing has run out, and its tasks with it, unless a
         // newer leader renews it: one that is cut off and does not know yet that it was followed
         // would start them again (seed 1684 of the simulation). So nobody else may have led by the
         // time at which the lease ends.
         if (machine.confirmed && proved - last > to_duration(recovery_.full_lease()) &&
-            !(machine.tasks.empty() && machine.reported.empty())) {
+            !(machine.tasks.empty() && machine.task_statuses.empty())) {
           // One that hangs has not run its lease out by itself.
           if (CommandDispatcher::holds_cancelled_task(machine))
             request_release(machine, "silent with cancelled work", now);
--- a/src/core/machine_watch.hpp
+++ b/src/core/machines/machine_watch.hpp
@@ -2,31 +2,31 @@
 // "Controller nodes -> cloud"; DESIGN, "Expected trouble"). Owns when it last looked.
 #pragma once
 
-#include "core/assignments.hpp"
-#include "core/contact.hpp"
-#include "core/orders.hpp"
-#include "core/reckoning.hpp"
-#include "core/registry.hpp"
+#include "core/dispatch/command_dispatcher.hpp"
+#include "core/failover/assignments.hpp"
+#include "core/failover/reconciler.hpp"
+#include "core/machines/failure_detector.hpp"
+#include "core/machines/machine_registry.hpp"
 
 namespace violetpulley::core {
 
 class MachineWatch {
  public:
   MachineWatch(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
-               Fleet& fleet, FailureDetector& contact, CommandDispatcher& orders,
+               Fleet& fleet, FailureDetector& contact, CommandDispatcher& commands,
                Recovery& recovery, Reconciler& reconciler, Assignments& assignments,
-               Registry& registry, TimePoint takeover)
+               MachineRegistry& registry, TimePoint elected_at)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
         fleet_(fleet),
         failure_detector_(contact),
-        commands_(orders),
+        commands_(commands),
         recovery_(recovery),
         reconciler_(reconciler),
         assignments_(assignments),
         registry_(registry),
-        elected_at_(takeover) {}
+        elected_at_(elected_at) {}
 
   // Looks at all machines when that is due, and tells whether it was.
   // `serving`: reports are taken in. `proved`: nobody else led by then.
@@ -63,7 +63,7 @@
   Recovery& recovery_;
   Reconciler& reconciler_;
   Assignments& assignments_;
-  Registry& registry_;
+  MachineRegistry& registry_;
   TimePoint elected_at_;
   TimePoint last_watch_{};
   TimePoint last_release_{};
--- a/src/core/actions.hpp
+++ b/src/core/model/actions.hpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <variant>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/catalog.hpp
+++ b/src/core/model/catalog.hpp
@@ -4,9 +4,9 @@
 
 #include <map>
 
-#include "core/fleet.hpp"
-#include "core/prices.hpp"
-#include "core/settings.hpp"
+#include "core/machines/fleet.hpp"
+#include "core/model/price_rules.hpp"
+#include "core/model/settings.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/beliefs.hpp
+++ b/src/core/model/learned_state.hpp
@@ -3,7 +3,7 @@
 // on a machine, and a wrong or missing belief costs time, never a rule (docs/safety.md, "Beliefs").
 #pragma once
 
-#include "core/estimator.hpp"
+#include "core/jobs/run_time_estimator.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/limits.hpp
+++ b/src/core/model/limits.hpp
@@ -3,7 +3,7 @@
 
 #include <limits>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/settings.hpp
+++ b/src/core/model/settings.hpp
@@ -2,9 +2,9 @@
 // what a takeover reads from the state service.
 #pragma once
 
-#include "core/actions.hpp"
-#include "core/beliefs.hpp"
-#include "core/sockets.hpp"
+#include "core/dispatch/socket_budget.hpp"
+#include "core/model/actions.hpp"
+#include "core/model/learned_state.hpp"
 
 namespace violetpulley::core {
 
@@ -12,7 +12,7 @@
 inline constexpr double kScaleInCallShare = 0.5;    // both rarely want all of theirs at once
 
 // The operators' aim for a class of jobs: done within this time after submission.
-struct FinishAim {
+struct CompletionObjective {
   std::string job_class;
   Seconds within{0};
 
@@ -23,7 +23,7 @@
 };
 
 // Done within this many times the job's deadline.
-struct LateAim {
+struct TardinessObjective {
   std::string job_class;
   double times = 1;
 
@@ -39,8 +39,8 @@
   Tuning tuning;
   double cloud_calls_per_s = 1;  // for rentals and returns
   Seconds list_lag{10};
-  std::vector<FinishAim> aims;
-  std::vector<LateAim> late_aims;
+  std::vector<CompletionObjective> completion_objectives;
+  std::vector<TardinessObjective> tardiness_objectives;
   WallTime wall_at_start{};  // the time of day that belongs to the start's steady time
   // Off for one that gave up for that lately: if the others heard nothing either, the machines are
   // gone, and somebody has to wait until their leases have run out.
@@ -49,8 +49,8 @@
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.teams, s.workers, s.tuning, s.cloud_calls_per_s, s.list_lag, s.aims, s.late_aims,
-      s.wall_at_start, s.resigns_when_isolated, s.sockets);
+    f(s.teams, s.workers, s.tuning, s.cloud_calls_per_s, s.list_lag, s.completion_objectives,
+      s.tardiness_objectives, s.wall_at_start, s.resigns_when_isolated, s.sockets);
   }
 };
 
--- a/src/core/types.hpp
+++ b/src/core/model/types.hpp
@@ -218,14 +218,14 @@
 
 // What the platform's settings file says about workers and the services around us.
 struct WorkerTimes {
-  Seconds report{3};
+  Seconds heartbeat_interval{3};
   Seconds lease{27};
   Seconds cancel{47};
   Seconds gang_wait{35};
   Seconds gang_peer{4};
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.report, s.lease, s.cancel, s.gang_wait, s.gang_peer);
+    f(s.heartbeat_interval, s.lease, s.cancel, s.gang_wait, s.gang_peer);
   }
 };
 
@@ -248,7 +248,7 @@
   Seconds on_demand_idle_wait{10};
   bool commit_starts = false;              // of gangs and services, before they are sent
   std::size_t max_commands_in_flight = 0;  // order lists under way; 0: as the sockets allow
-  double most_given_up = 0.25;             // of the machines, returned early after a takeover
+  double max_declared_dead_share = 0.25;   // of the machines, returned early after a takeover
   double still_alive = 0.1;                // of machines that two asks did not reach
   Seconds begin_within{240};               // the operators' word for every job, the largest too
   template <class S, class F>
@@ -256,7 +256,7 @@
     f(s.bin_unit, s.round, s.quick_round, s.consolidation_wait, s.consolidation_threshold,
       s.idle_wait, s.boot_late_factor, s.refused_cooldown, s.silent_after, s.lost_after,
       s.lost_after_failover, s.bound_tasks_may_move, s.quarantine_errors, s.on_demand_patience,
-      s.on_demand_idle_wait, s.commit_starts, s.max_commands_in_flight, s.most_given_up,
+      s.on_demand_idle_wait, s.commit_starts, s.max_commands_in_flight, s.max_declared_dead_share,
       s.still_alive, s.begin_within);
   }
 };
--- a/src/core/outbox.hpp
+++ b/src/core/outbox.hpp
@@ -4,7 +4,7 @@
 
 #include <utility>
 
-#include "core/actions.hpp"
+#include "core/model/actions.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/packer.cpp
+++ b/src/core/scheduling/bin_packer.cpp
@@ -1,9 +1,9 @@
-#include "core/packer.hpp"
+#include "core/scheduling/bin_packer.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/prices.hpp"
+#include "core/model/price_rules.hpp"
 
 namespace violetpulley::core {
 
@@ -19,41 +19,41 @@
   return 0;
 }
 
-void Packer::refresh(Offer& offer) {
+void BinPacker::refresh(Offer& offer) {
   offer.remaining = offer.machine->remaining(now_);
   offer.bin = bin_of(offer.remaining, unit_);
 }
 
-void Packer::offer(Machine& machine) {
+void BinPacker::offer(Machine& machine) {
   offers_.push_back({&machine, {}, 0});
   refresh(offers_.back());
   if (machine.capacity.cpus > 0 && machine.price > 0)
     cheapest_per_cpu_ = std::min(cheapest_per_cpu_, machine.price / machine.capacity.cpus);
 }
 
-void Packer::placed(Machine& machine) {
+void BinPacker::placed(Machine& machine) {
   for (auto& offer : offers_)
     if (offer.machine == &machine) refresh(offer);
 }
 
-bool Packer::expensive_per_cpu(const Machine& machine) const {
+bool BinPacker::expensive_per_cpu(const Machine& machine) const {
   return machine.capacity.cpus > 0 &&
          is_expensive(machine.price / machine.capacity.cpus, cheapest_per_cpu_);
 }
 
-Packer::Choices::Choices(Packer& packer, const JobSpec& spec, Seconds estimate)
+BinPacker::Choices::Choices(BinPacker& packer, const JobSpec& spec, Seconds estimate)
     : packer_(packer), spec_(spec), estimate_(estimate) {}
 
-Packer::Choices Packer::choices(const JobSpec& spec, Seconds estimate,
-                                const std::function<bool(const Machine&)>& may_use,
-                                int least_rank) {
+BinPacker::Choices BinPacker::choices(const JobSpec& spec, Seconds estimate,
+                                      const std::function<bool(const Machine&)>& may_use,
+                                      int min_rank) {
   Choices out(*this, spec, estimate);
   inspections_ += offers_.size();
   for (std::size_t i = 0; i < offers_.size(); ++i) {
     const auto& machine = *offers_[i].machine;
     if (!spec.per_task.fits_in(machine.free())) continue;
     const int rank = image_rank(machine, spec.image);
-    if (rank < least_rank || !may_use(machine)) continue;
+    if (rank < min_rank || !may_use(machine)) continue;
     Choices::Entry entry;
     entry.offer = i;
     entry.image_rank = rank;
@@ -66,14 +66,14 @@
 }
 
 // Order of bins: own, then greater (nearest first), then lesser (nearest first).
-void Packer::Choices::place_in_order(Entry& entry) const {
+void BinPacker::Choices::place_in_order(Entry& entry) const {
   const int own = bin_of(estimate_, packer_.unit_);
   const int bin = packer_.offers_[entry.offer].bin;
   entry.own_bin = bin == own;
   entry.bin_order = bin >= own ? bin - own : 1000 + (own - bin);
 }
 
-bool Packer::Choices::better(const Entry& a, const Entry& b) const {
+bool BinPacker::Choices::better(const Entry& a, const Entry& b) const {
   // Exception to the design: machines that hold the image come before those that must fetch it,
   // since a fetch takes as long as much of the work (docs/design.md, "Images").
   if (a.image_rank != b.image_rank) return a.image_rank > b.image_rank;
@@ -92,7 +92,7 @@
   return free_capacity(*x.machine) > free_capacity(*y.machine);
 }
 
-Machine* Packer::Choices::best() {
+Machine* BinPacker::Choices::best() {
   packer_.inspections_ += entries_.size();
   constexpr auto kNone = std::numeric_limits<std::size_t>::max();
   auto best = kNone;
@@ -108,7 +108,7 @@
   return best == kNone ? nullptr : packer_.offers_[entries_[best].offer].machine;
 }
 
-void Packer::Choices::placed(Machine& machine) {
+void BinPacker::Choices::placed(Machine& machine) {
   for (auto& entry : entries_) {
     auto& offer = packer_.offers_[entry.offer];
     if (offer.machine != &machine) continue;
--- a/src/core/packer.hpp
+++ b/src/core/scheduling/bin_packer.hpp
@@ -5,13 +5,13 @@
 #include <functional>
 #include <limits>
 
-#include "core/fleet.hpp"
+#include "core/machines/fleet.hpp"
 
 namespace violetpulley::core {
 
-class Packer {
+class BinPacker {
  public:
-  Packer(Seconds bin_unit, TimePoint now) : unit_(bin_unit), now_(now) {}
+  BinPacker(Seconds bin_unit, TimePoint now) : unit_(bin_unit), now_(now) {}
 
   // A machine that may take tasks in this round.
   void offer(Machine& machine);
@@ -28,7 +28,7 @@
     void placed(Machine& machine);
 
    private:
-    friend class Packer;
+    friend class BinPacker;
     struct Entry {
       std::size_t offer = 0;
       int image_rank = 0;
@@ -37,20 +37,20 @@
       bool expensive = false;
       bool breaks_whole = false;  // it is empty, and kept so while there is other room
     };
-    Choices(Packer& packer, const JobSpec& spec, Seconds estimate);
+    Choices(BinPacker& packer, const JobSpec& spec, Seconds estimate);
     void place_in_order(Entry& entry) const;
     bool better(const Entry& a, const Entry& b) const;
 
-    Packer& packer_;
+    BinPacker& packer_;
     const JobSpec& spec_;
     Seconds estimate_;
     std::vector<Entry> entries_;
   };
 
-  // `may_use` filters by place, kind and reservations. `least_rank`: how much of the image a
+  // `may_use` filters by place, kind and reservations. `min_rank`: how much of the image a
   // machine must hold at least (see image_rank).
   Choices choices(const JobSpec& spec, Seconds estimate,
-                  const std::function<bool(const Machine&)>& may_use, int least_rank = 0);
+                  const std::function<bool(const Machine&)>& may_use, int min_rank = 0);
 
   // A task was placed outside of any choices.
   void placed(Machine& machine);
--- a/src/core/queue.hpp
+++ b/src/core/scheduling/candidate.hpp
@@ -2,7 +2,7 @@
 // queue"). Values only, made anew each round.
 #pragma once
 
-#include "core/outlooks.hpp"
+#include "core/jobs/deadline_forecaster.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/gang_rooms.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -1,4 +1,4 @@
-#include "core/gang_rooms.hpp"
+#include "core/scheduling/gang_reservations.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/gang_rooms.hpp
+++ b/src/core/scheduling/gang_reservations.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <set>
 
-#include "core/fleet.hpp"
+#include "core/machines/fleet.hpp"
 
 namespace violetpulley::core {
 
--- a/src/core/gangs.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -1,11 +1,11 @@
-#include "core/gangs.hpp"
+#include "core/scheduling/gang_scheduler.hpp"
 
 #include <algorithm>
 #include <tuple>
 
-#include "core/limits.hpp"
-#include "core/on_machines.hpp"
-#include "core/packer.hpp"
+#include "core/jobs/each_assignment.hpp"
+#include "core/model/limits.hpp"
+#include "core/scheduling/bin_packer.hpp"
 
 namespace violetpulley::core {
 
@@ -21,7 +21,7 @@
 }  // namespace
 
 // The zones that a gang may collect in: one of them if it has to be together, else any.
-std::vector<std::string> Gangs::regions(const JobSpec& spec) const {
+std::vector<std::string> GangScheduler::regions(const JobSpec& spec) const {
   if (spec.zone) return {*spec.zone};
   if (!spec.same_zone) return {""};
   std::set<std::string> zones;
@@ -33,9 +33,10 @@
 
 // Places for the gang's tasks on machines that could take them now, best first, at most as many
 // as it needs.
-std::vector<Gangs::GangPlace> Gangs::places_for(const Job& job, const std::string& region,
-                                                const std::vector<Machine*>& open,
-                                                TimePoint now) const {
+std::vector<GangScheduler::GangPlace> GangScheduler::places_for(const Job& job,
+                                                                const std::string& region,
+                                                                const std::vector<Machine*>& open,
+                                                                TimePoint now) const {
   const auto& spec = job.spec();
   std::vector<GangPlace> found;
   for (auto* machine : open) {
@@ -65,29 +66,31 @@
   return out;
 }
 
-TaskIndex Gangs::total(const std::vector<GangPlace>& places) {
+TaskIndex GangScheduler::total(const std::vector<GangPlace>& places) {
   TaskIndex sum = 0;
   for (const auto& place : places) sum += place.tasks;
   return sum;
 }
 
-void Gangs::place(const Candidate& candidate, const std::vector<Machine*>& open, TimePoint now) {
+void GangScheduler::place(const Candidate& candidate, const std::vector<Machine*>& open,
+                          TimePoint now) {
   auto& job = *candidate.job;
   const auto& spec = job.spec();
   // Every machine that it may be on is accounted for: what is not seen of it is lost.
   if (job.waiting.size() < job.tasks.size()) jobs_.note_broken(spec.id);
-  if (!starts_.within_limit(spec, job.waiting.size())) return reservations_.close(fleet_, spec.id);
+  if (!task_starter_.within_limit(spec, job.waiting.size()))
+    return reservations_.close(fleet_, spec.id);
   if (job.waiting.size() == job.tasks.size()) {
     std::vector<GangPlace> best;
-    TaskIndex most_holders = 0;
+    TaskIndex max_holders = 0;
     for (const auto& region : regions(spec)) {
       auto places = places_for(job, region, open, now);
       if (total(places) < spec.tasks) continue;
       TaskIndex holders = 0;
       for (const auto& place : places) holders += place.image_rank == 2 ? place.tasks : 0;
-      if (!best.empty() && holders <= most_holders) continue;
+      if (!best.empty() && holders <= max_holders) continue;
       best = std::move(places);
-      most_holders = holders;
+      max_holders = holders;
     }
     if (!best.empty() && start(job, best, now)) return reservations_.close(fleet_, spec.id);
   }
@@ -96,25 +99,26 @@
 
 // Starts all tasks or none. Everything is checked for the whole gang before the first start, and
 // for each task again where it is made.
-bool Gangs::start(Job& job, const std::vector<GangPlace>& places, TimePoint now) {
+bool GangScheduler::start(Job& job, const std::vector<GangPlace>& places, TimePoint now) {
   const auto& spec = job.spec();
-  if (job.waiting.size() != job.tasks.size() || !starts_.within_limit(spec, job.waiting.size()))
+  if (job.waiting.size() != job.tasks.size() ||
+      !task_starter_.within_limit(spec, job.waiting.size()))
     return false;
   ZoneUse zones;
   for (const auto& place : places) {
     zones[place.machine->zone] += place.tasks;
     const auto whole = spec.per_task * static_cast<double>(place.tasks);
-    if (!starts_.placeable(*place.machine, now) || !whole.fits_in(place.machine->free()))
+    if (!task_starter_.placeable(*place.machine, now) || !whole.fits_in(place.machine->free()))
       return false;
   }
   if (spec.same_zone && zones.size() > 1) return false;
   for (const auto& [zone, count] : zones)
     if (count > max_tasks_in_zone(spec)) return false;
-  const auto attempt = starts_.next_attempt();
+  const auto attempt = task_starter_.next_attempt();
   TaskIndex index = 0;
   for (const auto& place : places)
     for (TaskIndex n = 0; n < place.tasks; ++n, ++index)
-      if (!starts_.start(job, index, *place.machine, attempt, now)) {
+      if (!task_starter_.start(job, index, *place.machine, attempt, now)) {
         jobs_.note_broken(spec.id);
         return false;
       }
@@ -123,11 +127,11 @@
   return true;
 }
 
-bool Gangs::counts(const Machine& machine, TimePoint now) const {
+bool GangScheduler::counts(const Machine& machine, TimePoint now) const {
   if (machine.releasing || machine.draining || machine.quarantined || machine.notice_ends)
     return false;
   if (machine.up())
-    return starts_.placeable(machine, now) ||
+    return task_starter_.placeable(machine, now) ||
            (!machine.registered && now - machine.up_since.value_or(now) < kRegisters);
   const auto type = catalog_.types().find(machine.type);
   if (type == catalog_.types().end()) return false;
@@ -136,8 +140,9 @@
 
 // Where a gang should collect: best where it finds enough at once, then where machines can be
 // rented, then by how much is free. None if another gang is short wherever it could.
-std::optional<std::string> Gangs::choose_region(const Job& job, const std::vector<Machine*>& open,
-                                                TimePoint now) const {
+std::optional<std::string> GangScheduler::choose_region(const Job& job,
+                                                        const std::vector<Machine*>& open,
+                                                        TimePoint now) const {
   const auto& spec = job.spec();
   std::optional<std::string> best;
   std::tuple<bool, bool, TaskIndex> best_score{};
@@ -153,7 +158,7 @@
   return best;
 }
 
-void Gangs::collect(Job& job, const std::vector<Machine*>& open, TimePoint now) {
+void GangScheduler::collect(Job& job, const std::vector<Machine*>& open, TimePoint now) {
   const auto& spec = job.spec();
   auto* room = reservations_.find(spec.id);
   // Others wait beside what it keeps: if it gets nothing more, they have a turn.
@@ -197,7 +202,7 @@
   for (const auto& task : job.tasks)
     if (task.phase == Phase::assigned)
       if (const auto* machine = fleet_.find(task.machine);
-          machine != nullptr && starts_.placeable(*machine, now) &&
+          machine != nullptr && task_starter_.placeable(*machine, now) &&
           (room->region.empty() || room->region == machine->zone))
         add(machine->zone, 1);
   const auto covered = [&] {
@@ -227,8 +232,8 @@
 
 // The gang is one group over several machines: scored whole on type, zone and kind, and rented in
 // as few calls as can be.
-void Gangs::add_scale_out_groups(const std::vector<Candidate>& queue, ScaleOutPlan& chosen,
-                                 TimePoint now) {
+void GangScheduler::add_scale_out_groups(const std::vector<Candidate>& queue, ScaleOutPlan& chosen,
+                                         TimePoint now) {
   const auto options = offerings_.options(now);
   for (const auto& candidate : queue) {
     if (!candidate.job->gang()) continue;
@@ -271,7 +276,7 @@
 
 // All tasks of a gang that has lost one must be proven gone before it starts anew: those that have
 // not noticed are stopped. What saves is left to it.
-void Gangs::restart_broken(TimePoint now) {
+void GangScheduler::restart_broken(TimePoint now) {
   for (const auto& id : jobs_.take_broken()) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end()) continue;
@@ -285,7 +290,7 @@
 }
 
 // One task that is done proves that all are, also those on machines that died since.
-void Gangs::done(Job& job) {
+void GangScheduler::done(Job& job) {
   for (TaskIndex i = 0; i < job.tasks.size(); ++i) {
     jobs_.task_done(job, i);
     if (i % kProgressChunk == 0) jobs_.progress_changed(job, i);
@@ -293,19 +298,19 @@
   reservations_.close(fleet_, job.spec().id);
 }
 
-void Gangs::asked(const JobId& gang, TaskIndex places) {
+void GangScheduler::asked(const JobId& gang, TaskIndex places) {
   auto* room = reservations_.find(gang);
   if (room == nullptr) return;
   room->asked += places;
   room->missing -= std::min(room->missing, places);
 }
 
-void Gangs::answered(const JobId& gang, TaskIndex places) {
+void GangScheduler::answered(const JobId& gang, TaskIndex places) {
   if (auto* room = reservations_.find(gang)) room->asked -= std::min(room->asked, places);
 }
 
 // A gang that has moved on leaves its machine to anyone.
-void Gangs::rented(const JobId& gang, Machine& machine) {
+void GangScheduler::granted(const JobId& gang, Machine& machine) {
   const auto* room = reservations_.find(gang);
   if (room != nullptr && machine.reserved_for.empty() && machine.tasks.empty() &&
       (room->region.empty() || room->region == machine.zone))
--- a/src/core/gangs.hpp
+++ b/src/core/scheduling/gang_scheduler.hpp
@@ -3,24 +3,25 @@
 // Owns the machines that gangs collect; decides where each collects, starts and what it rents.
 #pragma once
 
-#include "core/market.hpp"
-#include "core/preemption.hpp"
-#include "core/rental_groups.hpp"
+#include "core/autoscaling/instance_offerings.hpp"
+#include "core/autoscaling/scale_out_groups.hpp"
+#include "core/scheduling/preemption.hpp"
 
 namespace violetpulley::core {
 
-class Gangs {
+class GangScheduler {
  public:
-  Gangs(const ControllerSettings& settings, Outbox& out, const Catalog& catalog, Fleet& fleet,
-        Jobs& jobs, CommandDispatcher& orders, Starts& starts, const DeadlineForecaster& forecaster,
-        const InstanceOfferings& offerings, const Bindings& bindings, Preemption& preemption)
+  GangScheduler(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
+                Fleet& fleet, Jobs& jobs, CommandDispatcher& commands, TaskStarter& starts,
+                const DeadlineForecaster& forecaster, const InstanceOfferings& offerings,
+                const TaskBindings& bindings, Preemption& preemption)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
         fleet_(fleet),
         jobs_(jobs),
-        commands_(orders),
-        starts_(starts),
+        commands_(commands),
+        task_starter_(starts),
         forecaster_(forecaster),
         offerings_(offerings),
         bindings_(bindings),
@@ -41,7 +42,7 @@
   // Places of a gang are being rented, and what came of it: the machine, or none.
   void asked(const JobId& gang, TaskIndex places);
   void answered(const JobId& gang, TaskIndex places);
-  void rented(const JobId& gang, Machine& machine);
+  void granted(const JobId& gang, Machine& machine);
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -70,10 +71,10 @@
   Fleet& fleet_;
   Jobs& jobs_;
   CommandDispatcher& commands_;
-  Starts& starts_;
+  TaskStarter& task_starter_;
   const DeadlineForecaster& forecaster_;
   const InstanceOfferings& offerings_;
-  const Bindings& bindings_;
+  const TaskBindings& bindings_;
   Preemption& preemption_;
   GangReservations reservations_;
 };
--- a/src/core/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -1,9 +1,9 @@
-#include "core/preemption.hpp"
+#include "core/scheduling/preemption.hpp"
 
 #include <algorithm>
 
-#include "core/packer.hpp"
-#include "core/scaler.hpp"
+#include "core/autoscaling/scaler.hpp"
+#include "core/scheduling/bin_packer.hpp"
 
 namespace violetpulley::core {
 
@@ -30,7 +30,7 @@
 void Preemption::preempt_for_services(const std::vector<Candidate>& queue, TimePoint now) {
   TaskIndex needed = 0;
   for (const auto& candidate : queue)
-    if (candidate.job->service()) needed += starts_.startable(*candidate.job);
+    if (candidate.job->service()) needed += task_starter_.startable(*candidate.job);
   if (needed == 0) return;
   struct Victim {
     Machine* machine;
@@ -40,7 +40,7 @@
   std::vector<Victim> victims;
   TaskIndex coming = 0;
   for (auto& [id, machine] : fleet_.all()) {
-    if (!starts_.placeable(machine, now) || !machine.reserved_for.empty()) continue;
+    if (!task_starter_.placeable(machine, now) || !machine.reserved_for.empty()) continue;
     for (const auto& [key, assignment] : machine.tasks) {
       if (assignment.preempted && assignment.stop) ++coming;
       if (preemptible(key, assignment, Priority::production))
@@ -53,9 +53,9 @@
   for (const auto& candidate : queue) {
     const auto& job = *candidate.job;
     const auto& spec = job.spec();
-    if (!job.service() || !starts_.within_limit(spec)) continue;
-    auto zones = starts_.zone_use(job);
-    auto wanted = starts_.startable(job);
+    if (!job.service() || !task_starter_.within_limit(spec)) continue;
+    auto zones = task_starter_.zone_use(job);
+    auto wanted = task_starter_.startable(job);
     const auto spared = std::min(wanted, coming);  // room that is coming already
     wanted -= spared;
     coming -= spared;
@@ -94,7 +94,8 @@
   std::vector<Place> places;
   for (auto& [id, machine] : fleet_.all()) {
     if (!room.region.empty() && machine.zone != room.region) continue;
-    if (!starts_.placeable(machine, now) || !machine.reserved_for.empty() || machine.tasks.empty())
+    if (!task_starter_.placeable(machine, now) || !machine.reserved_for.empty() ||
+        machine.tasks.empty())
       continue;
     if (bindings_.holds(id) || job.avoids(id, now)) continue;
     if (!allowed_on(spec, machine.type, machine.zone, machine.spot)) continue;
--- a/src/core/preemption.hpp
+++ b/src/core/scheduling/preemption.hpp
@@ -3,23 +3,23 @@
 // as for clearing, and what loses least goes first.
 #pragma once
 
-#include "core/bindings.hpp"
-#include "core/gang_rooms.hpp"
-#include "core/queue.hpp"
-#include "core/starts.hpp"
+#include "core/dispatch/task_starter.hpp"
+#include "core/scheduling/candidate.hpp"
+#include "core/scheduling/gang_reservations.hpp"
+#include "core/scheduling/task_bindings.hpp"
 
 namespace violetpulley::core {
 
 class Preemption {
  public:
   Preemption(const ControllerSettings& settings, Outbox& out, Fleet& fleet, Jobs& jobs,
-             CommandDispatcher& orders, const Starts& starts, const Bindings& bindings)
+             CommandDispatcher& commands, const TaskStarter& starts, const TaskBindings& bindings)
       : settings_(settings),
         out_(out),
         fleet_(fleet),
         jobs_(jobs),
-        commands_(orders),
-        starts_(starts),
+        commands_(commands),
+        task_starter_(starts),
         bindings_(bindings) {}
 
   void preempt_for_services(const std::vector<Candidate>& queue, TimePoint now);
@@ -35,8 +35,8 @@
   Fleet& fleet_;
   Jobs& jobs_;
   CommandDispatcher& commands_;
-  const Starts& starts_;
-  const Bindings& bindings_;
+  const TaskStarter& task_starter_;
+  const TaskBindings& bindings_;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/replicas.cpp
+++ b/src/core/scheduling/replica_consolidation.cpp
@@ -1,11 +1,11 @@
-#include "core/replicas.hpp"
+#include "core/scheduling/replica_consolidation.hpp"
 
 #include <algorithm>
 
-#include "core/clearing.hpp"
-#include "core/limits.hpp"
-#include "core/packer.hpp"
-#include "core/scaler.hpp"
+#include "core/autoscaling/consolidation_rules.hpp"
+#include "core/autoscaling/scaler.hpp"
+#include "core/model/limits.hpp"
+#include "core/scheduling/bin_packer.hpp"
 
 namespace violetpulley::core {
 
@@ -16,11 +16,11 @@
 }  // namespace
 
 // Where a replica could go: beside other replicas, with its image, in a zone that its job allows.
-Machine* Replicas::place_for(const Job& job, const Machine& from,
-                             const std::vector<Machine*>& hosts,
-                             const std::map<MachineId, Resources>& taken) const {
+Machine* ReplicaConsolidation::place_for(const Job& job, const Machine& from,
+                                         const std::vector<Machine*>& hosts,
+                                         const std::map<MachineId, Resources>& taken) const {
   const auto& spec = job.spec();
-  auto zones = starts_.zone_use(job);
+  auto zones = task_starter_.zone_use(job);
   if (const auto here = zones.find(from.zone); here != zones.end()) --here->second;
   for (auto* machine : hosts) {
     if (machine->id == from.id || machine->draining) continue;
@@ -35,7 +35,7 @@
   return nullptr;
 }
 
-void Replicas::gather(TimePoint now) {
+void ReplicaConsolidation::consolidate(TimePoint now) {
   if (now - last_gather_ < kGatherEvery) return;
   last_gather_ = now;
   std::size_t replicas = 0;
@@ -53,7 +53,7 @@
       fleet_.set(machine, &Machine::sparse_since, {});
       continue;
     }
-    if (starts_.placeable(machine, now)) hosting.push_back(&machine);
+    if (task_starter_.placeable(machine, now)) hosting.push_back(&machine);
     // At half of its room or less it is worth clearing: two such machines make one.
     if (!underused(machine, settings_.tuning.consolidation_threshold + 1e-6)) {
       fleet_.set(machine, &Machine::sparse_since, {});
@@ -62,7 +62,7 @@
     if (!machine.sparse_since) fleet_.set(machine, &Machine::sparse_since, {now});
     if (machine.draining ||
         (now - *machine.sparse_since >= to_duration(settings_.tuning.consolidation_wait) &&
-         starts_.placeable(machine, now)))
+         task_starter_.placeable(machine, now)))
       sparse.push_back(&machine);
   }
   out_.note_inspections(fleet_.all().size());
--- a/src/core/replicas.hpp
+++ b/src/core/scheduling/replica_consolidation.hpp
@@ -4,25 +4,26 @@
 // replicas are on the move at a time. Owns when it last looked.
 #pragma once
 
-#include "core/bindings.hpp"
-#include "core/starts.hpp"
+#include "core/dispatch/task_starter.hpp"
+#include "core/scheduling/task_bindings.hpp"
 
 namespace violetpulley::core {
 
-class Replicas {
+class ReplicaConsolidation {
  public:
-  Replicas(const ControllerSettings& settings, Outbox& out, Fleet& fleet, const Jobs& jobs,
-           CommandDispatcher& orders, const Starts& starts, const Bindings& bindings)
+  ReplicaConsolidation(const ControllerSettings& settings, Outbox& out, Fleet& fleet,
+                       const Jobs& jobs, CommandDispatcher& commands, const TaskStarter& starts,
+                       const TaskBindings& bindings)
       : settings_(settings),
         out_(out),
         fleet_(fleet),
         jobs_(jobs),
-        commands_(orders),
-        starts_(starts),
+        commands_(commands),
+        task_starter_(starts),
         bindings_(bindings) {}
 
   // Gathers sparse replicas when that is due.
-  void gather(TimePoint now);
+  void consolidate(TimePoint now);
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -38,8 +39,8 @@
   Fleet& fleet_;
   const Jobs& jobs_;
   CommandDispatcher& commands_;
-  const Starts& starts_;
-  const Bindings& bindings_;
+  const TaskStarter& task_starter_;
+  const TaskBindings& bindings_;
   TimePoint last_gather_{};
 };
 
--- a/src/core/placing.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "core/placing.hpp"
+#include "core/scheduling/scheduler.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -10,7 +10,7 @@
 constexpr std::chrono::seconds kReservationPatience{20};
 
 // Starts in a round, at least and for each order list that may be under way.
-constexpr std::size_t kLeastStarts = 200;
+constexpr std::size_t kMinStarts = 200;
 constexpr std::size_t kStartsPerOrder = 2;
 
 // Whatever room is kept for better use, a job that has waited for this takes what fits: then no
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-Seconds Placing::longest_fetch(const JobSpec& spec) const {
+Seconds Scheduler::longest_fetch(const JobSpec& spec) const {
   Seconds longest{0};
   for (const auto& [name, type] : catalog_.types())
     if (spec.per_task.fits_in(type.capacity))
@@ -49,12 +49,12 @@
 }
 
 // The jobs with waiting tasks, in the order in which room goes to them.
-std::vector<Candidate> Placing::waiting_jobs(TimePoint now) {
+std::vector<Candidate> Scheduler::waiting_jobs(TimePoint now) {
   std::vector<Job*> by_age;
   scarcity_.note_jobs();
   for (auto& [id, job] : jobs_) {
     if (job.waiting.empty() || now < job.backoff_until) continue;
-    if (starts_.startable(job) == 0) continue;
+    if (task_starter_.startable(job) == 0) continue;
     by_age.push_back(&job);
   }
   std::sort(by_age.begin(), by_age.end(), [](const Job* a, const Job* b) {
@@ -98,25 +98,27 @@
 }
 
 // Bound groups come first, on the machine that was rented for them.
-void Placing::place_bound(Packer& packer, TimePoint now) {
+void Scheduler::place_bound(BinPacker& packer, TimePoint now) {
   const auto ready = [&](const MachineId& id) {
     const auto* machine = fleet_.find(id);
-    return machine == nullptr || starts_.placeable(*machine, now);
+    return machine == nullptr || task_starter_.placeable(*machine, now);
   };
   bindings_.settle(ready, [&](Job& job, TaskIndex index, const MachineId& id) {
     auto* machine = fleet_.find(id);
-    if (machine != nullptr && starts_.start(job, index, *machine, starts_.next_attempt(), now))
+    if (machine != nullptr &&
+        task_starter_.start(job, index, *machine, task_starter_.next_attempt(), now))
       packer.placed(*machine);
   });
 }
 
-void Placing::place_job(Packer& packer, const Candidate& candidate, bool holders_only,
-                        TimePoint now) {
+void Scheduler::place_job(BinPacker& packer, const Candidate& candidate, bool holders_only,
+                          TimePoint now) {
   auto& job = *candidate.job;
   const auto& spec = job.spec();
-  if (job.gang() || job.waiting.empty() || starts_left_ == 0 || !starts_.within_limit(spec)) return;
+  if (job.gang() || job.waiting.empty() || starts_left_ == 0 || !task_starter_.within_limit(spec))
+    return;
   const bool ahead = candidate.starving;  // with one task; its others go with everybody else's
-  if (ahead && job.begun) return;
+  if (ahead && job.has_started) return;
   const bool tried = job.waiting.size() < job.tasks.size();
   if (job.suspected && tried) return;
   const bool one = ahead || job.suspected;
@@ -125,7 +127,7 @@
   const double patience = scarcity_.places_scarce() ? kScarcePatience : kHolderPatience;
   const bool waited = ahead || fetch < candidate.estimate * kFetchThatCounts ||
                       now - job.opened > to_duration(fetch * patience);
-  const int least_rank = holders_only && !waited ? 1 : 0;
+  const int min_rank = holders_only && !waited ? 1 : 0;
   const bool patient =
       !ahead && forecaster_.age(job, now) < kWaitedEnough &&
       (scarcity_.exclusive_demand_waiting() || now - job.opened < kReservationPatience);
@@ -138,7 +140,7 @@
   const bool zoned = spec.same_zone || spec.spread;
   for (bool started = true; started;) {
     started = false;
-    const auto zones = starts_.zone_use(job);
+    const auto zones = task_starter_.zone_use(job);
     auto choices = packer.choices(
         spec, candidate.estimate,
         [&](const Machine& m) {
@@ -149,13 +151,14 @@
                  std::find(barred.begin(), barred.end(), m.type) == barred.end() &&
                  !job.avoids(m.id, now) && zone_allowed(spec, zones, m.zone);
         },
-        least_rank);
+        min_rank);
     for (auto next = job.waiting.begin(); next != job.waiting.end() && !(zoned && started);) {
       const auto index = *next++;  // a start takes it out of the set
       if (!job.tasks[index].bound.empty() && !settings_.tuning.bound_tasks_may_move) continue;
       if (recovery_.held(job, index)) continue;
       auto* machine = choices.best();
-      if (machine == nullptr || !starts_.start(job, index, *machine, starts_.next_attempt(), now))
+      if (machine == nullptr ||
+          !task_starter_.start(job, index, *machine, task_starter_.next_attempt(), now))
         return;
       choices.placed(*machine);
       started = true;
@@ -168,7 +171,7 @@
 
 // Machines that are being cleared take no new tasks, for as long as what runs there runs on. Where
 // a job has waited beside one and could have had its room, it is cleared no longer.
-void Placing::uncordon_draining(const std::vector<Candidate>& queue, TimePoint now) {
+void Scheduler::uncordon_draining(const std::vector<Candidate>& queue, TimePoint now) {
   std::vector<Machine*> draining;
   for (auto& [id, machine] : fleet_.all())
     if (machine.draining && !machine.releasing) draining.push_back(&machine);
@@ -177,8 +180,8 @@
     const auto& job = *candidate.job;
     const auto& spec = job.spec();
     if (job.gang() || job.waiting.empty() || forecaster_.age(job, now) < kWaitedEnough) continue;
-    if (starts_.startable(job) == 0 || !starts_.within_limit(spec)) continue;
-    const auto zones = starts_.zone_use(job);
+    if (task_starter_.startable(job) == 0 || !task_starter_.within_limit(spec)) continue;
+    const auto zones = task_starter_.zone_use(job);
     const auto fits = [&](const Machine* machine) {
       return machine->draining && spec.per_task.fits_in(machine->free()) &&
              allowed_on(spec, machine->type, machine->zone, machine->spot) &&
@@ -192,7 +195,7 @@
   }
 }
 
-void Placing::round(TimePoint now) {
+void Scheduler::round(TimePoint now) {
   const bool round_due = now - last_place_ >= to_duration(settings_.tuning.round);
   const bool quick =
       out_.placing_wanted() && now - last_place_ >= to_duration(settings_.tuning.quick_round);
@@ -202,7 +205,7 @@
   place(now);
 }
 
-void Placing::place(TimePoint now) {
+void Scheduler::place(TimePoint now) {
   if (catalog_.types().empty()) return;
   recovery_.refresh();
   scarcity_.note_exclusive_types(now);
@@ -220,11 +223,11 @@
     least = {std::min(least.cpus, need.cpus), std::min(least.gpus, need.gpus),
              std::min(least.memory_gb, need.memory_gb)};
   }
-  Packer packer(settings_.tuning.bin_unit, now);
+  BinPacker packer(settings_.tuning.bin_unit, now);
   std::vector<Machine*> open;
   if (!queue.empty())
     for (auto& [id, machine] : fleet_.all())
-      if (least.fits_in(machine.free()) && starts_.placeable(machine, now))
+      if (least.fits_in(machine.free()) && task_starter_.placeable(machine, now))
         open.push_back(&machine);
   std::size_t waiting = 0;
   for (const auto& candidate : queue)
@@ -238,14 +241,14 @@
   if (scarcity_.gangs()) packer.keep_whole();
   for (auto* machine : open) packer.offer(*machine);
   place_bound(packer, now);
-  gangs_.new_round();
-  starts_left_ = std::max(kLeastStarts, kStartsPerOrder * commands_.window().size());
+  gang_scheduler_.new_round();
+  starts_left_ = std::max(kMinStarts, kStartsPerOrder * commands_.window().size());
   // Two passes: room first goes to tasks whose image is there, whatever their place in the queue,
   // unless a task has waited for as long as its fetch takes; then to the others.
   for (const bool holders_only : {true, false})
     for (const auto& candidate : queue) {
       if (starvation_guard_.yields_quota(candidate)) continue;
-      if (candidate.job->gang() && holders_only) gangs_.place(candidate, open, now);
+      if (candidate.job->gang() && holders_only) gang_scheduler_.place(candidate, open, now);
       if (!packer.empty()) place_job(packer, candidate, holders_only, now);
       if (candidate.starving) starvation_guard_.note_not_started(*candidate.job, now);
     }
--- a/src/core/placing.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -5,20 +5,20 @@
 // one go took a leader's processor for seconds, in which reports were not answered.
 #pragma once
 
-#include "core/packer.hpp"
-#include "core/reckoning.hpp"
-#include "core/rentals.hpp"
-#include "core/standing.hpp"
+#include "core/autoscaling/scale_out_planner.hpp"
+#include "core/failover/reconciler.hpp"
+#include "core/scheduling/bin_packer.hpp"
+#include "core/scheduling/starvation_guard.hpp"
 
 namespace violetpulley::core {
 
-class Placing {
+class Scheduler {
  public:
-  Placing(const ControllerSettings& settings, Outbox& out, const Catalog& catalog, Fleet& fleet,
-          Jobs& jobs, Recovery& recovery, Reconciler& reconciler, const CommandDispatcher& orders,
-          const DeadlineForecaster& forecaster, Starts& starts, Bindings& bindings,
-          Scarcity& scarcity, Preemption& preemption, Gangs& gangs, ScaleOutPlanner& rentals,
-          StarvationGuard& standing)
+  Scheduler(const ControllerSettings& settings, Outbox& out, const Catalog& catalog, Fleet& fleet,
+            Jobs& jobs, Recovery& recovery, Reconciler& reconciler,
+            const CommandDispatcher& commands, const DeadlineForecaster& forecaster,
+            TaskStarter& starts, TaskBindings& bindings, Scarcity& scarcity, Preemption& preemption,
+            GangScheduler& gangs, ScaleOutPlanner& rentals, StarvationGuard& standing)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
@@ -26,13 +26,13 @@
         jobs_(jobs),
         recovery_(recovery),
         reconciler_(reconciler),
-        commands_(orders),
+        commands_(commands),
         forecaster_(forecaster),
-        starts_(starts),
+        task_starter_(starts),
         bindings_(bindings),
         scarcity_(scarcity),
         preemption_(preemption),
-        gangs_(gangs),
+        gang_scheduler_(gangs),
         scale_out_(rentals),
         starvation_guard_(standing) {}
 
@@ -48,8 +48,8 @@
   void place(TimePoint now);
   void uncordon_draining(const std::vector<Candidate>& queue, TimePoint now);
   std::vector<Candidate> waiting_jobs(TimePoint now);
-  void place_bound(Packer& packer, TimePoint now);
-  void place_job(Packer& packer, const Candidate& candidate, bool holders_only, TimePoint now);
+  void place_bound(BinPacker& packer, TimePoint now);
+  void place_job(BinPacker& packer, const Candidate& candidate, bool holders_only, TimePoint now);
   Seconds longest_fetch(const JobSpec& spec) const;
 
   const ControllerSettings& settings_;
@@ -61,11 +61,11 @@
   Reconciler& reconciler_;
   const CommandDispatcher& commands_;
   const DeadlineForecaster& forecaster_;
-  Starts& starts_;
-  Bindings& bindings_;
+  TaskStarter& task_starter_;
+  TaskBindings& bindings_;
   Scarcity& scarcity_;
   Preemption& preemption_;
-  Gangs& gangs_;
+  GangScheduler& gang_scheduler_;
   ScaleOutPlanner& scale_out_;
   StarvationGuard& starvation_guard_;
   TimePoint last_place_{};
--- a/src/core/standing.cpp
+++ b/src/core/scheduling/starvation_guard.cpp
@@ -1,9 +1,9 @@
-#include "core/standing.hpp"
+#include "core/scheduling/starvation_guard.hpp"
 
 #include <algorithm>
 
-#include "core/limits.hpp"
-#include "core/scaler.hpp"
+#include "core/autoscaling/scaler.hpp"
+#include "core/model/limits.hpp"
 
 namespace violetpulley::core {
 
@@ -20,7 +20,7 @@
 bool StarvationGuard::starving(const Job& job, TimePoint now) const {
   const auto age = forecaster_.age(job, now);
   const auto within = settings_.tuning.begin_within;
-  return !job.begun && age > within * kStarvingAfter && age < within * kGivenUpAfter;
+  return !job.has_started && age > within * kStarvingAfter && age < within * kGivenUpAfter;
 }
 
 bool StarvationGuard::prioritized_whole(const Job& job, TimePoint now) const {
@@ -53,7 +53,7 @@
 // held up the team for ever, since replicas of the same team ran.
 bool StarvationGuard::fits_in_time(const Job& job, std::size_t tasks) const {
   const auto& spec = job.spec();
-  auto room = starts_.quota_left(spec.team);
+  auto room = task_starter_.quota_left(spec.team);
   if (!room) return false;
   for (const auto& [id, machine] : fleet_.all())
     for (const auto& [key, assignment] : machine.tasks)
@@ -64,7 +64,7 @@
 
 void StarvationGuard::note_not_started(const Job& job, TimePoint now) {
   const auto tasks = job.gang() ? job.waiting.size() : 1;
-  if (job.begun || starts_.within_limit(job.spec(), tasks)) return;
+  if (job.has_started || task_starter_.within_limit(job.spec(), tasks)) return;
   if (!fits_in_time(job, tasks)) return;
   auto& left = yielded_quotas_[job.spec().team];
   if (now - left.last > kReservationPause) left.since = now;
@@ -83,7 +83,7 @@
 
 bool StarvationGuard::waits(const Job& job, TimePoint now) const {
   return starving(job, now) && !job.gang() && now >= job.backoff_until &&
-         starts_.startable(job) > 0 && starts_.within_limit(job.spec());
+         task_starter_.startable(job) > 0 && task_starter_.within_limit(job.spec());
 }
 
 // When what runs there has made room for one of its tasks, if nothing else starts.
@@ -112,7 +112,7 @@
     const auto* machine = fleet_.find(reserved_machine_);
     const bool stays = job != jobs_.end() && waits(job->second, now) && machine != nullptr &&
                        machine->reserved_for == reserved_for_job_ &&
-                       starts_.placeable(*machine, now);
+                       task_starter_.placeable(*machine, now);
     if (stays && now - reserved_since_ < kReservationTime) return;
     release_reservation();
     if (stays) no_reservation_before_ = now + kReservationPause;
@@ -123,13 +123,14 @@
   });
   if (first == queue.end()) return;
   const auto& spec = first->job->spec();
-  const auto zones = starts_.zone_use(*first->job);
+  const auto zones = task_starter_.zone_use(*first->job);
   Machine* best = nullptr;
   Seconds least = kEndless;
   for (auto& [id, machine] : fleet_.all()) {
     if (!machine.reserved_for.empty() || bindings_.holds(id) || first->job->avoids(id, now))
       continue;
-    if (!starts_.placeable(machine, now) || !spec.per_task.fits_in(machine.capacity)) continue;
+    if (!task_starter_.placeable(machine, now) || !spec.per_task.fits_in(machine.capacity))
+      continue;
     if (!allowed_on(spec, machine.type, machine.zone, machine.spot)) continue;
     if (!zone_allowed(spec, zones, machine.zone)) continue;
     const auto left = time_until_capacity(machine, spec, now);
--- a/src/core/standing.hpp
+++ b/src/core/scheduling/starvation_guard.hpp
@@ -8,21 +8,21 @@
 #include <map>
 #include <set>
 
-#include "core/bindings.hpp"
-#include "core/queue.hpp"
-#include "core/starts.hpp"
+#include "core/dispatch/task_starter.hpp"
+#include "core/scheduling/candidate.hpp"
+#include "core/scheduling/task_bindings.hpp"
 
 namespace violetpulley::core {
 
 class StarvationGuard {
  public:
   StarvationGuard(const ControllerSettings& settings, Fleet& fleet, const Jobs& jobs,
-                  const Starts& starts, const DeadlineForecaster& forecaster,
-                  const Bindings& bindings)
+                  const TaskStarter& starts, const DeadlineForecaster& forecaster,
+                  const TaskBindings& bindings)
       : settings_(settings),
         fleet_(fleet),
         jobs_(jobs),
-        starts_(starts),
+        task_starter_(starts),
         forecaster_(forecaster),
         bindings_(bindings) {}
 
@@ -63,9 +63,9 @@
   const ControllerSettings& settings_;
   Fleet& fleet_;
   const Jobs& jobs_;
-  const Starts& starts_;
+  const TaskStarter& task_starter_;
   const DeadlineForecaster& forecaster_;
-  const Bindings& bindings_;
+  const TaskBindings& bindings_;
   // A team's limit that is left to a due job: since when, and when last.
   struct YieldedQuota {
     TimePoint since{};
--- a/src/core/bindings.cpp
+++ b/src/core/scheduling/task_bindings.cpp
@@ -1,8 +1,8 @@
-#include "core/bindings.hpp"
+#include "core/scheduling/task_bindings.hpp"
 
 namespace violetpulley::core {
 
-void Bindings::bind(const std::vector<TaskKey>& group, const std::string& request) {
+void TaskBindings::bind(const std::vector<TaskKey>& group, const std::string& request) {
   for (const auto& key : group) {
     auto& job = jobs_.at(key.job);
     jobs_.before_change(job);
@@ -10,8 +10,8 @@
   }
 }
 
-void Bindings::rebind(std::vector<TaskKey> group, const std::string& request,
-                      const MachineId& machine) {
+void TaskBindings::rebind(std::vector<TaskKey> group, const std::string& request,
+                          const MachineId& machine) {
   for (const auto& key : group) {
     const auto job = jobs_.find(key.job);
     if (job == jobs_.end() || job->second.tasks[key.index].bound != request) continue;
@@ -21,7 +21,7 @@
   if (!group.empty()) groups_[machine] = std::move(group);
 }
 
-void Bindings::unbind(const std::vector<TaskKey>& group, const std::string& bound) {
+void TaskBindings::unbind(const std::vector<TaskKey>& group, const std::string& bound) {
   for (const auto& key : group) {
     const auto job = jobs_.find(key.job);
     if (job == jobs_.end() || job->second.tasks[key.index].bound != bound) continue;
@@ -31,7 +31,7 @@
   out_.want_placing();
 }
 
-void Bindings::machine_gone(const MachineId& id) {
+void TaskBindings::machine_gone(const MachineId& id) {
   const auto bound = groups_.find(id);
   if (bound == groups_.end()) return;
   unbind(bound->second, id);
--- a/src/core/bindings.hpp
+++ b/src/core/scheduling/task_bindings.hpp
@@ -4,13 +4,13 @@
 
 #include <map>
 
-#include "core/jobs.hpp"
+#include "core/jobs/jobs.hpp"
 
 namespace violetpulley::core {
 
-class Bindings {
+class TaskBindings {
  public:
-  Bindings(Outbox& out, Jobs& jobs) : out_(out), jobs_(jobs) {}
+  TaskBindings(Outbox& out, Jobs& jobs) : out_(out), jobs_(jobs) {}
 
   bool holds(const MachineId& id) const { return groups_.contains(id); }
   // Tasks wait for a rental's answer.
--- a/src/advice/spending.cpp
+++ b/src/diagnostics/cost_breakdown.cpp
@@ -1,4 +1,4 @@
-#include "advice/spending.hpp"
+#include "diagnostics/cost_breakdown.hpp"
 
 #include <iomanip>
 #include <numeric>
--- a/src/advice/why.cpp
+++ b/src/diagnostics/placement_explanation.cpp
@@ -1,4 +1,4 @@
-#include "advice/why.hpp"
+#include "diagnostics/placement_explanation.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/standby/controller_settings.cpp
+++ b/src/failover/controller_settings.cpp
@@ -1,6 +1,6 @@
-#include "standby/controller_settings.hpp"
+#include "failover/controller_settings.hpp"
 
-namespace violetpulley::standby {
+namespace violetpulley::failover {
 
 namespace {
 constexpr double kCloudCalls = 0.8;  // of the limit; the rest is for the list and the catalog
@@ -20,11 +20,12 @@
                                resigns_when_isolated,
                                {settings.max_sockets, settings.nodes()}};
   for (const auto& objective : settings.objectives) {
-    if (objective.kind == "finished") out.aims.push_back({objective.job_class, objective.within});
+    if (objective.kind == "finished")
+      out.completion_objectives.push_back({objective.job_class, objective.within});
     if (objective.kind == "deadline")
-      out.late_aims.push_back({objective.job_class, objective.times});
+      out.tardiness_objectives.push_back({objective.job_class, objective.times});
   }
   return out;
 }
 
-}  // namespace violetpulley::standby
+}  // namespace violetpulley::failover
--- a/src/standby/takeover_steps.cpp
+++ b/src/failover/failover_timeline.cpp
@@ -1,8 +1,8 @@
-#include "standby/takeover_steps.hpp"
+#include "failover/failover_timeline.hpp"
 
 #include <spdlog/fmt/fmt.h>
 
-namespace violetpulley::standby {
+namespace violetpulley::failover {
 
 std::string FailoverTimeline::text() const {
   static constexpr std::array<const char*, kSteps> kNames{
@@ -16,4 +16,4 @@
   return out;
 }
 
-}  // namespace violetpulley::standby
+}  // namespace violetpulley::failover
--- a/src/standby/takeover_steps.hpp
+++ b/src/failover/failover_timeline.hpp
@@ -6,9 +6,9 @@
 #include <optional>
 #include <string>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
-namespace violetpulley::standby {
+namespace violetpulley::failover {
 
 enum class Step : std::uint8_t {
   pages_read,                 // machines, rented, progress, placements
@@ -43,4 +43,4 @@
   std::array<std::optional<core::TimePoint>, kSteps> at_{};
 };
 
-}  // namespace violetpulley::standby
+}  // namespace violetpulley::failover
--- a/src/standby/inheritance_reader.cpp
+++ b/src/failover/recovered_state_reader.cpp
@@ -1,12 +1,12 @@
-#include "standby/inheritance_reader.hpp"
+#include "failover/recovered_state_reader.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <set>
 
-#include "store/leader_records.hpp"
+#include "store/record_codec.hpp"
 
-namespace violetpulley::standby {
+namespace violetpulley::failover {
 
 using core::Clock;
 using store::Json;
@@ -44,9 +44,9 @@
 // Every read here is sent after the key was won, so an older leader's conditioned writes are
 // either in it or will fail.
 void RecoveredStateReader::read() {
-  std::vector<store::PagedRecords*> tables{&writer_.machines(), &writer_.rented(),
+  std::vector<store::PagedRecords*> tables{&writer_.machines(), &writer_.provisioning(),
                                            &writer_.progress()};
-  if (records_starts_) tables.push_back(&writer_.placed());
+  if (records_starts_) tables.push_back(&writer_.placements());
   read_pages(std::move(tables), {});
 }
 
@@ -130,4 +130,4 @@
   });
 }
 
-}  // namespace violetpulley::standby
+}  // namespace violetpulley::failover
--- a/src/standby/inheritance_reader.hpp
+++ b/src/failover/recovered_state_reader.hpp
@@ -4,13 +4,13 @@
 // over.
 #pragma once
 
-#include "core/settings.hpp"
-#include "standby/takeover_steps.hpp"
-#include "store/briefing.hpp"
+#include "core/model/settings.hpp"
+#include "failover/failover_timeline.hpp"
 #include "store/election.hpp"
 #include "store/leader_writer.hpp"
+#include "store/read_barrier_loop.hpp"
 
-namespace violetpulley::standby {
+namespace violetpulley::failover {
 
 class RecoveredStateReader {
  public:
@@ -50,4 +50,4 @@
   core::RecoveredState recovered_;
 };
 
-}  // namespace violetpulley::standby
+}  // namespace violetpulley::failover
--- a/src/history/describe.cpp
+++ b/src/history/describe.cpp
@@ -8,21 +8,21 @@
 
 namespace {
 
-void add_report(Subjects& out, const core::Heartbeat& report) {
-  out.machines.push_back(report.machine);
-  for (const auto& task : report.tasks) out.jobs.push_back(task.task.job);
+void add_report(Subjects& out, const core::Heartbeat& heartbeat) {
+  out.machines.push_back(heartbeat.machine);
+  for (const auto& task : heartbeat.tasks) out.jobs.push_back(task.task.job);
 }
 
-std::string report_line(const core::Heartbeat& report) {
+std::string report_line(const core::Heartbeat& heartbeat) {
   std::map<std::string, int> states;
-  for (const auto& task : report.tasks) {
+  for (const auto& task : heartbeat.tasks) {
     static constexpr const char* kStates[] = {"fetching", "waiting", "running", "saving", "exited"};
     ++states[kStates[static_cast<int>(task.state)]];
   }
   std::ostringstream out;
-  out << report.machine << " session " << report.epoch << " message " << report.heartbeat_sequence
-      << " token " << report.token;
-  if (report.notice) out << " taken in " << report.notice->count() << " s";
+  out << heartbeat.machine << " session " << heartbeat.epoch << " message "
+      << heartbeat.heartbeat_sequence << " token " << heartbeat.token;
+  if (heartbeat.notice) out << " taken in " << heartbeat.notice->count() << " s";
   for (const auto& [state, count] : states) out << ", " << count << " " << state;
   return out.str();
 }
@@ -40,10 +40,10 @@
           << e.record.spec.job_class << ", " << e.record.spec.tasks << " tasks";
     else if constexpr (std::is_same_v<T, core::JobClosed>)
       out << e.id;
-    else if constexpr (std::is_same_v<T, core::MachineReported>)
-      out << report_line(e.report);
+    else if constexpr (std::is_same_v<T, core::HeartbeatReceived>)
+      out << report_line(e.heartbeat);
     else if constexpr (std::is_same_v<T, core::CommandsAnswered>)
-      out << e.machine << (e.report ? "" : " gave no answer");
+      out << e.machine << (e.heartbeat ? "" : " gave no answer");
     else if constexpr (std::is_same_v<T, core::MachineSaved>)
       out << e.id << (e.ok ? "" : " failed");
     else if constexpr (std::is_same_v<T, core::ProgressSaved>)
@@ -86,8 +86,8 @@
       out.jobs.push_back(e.job);
     else if constexpr (std::is_same_v<T, core::ProgressSaved>)
       out.jobs.push_back(e.saved.record.job);
-    else if constexpr (std::is_same_v<T, core::MachineReported>)
-      add_report(out, e.report);
+    else if constexpr (std::is_same_v<T, core::HeartbeatReceived>)
+      add_report(out, e.heartbeat);
     else if constexpr (std::is_same_v<T, core::MachineSaved>)
       out.machines.push_back(e.id);
     else if constexpr (std::is_same_v<T, core::ScaleOutAnswered>)
@@ -95,8 +95,8 @@
     else if constexpr (std::is_same_v<T, core::ScaleInAnswered>)
       out.machines = e.machines;
     else if constexpr (std::is_same_v<T, core::CommandsAnswered>) {
-      if (e.report)
-        add_report(out, *e.report);
+      if (e.heartbeat)
+        add_report(out, *e.heartbeat);
       else
         out.machines.push_back(e.machine);
     }
@@ -112,7 +112,7 @@
 
 std::string describe(const Record& record) {
   const auto* event = std::get_if<core::Event>(&record.what);
-  return event == nullptr ? "digest " + hex(std::get<Acted>(record.what).digest)
+  return event == nullptr ? "digest " + hex(std::get<ActionsRecorded>(record.what).digest)
                           : event_line(*event);
 }
 
--- a/src/history/event_log.hpp
+++ b/src/history/event_log.hpp
@@ -8,8 +8,8 @@
 // removed.
 #pragma once
 
+#include "history/heartbeat_changes.hpp"
 #include "history/reader.hpp"
-#include "history/report_changes.hpp"
 #include "history/state_capture.hpp"
 
 namespace violetpulley::history {
@@ -18,8 +18,8 @@
 
 struct LogSettings {
   SyncPolicy sync = SyncPolicy::interval;
-  core::Seconds sync_every{1};
-  core::Seconds save_every{60};
+  core::Seconds sync_interval{1};
+  core::Seconds snapshot_interval{60};
   std::uint64_t max_bytes = std::uint64_t{1} << 30U;  // of events since the last save
   std::size_t slice_bytes = 256 * 1024;               // of a save written at once
 };
@@ -32,30 +32,30 @@
 
   void record(core::FencingToken token, core::TimePoint at, const core::Event& event);
   // `digest`: of the actions that the shells were given.
-  void acted(core::FencingToken token, core::TimePoint at, std::uint64_t digest);
+  void record_actions(core::FencingToken token, core::TimePoint at, std::uint64_t digest);
 
   // Writes what waits, if that is due. Throws FileError: then the log cannot go on.
   void flush(core::TimePoint now);
 
   // Whether it is time for a save, and none is being made.
-  bool save_due(core::TimePoint now) const;
+  bool snapshot_due(core::TimePoint now) const;
   // Takes the state, which must hold all events recorded so far and nothing else. The controller
   // must live until the save is made or given up; a new takeover gives it up.
-  void begin_save(core::Controller& controller, const core::LeaderElected& origin,
-                  core::TimePoint elected_at, core::TimePoint now, core::WallTime wall);
+  void begin_snapshot(core::Controller& controller, const core::LeaderElected& origin,
+                      core::TimePoint elected_at, core::TimePoint now, core::WallTime wall);
   // Writes the next slice of the save, and finishes it after the last. Throws FileError, Damaged.
-  void continue_save();
+  void continue_snapshot();
   // Keeps the last saves and what is after the oldest of them.
-  void prune(std::size_t saves_kept);
+  void prune(std::size_t snapshots_kept);
   // The controller is going.
-  void abandon_save();
-  bool saving() const { return save_.has_value(); }
+  void abandon_snapshot();
+  bool snapshotting() const { return snapshot_.has_value(); }
 
   std::uint64_t events() const { return first_event_ + records_; }
-  std::uint64_t saves_made() const { return saves_made_; }
+  std::uint64_t snapshots_made() const { return snapshots_made_; }
 
  private:
-  struct Save {
+  struct Snapshot {
     std::uint64_t segment = 0;
     FrameWriter frames;
     StateCapture state;
@@ -71,7 +71,7 @@
   void sync(core::TimePoint now);
   void write_slice();
   void check_back();
-  void finish_save();
+  void finish_snapshot();
 
   Files& files_;
   std::optional<Key> key_;
@@ -82,14 +82,14 @@
   std::uint64_t records_ = 0;
   Tag previous_tail_{};
   std::optional<FrameWriter> frames_;
-  ReportChangesWriter reports_;  // of this segment
+  HeartbeatChangesWriter heartbeats_;  // of this segment
   Sink sink_;
   std::uint64_t segment_bytes_ = 0;  // of all segments since the last save
   std::optional<core::TimePoint> last_sync_;
   bool unsynced_ = false;
-  std::optional<core::TimePoint> last_save_;
-  std::optional<Save> save_;
-  std::uint64_t saves_made_ = 0;
+  std::optional<core::TimePoint> last_snapshot_;
+  std::optional<Snapshot> snapshot_;
+  std::uint64_t snapshots_made_ = 0;
 };
 
 }  // namespace violetpulley::history
--- a/src/history/frames.cpp
+++ b/src/history/frames.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kHead = 10;    // magic, kind, version, signed
 constexpr std::size_t kFront = 20;   // length, checksum, synced
 constexpr std::size_t kSynced = 12;  // where the last of these begins
-constexpr std::uint32_t kMostPayload = 64U << 20U;
+constexpr std::uint32_t kMaxPayload = 64U << 20U;
 
 template <class T>
 void put(std::string& out, T value) {
@@ -73,7 +73,7 @@
 }
 
 void FrameWriter::add(std::string_view payload) {
-  if (payload.size() > kMostPayload) throw std::length_error("a record is too large");
+  if (payload.size() > kMaxPayload) throw std::length_error("a record is too large");
   const auto length = static_cast<std::uint32_t>(payload.size());
   const auto before = waiting_.size();
   put(waiting_, length);
@@ -104,16 +104,18 @@
     return;
   }
   if (bytes_.substr(0, kMagic.size()) != kMagic)
-    throw Damaged(name_, 0, "this is no file of a history");
-  if (bytes_[6] != static_cast<char>(kind)) throw Damaged(name_, 6, "it is of another kind");
+    throw CorruptionError(name_, 0, "this is no file of a history");
+  if (bytes_[6] != static_cast<char>(kind))
+    throw CorruptionError(name_, 6, "it is of another kind");
   const auto version = get<std::uint16_t>(bytes_, 7);
   if (version != kFormatVersion)
-    throw Damaged(name_, 7,
-                  "format version " + std::to_string(version) + " is unknown; this program reads " +
-                      std::to_string(kFormatVersion));
-  if (bytes_[9] != 0 && bytes_[9] != 1) throw Damaged(name_, 9, "neither signed nor unsigned");
+    throw CorruptionError(name_, 7,
+                          "format version " + std::to_string(version) +
+                              " is unknown; this program reads " + std::to_string(kFormatVersion));
+  if (bytes_[9] != 0 && bytes_[9] != 1)
+    throw CorruptionError(name_, 9, "neither signed nor unsigned");
   signed_ = bytes_[9] == 1;
-  if (key && !signed_) throw Damaged(name_, 9, "it is not signed, although a key is set");
+  if (key && !signed_) throw CorruptionError(name_, 9, "it is not signed, although a key is set");
   chain_.extend(bytes_.substr(0, kHead));
   offset_ = kHead;
 }
@@ -125,7 +127,7 @@
   if (left < kFront) return std::nullopt;
   const auto length = get<std::uint32_t>(bytes_, at);
   const std::size_t whole = kFront + length + (signed_ ? Tag{}.size() : 0);
-  if (length > kMostPayload || whole > left) return std::nullopt;
+  if (length > kMaxPayload || whole > left) return std::nullopt;
   Frame frame;
   frame.covered = bytes_.substr(at + kSynced, 8 + length);
   frame.payload = bytes_.substr(at + kFront, length);
@@ -140,14 +142,14 @@
 // The frame's number is not known behind damage: a few follow, so small numbers of lost frames are
 // tried. A chance match needs 64 equal bits.
 bool FrameReader::proved_synced(std::size_t at) const {
-  constexpr std::uint64_t kMostLost = 64;
+  constexpr std::uint64_t kMaxLost = 64;
   const char* why = nullptr;
   for (auto from = at; from + kFront <= bytes_.size(); ++from) {
     const auto length = get<std::uint32_t>(bytes_, from);
-    if (length > kMostPayload || length > bytes_.size() - from) continue;
+    if (length > kMaxPayload || length > bytes_.size() - from) continue;
     if (get<std::uint64_t>(bytes_, from + kSynced) <= at) continue;  // would prove nothing
     if (get<std::uint64_t>(bytes_, from + kSynced) > from) continue;
-    for (auto lost = std::uint64_t{0}; lost <= kMostLost; ++lost)
+    for (auto lost = std::uint64_t{0}; lost <= kMaxLost; ++lost)
       if (frame_at(from, number_ + lost, why)) return true;
   }
   return false;
@@ -158,7 +160,7 @@
   const char* why = nullptr;
   const auto frame = frame_at(offset_, number_, why);
   if (!frame) {
-    if (proved_synced(offset_)) throw Damaged(name_, offset_, why);
+    if (proved_synced(offset_)) throw CorruptionError(name_, offset_, why);
     torn_ = bytes_.size() - offset_;
     torn_cause_ = why;
     return std::nullopt;
@@ -167,9 +169,10 @@
     const auto tag = chain_.extend(frame->covered);
     const auto given = bytes_.substr(frame->end - tag.size(), tag.size());
     if (sodium_memcmp(tag.data(), given.data(), tag.size()) != 0)
-      throw Damaged(name_, offset_,
-                    "the checksum is right and the MAC is wrong: it was changed, or written with "
-                    "another key");
+      throw CorruptionError(
+          name_, offset_,
+          "the checksum is right and the MAC is wrong: it was changed, or written with "
+          "another key");
   }
   offset_ = frame->end;
   ++number_;
--- a/src/history/frames.hpp
+++ b/src/history/frames.hpp
@@ -21,8 +21,8 @@
 namespace violetpulley::history {
 
 // Damage that must not be passed over: where it is, and what is wrong.
-struct Damaged : std::runtime_error {
-  Damaged(std::string at, std::size_t position, std::string why)
+struct CorruptionError : std::runtime_error {
+  CorruptionError(std::string at, std::size_t position, std::string why)
       : std::runtime_error(at + " at byte " + std::to_string(position) + ": " + why),
         file(std::move(at)),
         offset(position),
@@ -58,7 +58,7 @@
   Tag tail_{};
 };
 
-enum class FileKind : char { events = 'E', save = 'S' };
+enum class FileKind : char { events = 'E', snapshot = 'S' };
 inline constexpr std::uint16_t kFormatVersion = 7;
 
 // The fixed head: magic, kind, version, whether the frames are signed.
--- a/src/history/report_changes.cpp
+++ b/src/history/heartbeat_changes.cpp
@@ -1,4 +1,4 @@
-#include "history/report_changes.hpp"
+#include "history/heartbeat_changes.hpp"
 
 #include <xxhash.h>
 
@@ -24,31 +24,34 @@
 
 }  // namespace
 
-const core::Heartbeat* report_of(const core::Event& event) {
-  if (const auto* reported = std::get_if<core::MachineReported>(&event)) return &reported->report;
+const core::Heartbeat* heartbeat_of(const core::Event& event) {
+  if (const auto* reported = std::get_if<core::HeartbeatReceived>(&event))
+    return &reported->heartbeat;
   const auto* answered = std::get_if<core::CommandsAnswered>(&event);
-  if (answered == nullptr || !answered->report || answered->report->machine != answered->machine)
+  if (answered == nullptr || !answered->heartbeat ||
+      answered->heartbeat->machine != answered->machine)
     return nullptr;
-  return &*answered->report;
+  return &*answered->heartbeat;
 }
 
-const ReportChanges* ReportChangesWriter::changes(const core::Heartbeat& report, bool answer) {
+const HeartbeatChanges* HeartbeatChangesWriter::changes(const core::Heartbeat& heartbeat,
+                                                        bool answer) {
   now_.clear();
-  for (const auto& task : report.tasks) now_.push_back(fingerprint(task));
-  const auto [entry, fresh] = last_.try_emplace(report.machine);
+  for (const auto& task : heartbeat.tasks) now_.push_back(fingerprint(task));
+  const auto [entry, fresh] = last_.try_emplace(heartbeat.machine);
   auto& last = entry->second;
   auto& before = last.tasks;
-  if (fresh || !same_machine(last.machine, report)) {
-    last.machine = report;
+  if (fresh || !same_machine(last.machine, heartbeat)) {
+    last.machine = heartbeat;
     last.machine.tasks.clear();
     before.swap(now_);
     return nullptr;
   }
-  changes_.machine = report.machine;
+  changes_.machine = heartbeat.machine;
   changes_.answer = answer;
-  changes_.epoch = report.epoch;
-  changes_.heartbeat_sequence = report.heartbeat_sequence;
-  changes_.token = report.token;
+  changes_.epoch = heartbeat.epoch;
+  changes_.heartbeat_sequence = heartbeat.heartbeat_sequence;
+  changes_.token = heartbeat.token;
   changes_.gone.clear();
   changes_.come.clear();
   // Lists keep their order, so one pass finds what stays; another order only costs bytes.
@@ -61,7 +64,7 @@
     const auto same =
         std::find(before.begin() + static_cast<std::ptrdiff_t>(old), before.end(), now_[place]);
     if (same == before.end()) {
-      changes_.come.emplace_back(static_cast<std::uint32_t>(place), report.tasks[place]);
+      changes_.come.emplace_back(static_cast<std::uint32_t>(place), heartbeat.tasks[place]);
       continue;
     }
     const auto found = static_cast<std::size_t>(same - before.begin());
@@ -73,10 +76,10 @@
   return &changes_;
 }
 
-core::Heartbeat& ReportChangesReader::apply(const ReportChanges& changes) {
+core::Heartbeat& HeartbeatChangesReader::apply(const HeartbeatChanges& changes) {
   const auto found = last_.find(changes.machine);
   if (found == last_.end())
-    throw BadValue("changes of " + changes.machine + " come before any whole report of it");
+    throw DecodeError("changes of " + changes.machine + " come before any whole report of it");
   auto& last = found->second;
   last.epoch = changes.epoch;
   last.heartbeat_sequence = changes.heartbeat_sequence;
@@ -98,24 +101,24 @@
   }
   take_new();
   if (gone != changes.gone.end() || come != changes.come.end())
-    throw BadValue("changes of " + changes.machine + " do not fit its last report");
+    throw DecodeError("changes of " + changes.machine + " do not fit its last report");
   last.tasks = std::move(tasks);
   return last;
 }
 
-Record ReportChangesReader::whole(WrittenRecord&& written) {
-  Record out{written.token, written.at, Acted{}};
+Record HeartbeatChangesReader::whole(WrittenRecord&& written) {
+  Record out{written.token, written.at, ActionsRecorded{}};
   if (auto* event = std::get_if<core::Event>(&written.what)) {
-    if (const auto* report = report_of(*event)) last_[report->machine] = *report;
+    if (const auto* heartbeat = heartbeat_of(*event)) last_[heartbeat->machine] = *heartbeat;
     out.what = std::move(*event);
-  } else if (const auto* changes = std::get_if<ReportChanges>(&written.what)) {
-    const auto& report = apply(*changes);
+  } else if (const auto* changes = std::get_if<HeartbeatChanges>(&written.what)) {
+    const auto& heartbeat = apply(*changes);
     if (changes->answer)
-      out.what = core::Event(core::CommandsAnswered{report.machine, report});
+      out.what = core::Event(core::CommandsAnswered{heartbeat.machine, heartbeat});
     else
-      out.what = core::Event(core::MachineReported{report});
+      out.what = core::Event(core::HeartbeatReceived{heartbeat});
   } else {
-    out.what = std::get<Acted>(written.what);
+    out.what = std::get<ActionsRecorded>(written.what);
   }
   return out;
 }
--- a/src/history/report_changes.hpp
+++ b/src/history/heartbeat_changes.hpp
@@ -10,11 +10,11 @@
 
 namespace violetpulley::history {
 
-class ReportChangesWriter {
+class HeartbeatChangesWriter {
  public:
   // What is to be written instead of the report; null: the report as it is. Valid until the next
   // call.
-  const ReportChanges* changes(const core::Heartbeat& report, bool answer);
+  const HeartbeatChanges* changes(const core::Heartbeat& heartbeat, bool answer);
 
  private:
   struct Last {
@@ -23,20 +23,20 @@
   };
   std::unordered_map<core::MachineId, Last> last_;
   std::vector<std::uint64_t> now_;
-  ReportChanges changes_;
+  HeartbeatChanges changes_;
 };
 
-class ReportChangesReader {
+class HeartbeatChangesReader {
  public:
-  // The record that was given to the writer. Throws BadValue if changes do not fit.
+  // The record that was given to the writer. Throws DecodeError if changes do not fit.
   Record whole(WrittenRecord&& written);
 
  private:
-  core::Heartbeat& apply(const ReportChanges& changes);
+  core::Heartbeat& apply(const HeartbeatChanges& changes);
   std::unordered_map<core::MachineId, core::Heartbeat> last_;
 };
 
 // The report that an event holds, or null.
-const core::Heartbeat* report_of(const core::Event& event);
+const core::Heartbeat* heartbeat_of(const core::Event& event);
 
 }  // namespace violetpulley::history
--- a/src/history/pack.hpp
+++ b/src/history/pack.hpp
@@ -22,7 +22,7 @@
 namespace violetpulley::history {
 
 // What was read is not what this version writes.
-struct BadValue : std::runtime_error {
+struct DecodeError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -125,7 +125,7 @@
 
 inline const msgpack::object_array& array_of(const msgpack::object& from, std::size_t least) {
   if (from.type != msgpack::type::ARRAY || from.via.array.size < least)
-    throw BadValue("an array of " + std::to_string(least) + " values was expected");
+    throw DecodeError("an array of " + std::to_string(least) + " values was expected");
   return from.via.array;
 }
 
@@ -165,7 +165,7 @@
               ...);
     };
     if (!choose(std::make_index_sequence<std::variant_size_v<T>>{}))
-      throw BadValue("kind " + std::to_string(index) + " is unknown");
+      throw DecodeError("kind " + std::to_string(index) + " is unknown");
   } else if constexpr (detail::Container<T>) {
     const auto& parts = detail::array_of(from, 0);
     value.clear();
@@ -193,7 +193,7 @@
     try {
       from.convert(value);
     } catch (const msgpack::type_error&) {
-      throw BadValue("a value of another type was expected");
+      throw DecodeError("a value of another type was expected");
     }
   }
 }
@@ -213,7 +213,7 @@
     const auto handle = msgpack::unpack(bytes.data(), bytes.size());
     read(handle.get(), value);
   } catch (const msgpack::unpack_error& problem) {
-    throw BadValue(std::string("not msgpack: ") + problem.what());
+    throw DecodeError(std::string("not msgpack: ") + problem.what());
   }
   return value;
 }
--- a/src/history/reader.hpp
+++ b/src/history/reader.hpp
@@ -11,7 +11,7 @@
 
 struct SegmentInfo {
   std::string name;
-  SegmentHead head;
+  SegmentHeader head;
   std::uint64_t records = 0;
   std::size_t bytes = 0;       // that are whole
   std::size_t torn_bytes = 0;  // cut off behind them
@@ -19,9 +19,9 @@
   Tag tail{};
 };
 
-struct SaveInfo {
+struct SnapshotInfo {
   std::string name;
-  SaveHead head;
+  SnapshotHeader head;
   std::size_t bytes = 0;
   std::uint64_t state_digest = 0;
 };
@@ -29,7 +29,7 @@
 struct Contents {
   HistoryId history;  // empty: there is none yet
   std::vector<SegmentInfo> segments;
-  std::vector<SaveInfo> saves;
+  std::vector<SnapshotInfo> snapshots;
   std::vector<std::string> unfinished;  // saves that were never completed
 
   const SegmentInfo* last() const { return segments.empty() ? nullptr : &segments.back(); }
@@ -51,7 +51,7 @@
   // What a process needs that goes on from here: the newest save that is whole and the events after
   // it, replayed. Older ones are not read. `note` is told of a save that is damaged and passed over
   // for the one before it. Throws Damaged if that leaves nothing to go by, FileError.
-  Contents recover(Replay& replay, const std::function<void(const Damaged&)>& note);
+  Contents recover(Replay& replay, const std::function<void(const CorruptionError&)>& note);
 
   // The newest save, then all events after it, into the replay. With `from_start` no save is used,
   // as far as events still go back. `until`: no record with this number or a later one.
@@ -60,13 +60,13 @@
 
  private:
   struct Loaded {
-    SaveInfo info;
+    SnapshotInfo info;
     Parts parts;
   };
   // A whole save. Throws Damaged, also when it is not complete.
-  Loaded load_save(const std::string& name);
+  Loaded load_snapshot(const std::string& name);
   // Both throw Damaged for what cannot be replayed.
-  SaveInfo restore(const std::string& name, Replay& replay);
+  SnapshotInfo restore(const std::string& name, Replay& replay);
   SegmentInfo replay_segment(const std::string& name, Replay& replay,
                              std::optional<std::uint64_t> until);
   void check_links(Contents& contents) const;
--- a/src/history/keeper.cpp
+++ b/src/history/recorder.cpp
@@ -1,4 +1,4 @@
-#include "history/keeper.hpp"
+#include "history/recorder.hpp"
 
 #include <sodium.h>
 #include <spdlog/spdlog.h>
@@ -48,7 +48,7 @@
   const auto begun = core::Clock::now();
   Replay replay;
   Reader reader(*files_, settings.key);
-  const auto contents = reader.recover(replay, [](const Damaged& problem) {
+  const auto contents = reader.recover(replay, [](const CorruptionError& problem) {
     spdlog::error("history: a save is damaged, the one before it is used: {}", problem.what());
   });
   if (const auto* last = contents.last(); last != nullptr && last->torn_bytes > 0)
@@ -67,7 +67,7 @@
 
 void Recorder::leader_ends(core::LearnedState learned_state) {
   learned_state_ = std::move(learned_state);
-  if (log_) guarded([&] { log_->abandon_save(); });
+  if (log_) guarded([&] { log_->abandon_snapshot(); });
 }
 
 void Recorder::leader_elected(core::TimePoint at, const core::LeaderElected& event) {
@@ -81,26 +81,26 @@
   if (log_) guarded([&] { log_->record(origin_.token, at, event); });
 }
 
-void Recorder::acted(core::TimePoint at, const std::vector<core::Action>& actions) {
+void Recorder::record_actions(core::TimePoint at, const std::vector<core::Action>& actions) {
   if (log_ && !actions.empty())
-    guarded([&] { log_->acted(origin_.token, at, digest_of(actions)); });
+    guarded([&] { log_->record_actions(origin_.token, at, digest_of(actions)); });
 }
 
 void Recorder::pump(core::Controller& controller, core::TimePoint now, core::WallTime wall) {
   if (!log_) return;
   guarded([&] {
     log_->flush(now);
-    if (log_->saving())
-      log_->continue_save();
-    else if (log_->save_due(now))
-      log_->begin_save(controller, origin_, elected_at_, now, wall);
+    if (log_->snapshotting())
+      log_->continue_snapshot();
+    else if (log_->snapshot_due(now))
+      log_->begin_snapshot(controller, origin_, elected_at_, now, wall);
   });
 }
 
 std::string Recorder::summary() const {
   if (!log_) return "history off";
   return "history: " + std::to_string(log_->events()) + " events, " +
-         std::to_string(log_->saves_made()) + " saves";
+         std::to_string(log_->snapshots_made()) + " saves";
 }
 
 }  // namespace violetpulley::history
--- a/src/history/keeper.hpp
+++ b/src/history/recorder.hpp
@@ -27,11 +27,11 @@
   // When a leader of this process ends.
   void leader_ends(core::LearnedState learned_state);
   // A save is being made: what would change every machine at once should wait.
-  bool saving() const { return log_ && log_->saving(); }
+  bool snapshotting() const { return log_ && log_->snapshotting(); }
 
   void leader_elected(core::TimePoint at, const core::LeaderElected& event);
   void record(core::TimePoint at, const core::Event& event);
-  void acted(core::TimePoint at, const std::vector<core::Action>& actions);
+  void record_actions(core::TimePoint at, const std::vector<core::Action>& actions);
   // Writes what is due. Call it when `controller` holds all that was recorded and its actions were
   // taken.
   void pump(core::Controller& controller, core::TimePoint now, core::WallTime wall);
--- a/src/history/records.cpp
+++ b/src/history/records.cpp
@@ -46,15 +46,15 @@
   std::size_t at = 0;
   core::Controller::each_part(controller, [&](const char* name, auto& part) {
     if (at >= parts.size() || parts[at].first != name)
-      throw BadValue("the part \"" + std::string(name) + "\" of the state is missing");
+      throw DecodeError("the part \"" + std::string(name) + "\" of the state is missing");
     const auto& bytes = parts[at++].second;
     try {
       const auto handle = msgpack::unpack(bytes.data(), bytes.size());
       read(handle.get(), part);
     } catch (const msgpack::unpack_error& problem) {
-      throw BadValue("the part \"" + std::string(name) + "\" is not msgpack: " + problem.what());
-    } catch (const BadValue& problem) {
-      throw BadValue("the part \"" + std::string(name) + "\": " + problem.what());
+      throw DecodeError("the part \"" + std::string(name) + "\" is not msgpack: " + problem.what());
+    } catch (const DecodeError& problem) {
+      throw DecodeError("the part \"" + std::string(name) + "\": " + problem.what());
     }
   });
 }
@@ -69,11 +69,11 @@
 }
 
 std::string segment_name(std::uint64_t number) { return name(kSegment, number, kSegmentEnd); }
-std::string save_name(std::uint64_t segment) { return name(kSave, segment, kSaveEnd); }
+std::string snapshot_name(std::uint64_t segment) { return name(kSave, segment, kSaveEnd); }
 std::optional<std::uint64_t> segment_number(const std::string& name) {
   return number(name, kSegment, kSegmentEnd);
 }
-std::optional<std::uint64_t> save_number(const std::string& name) {
+std::optional<std::uint64_t> snapshot_number(const std::string& name) {
   return number(name, kSave, kSaveEnd);
 }
 
--- a/src/history/records.hpp
+++ b/src/history/records.hpp
@@ -1,7 +1,7 @@
 // What is in the frames of a history.
 //
-// Events file: a `SegmentHead`, then records in the order in which they entered the core.
-// Save: a `SaveHead`, the parts of the core's state in slices, a `SaveEnd`.
+// Events file: a `SegmentHeader`, then records in the order in which they entered the core.
+// Save: a `SnapshotHeader`, the parts of the core's state in slices, a `SnapshotEnd`.
 #pragma once
 
 #include "core/events.hpp"
@@ -13,7 +13,7 @@
 // Names one history, so that files of two are not mixed.
 using HistoryId = std::string;
 
-struct SegmentHead {
+struct SegmentHeader {
   HistoryId history;
   std::uint64_t segment = 0;
   std::uint64_t first_event = 0;  // how many events came before it in this history
@@ -27,7 +27,7 @@
 };
 
 // What the shells were given after the events before it: a replay must come to the same.
-struct Acted {
+struct ActionsRecorded {
   std::uint64_t digest = 0;
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -38,7 +38,7 @@
 struct Record {
   core::FencingToken token = 0;
   core::TimePoint at{};  // steady clock of the process that wrote it
-  std::variant<core::Event, Acted> what;
+  std::variant<core::Event, ActionsRecorded> what;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -48,7 +48,7 @@
 
 // A machine's report, by what differs from the last one recorded of it in this segment: most of a
 // report is as before, and writing it whole each time cost the most of a history.
-struct ReportChanges {
+struct HeartbeatChanges {
   core::MachineId machine;
   bool answer = false;  // to orders
   std::uint64_t epoch = 0;
@@ -67,7 +67,7 @@
 struct WrittenRecord {
   core::FencingToken token = 0;
   core::TimePoint at{};
-  std::variant<core::Event, Acted, ReportChanges> what;
+  std::variant<core::Event, ActionsRecorded, HeartbeatChanges> what;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -76,7 +76,7 @@
 };
 
 // A save's place: all events before `segment` are in it.
-struct SaveHead {
+struct SnapshotHeader {
   HistoryId history;
   std::uint64_t segment = 0;
   std::uint64_t events = 0;
@@ -93,7 +93,7 @@
 };
 
 // Parts are cut into slices of bytes; the last one of a part says so.
-struct SaveSlice {
+struct SnapshotSlice {
   std::string part;
   bool last = false;
   std::string bytes;
@@ -104,7 +104,7 @@
   }
 };
 
-struct SaveEnd {
+struct SnapshotEnd {
   std::uint64_t state_digest = 0;
 
   template <class S, class F>
@@ -113,19 +113,19 @@
   }
 };
 
-using SavePiece = std::variant<SaveHead, SaveSlice, SaveEnd>;
+using SnapshotPiece = std::variant<SnapshotHeader, SnapshotSlice, SnapshotEnd>;
 
 // The core's state, part by part in the order of `Controller::each_part`.
 using Parts = std::vector<std::pair<std::string, std::string>>;
 Parts parts_of(const core::Controller& controller);
-// Throws BadValue if a part is missing or cannot be read.
+// Throws DecodeError if a part is missing or cannot be read.
 void restore_parts(core::Controller& controller, const Parts& parts);
 std::uint64_t digest_of(const Parts& parts);
 
 std::string segment_name(std::uint64_t number);
-std::string save_name(std::uint64_t segment);
+std::string snapshot_name(std::uint64_t segment);
 // The number in a name of that kind, or none.
 std::optional<std::uint64_t> segment_number(const std::string& name);
-std::optional<std::uint64_t> save_number(const std::string& name);
+std::optional<std::uint64_t> snapshot_number(const std::string& name);
 
 }  // namespace violetpulley::history
--- a/src/history/replay.cpp
+++ b/src/history/replay.cpp
@@ -8,7 +8,7 @@
   return digest.value();
 }
 
-void Replay::restore(const SaveHead& head, const Parts& parts) {
+void Replay::restore(const SnapshotHeader& head, const Parts& parts) {
   origin_ = head.origin;
   elected_at_ = head.elected_at;
   controller_ = core::make_controller(origin_, elected_at_);
@@ -21,13 +21,13 @@
 void Replay::apply(const Record& record) {
   now_ = record.at;
   const auto number = events_++;
-  if (const auto* acted = std::get_if<Acted>(&record.what)) {
-    if (!controller_) throw BadValue("actions come before any takeover");
+  if (const auto* recorded_actions = std::get_if<ActionsRecorded>(&record.what)) {
+    if (!controller_) throw DecodeError("actions come before any takeover");
     const auto actions = controller_->take_actions();
     const auto digest = digest_of(actions);
     actions_.add(digest);
-    if (digest != acted->digest && !difference_)
-      difference_ = Difference{number, acted->digest, digest};
+    if (digest != recorded_actions->digest && !difference_)
+      difference_ = Difference{number, recorded_actions->digest, digest};
     return;
   }
   const auto& event = std::get<core::Event>(record.what);
@@ -37,7 +37,7 @@
     origin_ = {takeover->settings, takeover->token, takeover->former_leases_end, {}};
     return;
   }
-  if (!controller_) throw BadValue("an event comes before any takeover");
+  if (!controller_) throw DecodeError("an event comes before any takeover");
   core::apply(*controller_, event, record.at);
 }
 
--- a/src/history/replay.hpp
+++ b/src/history/replay.hpp
@@ -15,9 +15,9 @@
 
 class Replay {
  public:
-  // Starts from a save. Throws BadValue.
-  void restore(const SaveHead& head, const Parts& parts);
-  // Throws BadValue if an event comes before any takeover.
+  // Starts from a save. Throws DecodeError.
+  void restore(const SnapshotHeader& head, const Parts& parts);
+  // Throws DecodeError if an event comes before any takeover.
   void apply(const Record& record);
 
   const core::Controller* controller() const { return controller_.get(); }
--- a/src/history/state_capture.cpp
+++ b/src/history/state_capture.cpp
@@ -77,10 +77,10 @@
   return items.empty();
 }
 
-std::optional<SaveSlice> StateCapture::next(std::size_t bytes) {
+std::optional<SnapshotSlice> StateCapture::next(std::size_t bytes) {
   if (plan_ == plans_.size()) return std::nullopt;
   auto& plan = plans_[plan_];
-  SaveSlice slice{plan.name, true, {}};
+  SnapshotSlice slice{plan.name, true, {}};
   if (!front_written_) {
     digest_.add_bytes(plan.name);
     slice.bytes = std::move(plan.front);
--- a/src/history/state_capture.hpp
+++ b/src/history/state_capture.hpp
@@ -17,7 +17,7 @@
 
   // The next bytes, about so many: whole machines and jobs are written at once. None after the
   // last.
-  std::optional<SaveSlice> next(std::size_t bytes);
+  std::optional<SnapshotSlice> next(std::size_t bytes);
   // Of everything returned so far, as `digest_of(Parts)`.
   std::uint64_t digest() const { return digest_.value(); }
 
