--- a/src/leader.cpp
+++ b/src/leader.cpp
@@ -5,14 +5,14 @@
 #include <algorithm>
 
 #include "agent/agent_codec.hpp"
-#include "standby/controller_settings.hpp"
-#include "store/leader_records.hpp"
+#include "failover/controller_settings.hpp"
+#include "store/record_codec.hpp"
 #include "wall_clock.hpp"
 
 namespace violetpulley {
 
 using core::Clock;
-using standby::Step;
+using failover::Step;
 using std::chrono::milliseconds;
 using store::Json;
 using store::Outcome;
@@ -20,10 +20,10 @@
 
 namespace {
 
-constexpr std::uint64_t kCostEverySummaries = 6;  // summaries
+constexpr std::uint64_t kSummariesPerCostLine = 6;  // summaries
 constexpr milliseconds kTick{100};
 constexpr std::chrono::minutes kIsolationMemory{3};
-constexpr std::chrono::seconds kListEvery{10};
+constexpr std::chrono::seconds kListInterval{10};
 
 }  // namespace
 
@@ -48,12 +48,12 @@
       writer_(store, token_, settings.state_changes_per_transaction, store::page_bytes(settings)),
       read_barriers_(io, leadership, job_replica),
       command_sender_(
-          io, token_, core::share_sockets({settings.max_sockets, settings.nodes()}, 0).orders,
-          [this, alive = alive_](const core::MachineId& id, const core::Heartbeat* report) {
+          io, token_, core::share_sockets({settings.max_sockets, settings.nodes()}, 0).commands,
+          [this, alive = alive_](const core::MachineId& id, const core::Heartbeat* heartbeat) {
             if (!*alive || !controller_) return;
-            if (report != nullptr) steps_.note(Step::first_answer, Clock::now());
-            feed(core::CommandsAnswered{id,
-                                        report == nullptr ? std::nullopt : std::optional(*report)});
+            if (heartbeat != nullptr) steps_.note(Step::first_answer, Clock::now());
+            feed(core::CommandsAnswered{
+                id, heartbeat == nullptr ? std::nullopt : std::optional(*heartbeat)});
             schedule_pump();
           }),
       tick_timer_(io),
@@ -63,14 +63,14 @@
   if (history.home == config::HistoryHome::state_service) {
     learned_state_store_ = std::make_unique<store::LearnedStateStore>(
         store_, writer_, token_,
-        store::LearnedStateSettings{history.key, history.log.save_every, history.most_age,
+        store::LearnedStateSettings{history.key, history.log.snapshot_interval, history.max_age,
                                     store::page_bytes(settings)});
     // Nothing waits for it: a takeover that is faster goes without.
     learned_state_store_->load(wall_now(), [this](std::optional<core::LearnedState> found) {
       if (found) learned_state_ = std::move(*found);
     });
   }
-  reader_ = std::make_unique<standby::RecoveredStateReader>(
+  reader_ = std::make_unique<failover::RecoveredStateReader>(
       io_, token_, tuning_.commit_starts, store_, writer_, job_replica_, read_barriers_, election_,
       steps_, [this](core::RecoveredState inheritance) { start_leading(std::move(inheritance)); });
 }
@@ -97,12 +97,12 @@
   const auto& job = action.record.job;
   auto record = action.record;
   if (store::placements_bytes(record) > store::page_bytes(settings_)) record = {job, {}, false};
-  writer_.placed().put(job, store::placements_to_json(record), store::placements_bytes(record),
-                       store::WritePriority::urgent, Clock::now(),
-                       [this, job, version = action.version] {
-                         feed(core::PlacementsSaved{job, version});
-                         schedule_pump();
-                       });
+  writer_.placements().put(job, store::placements_to_json(record), store::placements_bytes(record),
+                           store::WritePriority::urgent, Clock::now(),
+                           [this, job, version = action.version] {
+                             feed(core::PlacementsSaved{job, version});
+                             schedule_pump();
+                           });
 }
 
 void Leader::mark_placements() {
@@ -121,14 +121,14 @@
 
 void Leader::start_leading(core::RecoveredState recovered) {
   const bool resigns = !isolated_at_ || Clock::now() - *isolated_at_ > kIsolationMemory;
-  auto controller = standby::controller_settings(settings_, tuning_, wall_now(), resigns);
+  auto controller = failover::controller_settings(settings_, tuning_, wall_now(), resigns);
   const auto now = Clock::now();
   spdlog::info("takeover: {} jobs, {} machines, {} progress records", recovered.jobs.size(),
                recovered.machines.size(), recovered.progress.size());
   std::set<core::JobId> known;
   for (const auto& record : recovered.jobs) known.insert(record.spec.id);
   for (const auto& record : recovered.placements)
-    if (!known.contains(record.job)) writer_.placed().erase(record.job, now);
+    if (!known.contains(record.job)) writer_.placements().erase(record.job, now);
   recovered.learned_state = std::move(learned_state_);
   if (!recovered.learned_state.empty())
     spdlog::info("takeover: beliefs {:.1f} s old about {} jobs, {} machines, {} refused types",
@@ -159,12 +159,12 @@
     pump();
     const auto now = Clock::now();
     log_timeline(now);
-    if (!listing_ && now - last_list_ > kListEvery) list_machines();
+    if (!listing_ && now - last_list_ > kListInterval) list_machines();
     if (now - last_summary_ > std::chrono::seconds(5)) {
       last_summary_ = now;
       spdlog::info("{}", controller_->summary());
       cost_breakdown_.sample(controller_->fleet(), now);
-      if (++summaries_ % kCostEverySummaries == 0) spdlog::info("{}", cost_breakdown_.text());
+      if (++summaries_ % kSummariesPerCostLine == 0) spdlog::info("{}", cost_breakdown_.text());
     }
     schedule_tick();
   });
@@ -186,8 +186,8 @@
   feed_catalog();
   feed(core::Ticked{leadership_.may_serve(now), leadership_.last_proven()}, now);
   auto actions = controller_->take_actions();
-  if (recorder_ != nullptr) recorder_->acted(now, actions);
-  command_sender_.set_most_lines(controller_->orders().shares().orders);
+  if (recorder_ != nullptr) recorder_->record_actions(now, actions);
+  command_sender_.set_max_connections(controller_->commands().shares().commands);
   for (auto& action : actions) execute(action);
   writer_.flush(now);
   if (!recovered_ && !controller_->recovering()) {
@@ -216,11 +216,11 @@
   if (controller_ && controller_->possibly_isolated(now)) feed(core::PeerReceivesHeartbeats{}, now);
 }
 
-void Leader::note_commands(const core::SendCommands& orders) {
+void Leader::note_commands(const core::SendCommands& batch) {
   if (timeline_logged_) return;
   const auto now = Clock::now();
   steps_.note(Step::first_command, now);
-  for (const auto& command : orders.commands) {
+  for (const auto& command : batch.commands) {
     if (command.type != core::CommandType::start) continue;
     const auto job = controller_->jobs().find(command.task.job);
     if (job != controller_->jobs().end())
@@ -252,8 +252,9 @@
   spdlog::info(
       "squared: asked={} most_at_once={} adopted={} done_unstored={} stored_done={} "
       "second_copies={} of_no_job={} unregistered={} new_sessions={} late={} returned={}",
-      reconciler.asked(), controller_->orders().window().peak(), s.adopted, s.ended, s.stored_done,
-      s.second_copies, s.of_no_job, s.unregistered, s.new_sessions, s.late, s.returned);
+      reconciler.asked(), controller_->commands().window().peak(), s.adopted, s.ended,
+      s.stored_done, s.second_copies, s.of_no_job, s.unregistered, s.new_sessions, s.late,
+      s.returned);
 }
 
 void Leader::job_opened(const core::JobRecord& record) {
@@ -265,7 +266,7 @@
 void Leader::job_closed(const core::JobId& id) {
   unverified_.erase(id);
   if (!controller_) return;
-  if (tuning_.commit_starts) writer_.placed().erase(id, Clock::now());
+  if (tuning_.commit_starts) writer_.placements().erase(id, Clock::now());
   feed(core::JobClosed{id});
   schedule_pump();
 }
@@ -305,7 +306,7 @@
 // Prices change every machine: that waits until a save is made, which would have to write all of
 // them at once (history/state_capture.hpp).
 void Leader::feed_catalog() {
-  if (!catalog_due_ || (recorder_ != nullptr && recorder_->saving())) return;
+  if (!catalog_due_ || (recorder_ != nullptr && recorder_->snapshotting())) return;
   catalog_due_ = false;
   feed(core::CatalogKnown{types_});
 }
@@ -322,25 +323,25 @@
   });
 }
 
-void Leader::handle_report(const net::Request& request, const net::Responder& respond) {
+void Leader::handle_heartbeat(const net::Request& request, const net::Responder& respond) {
   const auto now = Clock::now();
   const net::Response refused{503, R"({"error":"not entitled to lead now"})",
                               std::chrono::seconds(1)};
   if (!controller_ || !leadership_.may_serve(now)) return respond(refused);
-  core::Heartbeat report;
+  core::Heartbeat heartbeat;
   try {
-    report = agent::parse_heartbeat(request.body);
+    heartbeat = agent::parse_heartbeat(request.body);
   } catch (const std::exception& problem) {
     spdlog::warn("malformed report: {}", problem.what());
     return respond({400, R"({"error":"malformed report"})", {}});
   }
-  const core::MachineReported event{std::move(report)};
+  const core::HeartbeatReceived event{std::move(heartbeat)};
   feed(event, now);
   schedule_pump();
   // The worker would drop a 200 of a lower token and stay here while its lease runs out.
-  if (event.report.token > token_)
+  if (event.heartbeat.token > token_)
     return respond({503, R"({"error":"another controller leads"})", std::chrono::seconds(1)});
-  auto body = agent::response_body(token_, controller_->response_commands(event.report));
+  auto body = agent::response_body(token_, controller_->response_commands(event.heartbeat));
   // Decided now, not when the report was read: the process may have stood still between the two.
   if (!leadership_.may_serve(Clock::now())) return respond(refused);
   respond({200, std::move(body), {}});
@@ -373,14 +374,14 @@
   const auto now = Clock::now();
   const auto& record = action.record;
   const bool up = !record.endpoint.empty();
-  auto& table = up ? writer_.machines() : writer_.rented();
+  auto& table = up ? writer_.machines() : writer_.provisioning();
   const auto priority =
       up && !action.only_images ? store::WritePriority::urgent : store::WritePriority::deferred;
   table.put(record.id, store::machine_to_json(record), store::kMachineBytes, priority, now,
             [this, id = record.id, up] {
               // Only now: until its registration is committed, the rental's record tells of the
               // machine.
-              if (up) writer_.rented().erase(id, Clock::now());
+              if (up) writer_.provisioning().erase(id, Clock::now());
               feed(core::MachineSaved{id, up, true});
               schedule_pump();
             });
@@ -396,7 +397,7 @@
     } else if constexpr (std::is_same_v<T, core::DeleteMachine>) {
       command_sender_.drop(a.id);
       writer_.machines().erase(a.id, Clock::now());
-      writer_.rented().erase(a.id, Clock::now());
+      writer_.provisioning().erase(a.id, Clock::now());
     } else if constexpr (std::is_same_v<T, core::SaveProgress>) {
       const auto name = store::progress_name(a.record.job, a.record.chunk);
       writer_.progress().put(name, store::progress_to_json(a.record, a.tasks_in_chunk),
@@ -415,14 +416,15 @@
     } else if constexpr (std::is_same_v<T, core::ScaleOut>) {
       spdlog::info("renting {} {} {} in {} ({})", a.count, a.spot ? "spot" : "ordinary", a.type,
                    a.zone, a.name);
-      cloud_.rent(a, [this, alive = alive_, request = a](const core::ScaleOutResult& answer) {
-        if (!*alive) return;
-        if (answer.machines.size() < static_cast<std::size_t>(request.count))
-          spdlog::info("rental {} brought {} of {} machines", request.name, answer.machines.size(),
-                       request.count);
-        feed(core::ScaleOutAnswered{request.name, answer});
-        schedule_pump();
-      });
+      cloud_.request_machines(
+          a, [this, alive = alive_, request = a](const core::ScaleOutResult& answer) {
+            if (!*alive) return;
+            if (answer.machines.size() < static_cast<std::size_t>(request.count))
+              spdlog::info("rental {} brought {} of {} machines", request.name,
+                           answer.machines.size(), request.count);
+            feed(core::ScaleOutAnswered{request.name, answer});
+            schedule_pump();
+          });
     } else if constexpr (std::is_same_v<T, core::ScaleIn>) {
       spdlog::info("returning {} machines ({}), first {}", a.machines.size(), a.cause,
                    a.machines.front());
--- a/src/leader.hpp
+++ b/src/leader.hpp
@@ -2,19 +2,19 @@
 // core asks for. It exists only while this node leads.
 #pragma once
 
-#include "advice/spending.hpp"
-#include "agent/orders_sender.hpp"
+#include "agent/command_sender.hpp"
 #include "cloud/cloud_client.hpp"
 #include "config/history_settings.hpp"
 #include "config/settings.hpp"
 #include "core/events.hpp"
-#include "history/keeper.hpp"
+#include "diagnostics/cost_breakdown.hpp"
+#include "failover/recovered_state_reader.hpp"
+#include "history/recorder.hpp"
 #include "net/http_server.hpp"
-#include "standby/inheritance_reader.hpp"
-#include "store/belief_store.hpp"
 #include "store/election.hpp"
-#include "store/job_mirror.hpp"
+#include "store/job_replica.hpp"
 #include "store/leader_writer.hpp"
+#include "store/learned_state_store.hpp"
 
 namespace violetpulley {
 
@@ -30,7 +30,7 @@
   Leader& operator=(const Leader&) = delete;
 
   bool ready() const { return controller_ != nullptr; }
-  void handle_report(const net::Request& request, const net::Responder& respond);
+  void handle_heartbeat(const net::Request& request, const net::Responder& respond);
   // A sibling says that it does not lead and which leader key it has seen.
   void note_follower(const std::string& member, core::FencingToken follows);
   // Workers come to a sibling.
@@ -52,7 +52,7 @@
   void schedule_pump();
   void pump();
   void log_reconciliation(core::TimePoint now);
-  void note_commands(const core::SendCommands& orders);
+  void note_commands(const core::SendCommands& batch);
   void log_timeline(core::TimePoint now);
   void schedule_tick();
   void execute(core::Action& action);
@@ -74,7 +74,7 @@
   cloud::CloudClient& cloud_;
   core::FencingToken token_;
   core::TimePoint elected_at_;
-  standby::FailoverTimeline steps_;
+  failover::FailoverTimeline steps_;
 
   std::optional<core::TimePoint>&
       isolated_at_;              // when a leader of this process last gave up as deaf
@@ -87,7 +87,7 @@
   asio::steady_timer tick_timer_;
   asio::steady_timer verify_timer_;
   asio::steady_timer mark_timer_;
-  std::unique_ptr<standby::RecoveredStateReader> reader_;
+  std::unique_ptr<failover::RecoveredStateReader> reader_;
   std::unique_ptr<core::Controller> controller_;
   std::vector<core::MachineType> types_;
   core::LearnedState learned_state_;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -28,7 +28,7 @@
 
 namespace {
 constexpr std::chrono::milliseconds kHeldUp{200};
-constexpr std::chrono::seconds kMostHeldUp{3};
+constexpr std::chrono::seconds kMaxHeldUp{3};
 }  // namespace
 
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
@@ -99,7 +99,7 @@
     timer_.async_wait([self](const asio::error_code& error) {
       if (error || self->gone()) return;
       if (!self->held_up_here()) return self->finish(std::nullopt, false);
-      if (steady_clock::now() - self->work_.deadline > kMostHeldUp)
+      if (steady_clock::now() - self->work_.deadline > kMaxHeldUp)
         return self->finish(std::nullopt, false);
       self->wait_until(steady_clock::now() + kHeldUp);
     });
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -10,7 +10,7 @@
 using asio::ip::tcp;
 
 namespace {
-constexpr int kMostAccepted = 64;
+constexpr int kMaxAccepted = 64;
 
 const char* reason(int status) {
   switch (status) {
@@ -271,7 +271,7 @@
     admit(std::move(socket));
     // All that wait, up to a bound: one at a time, each behind everything else that is ready,
     // thousands of workers that look for their leader would wait longer than their patience.
-    for (int more = 0; more < kMostAccepted; ++more) {
+    for (int more = 0; more < kMaxAccepted; ++more) {
       asio::error_code none;
       tcp::socket next(acceptor_.get_executor());
       acceptor_.accept(next, none);
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::chrono::seconds kStoreLost{3};
-constexpr std::chrono::seconds kCatalogEvery{30};
+constexpr std::chrono::seconds kCatalogInterval{30};
 constexpr std::uint64_t kRecentWorkerMs = 3000;  // ms: lately
 constexpr milliseconds kLeaderWatchGap{50};
 constexpr milliseconds kFollowerWatchGap{400};
@@ -31,7 +31,7 @@
   net::ServerLimits limits;
   // A machine that was quiet for longer than its lease has no use for the connection.
   limits.idle_worker =
-      std::chrono::ceil<milliseconds>(settings.workers.lease + settings.workers.report);
+      std::chrono::ceil<milliseconds>(settings.workers.lease + settings.workers.heartbeat_interval);
   return limits;
 }
 
@@ -190,7 +190,7 @@
         if (*alive) catalog_saved_ = result.outcome == Outcome::ok;
       });
     }
-    fetch_catalog_later(kCatalogEvery);
+    fetch_catalog_later(kCatalogInterval);
   });
 }
 
@@ -253,9 +253,9 @@
 // whoever was served by them before, for a moment each: they keep as much as they may.
 void Node::share_sockets() {
   const core::SocketBudget budget{settings_.max_sockets, settings_.nodes()};
-  const auto shares = leader_ && leader_->ready() ? leader_->controller()->orders().shares()
+  const auto shares = leader_ && leader_->ready() ? leader_->controller()->commands().shares()
                                                   : core::share_sockets(budget, budget.sockets);
-  server_.set_limits(shares.accepted(budget.sockets), shares.reports, shares.users);
+  server_.set_limits(shares.accepted(budget.sockets), shares.heartbeats, shares.users);
 }
 
 // A node alone in having lost the store is unhealthy, and so is one that has lost its siblings with
@@ -281,7 +281,7 @@
 
 void Node::report(const net::Request& request, const net::Responder& respond) {
   last_worker_request_ = Clock::now();
-  if (leader_ && leader_->ready()) return leader_->handle_report(request, respond);
+  if (leader_ && leader_->ready()) return leader_->handle_heartbeat(request, respond);
   const auto member = election_.current_member();
   if (!member.empty() && member != settings_.member)
     return respond({421, Json{{"foreman", member}}.dump(), {}});
--- a/src/node.hpp
+++ b/src/node.hpp
@@ -4,7 +4,7 @@
 #include "api/operator_api.hpp"
 #include "api/user_api.hpp"
 #include "leader.hpp"
-#include "mesh/mesh.hpp"
+#include "peers/peer_network.hpp"
 
 namespace violetpulley {
 
--- a/src/mesh/mesh.cpp
+++ b/src/peers/peer_network.cpp
@@ -1,4 +1,4 @@
-#include "mesh/mesh.hpp"
+#include "peers/peer_network.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/mesh/mesh.hpp
+++ b/src/peers/peer_network.hpp
@@ -11,7 +11,7 @@
 #include <set>
 
 #include "config/settings.hpp"
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace violetpulley::peers {
 
--- a/src/solver/exact.cpp
+++ b/src/solver/exact.cpp
@@ -12,10 +12,10 @@
 
 class Exact {
  public:
-  Exact(const Problem& problem, std::uint64_t most_steps, const Effort& first)
+  Exact(const Problem& problem, std::uint64_t max_steps, const Effort& first)
       : problem_(problem),
         first_(first),
-        most_steps_(most_steps),
+        max_steps_(max_steps),
         state_(problem, homes(problem, false)),
         priorities_(priorities_of(problem)),
         decided_(problem.jobs.size()) {
@@ -35,7 +35,7 @@
     job(0);
     best_.steps = steps_;
     out.best = std::move(best_);
-    out.proven = steps_ < most_steps_;
+    out.proven = steps_ < max_steps_;
     if (out.proven) out.bound = out.best.score;
     return out;
   }
@@ -57,7 +57,7 @@
           if (problem_.jobs[j].team == team.name) use += problem_.jobs[j].per_task.of[r] * could[j];
         out.guaranteed += std::min(team.guaranteed.of[r], use);
       }
-    for (std::size_t j = 0; j < problem_.jobs.size(); ++j) out.loss += least_loss(j);
+    for (std::size_t j = 0; j < problem_.jobs.size(); ++j) out.loss += min_loss(j);
     for (std::size_t m = 0; m < problem_.machines.size(); ++m)
       if (const auto bins = state_.bins(m)) {
         ++out.machines;
@@ -113,7 +113,7 @@
     return job.per_task.of[r] == 0 ? INT64_MAX : job.weight() * 1000 / job.per_task.of[r];
   }
 
-  Amount least_loss(std::size_t j) const {
+  Amount min_loss(std::size_t j) const {
     const auto& job = problem_.jobs[j];
     if (job.home.empty() || !job.movable) return 0;
     std::int64_t left = 0;
@@ -127,7 +127,7 @@
     return job.loss * (job.shape == Shape::gang && left > 0 ? running : left);
   }
 
-  bool stopped() const { return steps_ >= most_steps_; }
+  bool stopped() const { return steps_ >= max_steps_; }
 
   void job(std::size_t depth) {
     if (stopped() || !bound().better_than(best_.score)) return;
@@ -189,7 +189,7 @@
 
   const Problem& problem_;
   Effort first_;
-  std::uint64_t most_steps_;
+  std::uint64_t max_steps_;
   State state_;  // what may not be moved is there from the start, whatever comes before it
   std::vector<int> priorities_;
   std::vector<bool> decided_;
@@ -200,8 +200,8 @@
 
 }  // namespace
 
-Proof search_exact(const Problem& problem, std::uint64_t most_steps, const Effort& first) {
-  return Exact(problem, most_steps, first).run();
+Proof search_exact(const Problem& problem, std::uint64_t max_steps, const Effort& first) {
+  return Exact(problem, max_steps, first).run();
 }
 
 Score bound_of(const Problem& problem) { return Exact(problem, 0, {}).bound(); }
--- a/src/solver/filling.cpp
+++ b/src/solver/filling.cpp
@@ -5,8 +5,8 @@
 
 namespace violetpulley::solver {
 
-Filling::Filling(const Problem& problem, const Placement& placement, std::uint64_t most_steps)
-    : problem_(problem), state_(problem, placement), most_steps_(most_steps) {}
+Filling::Filling(const Problem& problem, const Placement& placement, std::uint64_t max_steps)
+    : problem_(problem), state_(problem, placement), max_steps_(max_steps) {}
 
 void Filling::change(std::size_t job, std::size_t machine, std::int64_t delta) {
   if (delta > 0)
@@ -146,7 +146,7 @@
 }
 
 bool Filling::room_for_one(std::size_t j, int depth, std::optional<std::size_t> not_on) {
-  for (std::size_t m = 0; m < problem_.machines.size() && steps_ < most_steps_; ++m)
+  for (std::size_t m = 0; m < problem_.machines.size() && steps_ < max_steps_; ++m)
     if (m != not_on && room_on(j, m, depth)) return true;
   return false;
 }
--- a/src/solver/filling.hpp
+++ b/src/solver/filling.hpp
@@ -14,7 +14,7 @@
 class Filling {
  public:
   // From a placement that keeps every limit. No room is made after so many steps.
-  Filling(const Problem& problem, const Placement& placement, std::uint64_t most_steps);
+  Filling(const Problem& problem, const Placement& placement, std::uint64_t max_steps);
 
   const State& state() const { return state_; }
   std::uint64_t steps() const { return steps_; }
@@ -50,7 +50,7 @@
   const Problem& problem_;
   State state_;
   std::vector<Change> trail_;
-  std::uint64_t most_steps_;
+  std::uint64_t max_steps_;
   std::uint64_t steps_ = 0;
 };
 
--- a/src/solver/model.cpp
+++ b/src/solver/model.cpp
@@ -50,8 +50,8 @@
   return nullptr;
 }
 
-Amount mixing_cost(const Machine& machine, int least_bin, int greatest_bin) {
-  return machine.price * (greatest_bin - least_bin) / (greatest_bin + 1);
+Amount mixing_cost(const Machine& machine, int min_bin, int greatest_bin) {
+  return machine.price * (greatest_bin - min_bin) / (greatest_bin + 1);
 }
 
 Score score_of(const Problem& problem, const Placement& placement) {
--- a/src/solver/model.hpp
+++ b/src/solver/model.hpp
@@ -120,7 +120,7 @@
 std::optional<std::string> broken_limit(const Problem& problem, const Placement& placement);
 // What the longest of its tasks costs beside shorter ones: a machine with mixed bins is kept half
 // empty later (DESIGN: tasks of one bin end together).
-Amount mixing_cost(const Machine& machine, int least_bin, int greatest_bin);
+Amount mixing_cost(const Machine& machine, int min_bin, int greatest_bin);
 // The priorities of all jobs, the greatest first.
 std::vector<int> priorities_of(const Problem& problem);
 const Team* team_of(const Problem& problem, const Job& job);
--- a/src/solver/solver.hpp
+++ b/src/solver/solver.hpp
@@ -30,7 +30,7 @@
 Found search_fast(const Problem& problem, const Effort& effort = {});
 // Stops after so many steps and then has proved its bound alone.
 // `first`: of the fast search that it starts from.
-Proof search_exact(const Problem& problem, std::uint64_t most_steps = 20'000'000,
+Proof search_exact(const Problem& problem, std::uint64_t max_steps = 20'000'000,
                    const Effort& first = {});
 
 // The placement with nothing moved: what runs stays, and free room is filled in order of priority.
--- a/src/store/election.cpp
+++ b/src/store/election.cpp
@@ -151,7 +151,7 @@
                         leadership_.won(result.revision, lease, sent);
                         leader_ = LeaderInfo{member_, peer_address_, lease, result.revision};
                         spdlog::info("won leadership: token {}", result.revision);
-                        renew_later(kRenewEvery);
+                        renew_later(kRenewInterval);
                         events_.leader_changed();
                         events_.won();
                       });
@@ -176,7 +176,7 @@
                           leadership_.record_proof(sent);
                           last_answer_ = Clock::now();
                         }
-                        renew_later(outcome == Outcome::ok ? kRenewEvery : kRenewAgain);
+                        renew_later(outcome == Outcome::ok ? kRenewInterval : kRenewRetry);
                       });
 }
 
--- a/src/store/election.hpp
+++ b/src/store/election.hpp
@@ -1,14 +1,14 @@
 // Stands for leadership by a key attached to a hold, keeps the hold, and tells when it is lost.
 #pragma once
 
-#include "core/leadership.hpp"
+#include "core/failover/leadership.hpp"
 #include "store/store_client.hpp"
 
 namespace violetpulley::store {
 
 // How often a leader renews its key and, with it, its news; and again after no answer.
-inline constexpr std::chrono::milliseconds kRenewEvery{800};
-inline constexpr std::chrono::milliseconds kRenewAgain{250};
+inline constexpr std::chrono::milliseconds kRenewInterval{800};
+inline constexpr std::chrono::milliseconds kRenewRetry{250};
 
 struct LeaderInfo {
   std::string member;
--- a/src/store/job_mirror.cpp
+++ b/src/store/job_replica.cpp
@@ -1,4 +1,4 @@
-#include "store/job_mirror.hpp"
+#include "store/job_replica.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/store/leader_writer.cpp
+++ b/src/store/leader_writer.cpp
@@ -21,9 +21,9 @@
       token_(token),
       max_changes_(max_changes),
       machines_("machines/", page_bytes, milliseconds(2000)),
-      rented_("rented/", page_bytes, milliseconds(700)),
+      provisioning_("rented/", page_bytes, milliseconds(700)),
       progress_("progress/", page_bytes, milliseconds(1500)),
-      placed_("placed/", page_bytes, milliseconds(1500)) {}
+      placements_("placed/", page_bytes, milliseconds(1500)) {}
 
 void LeaderWriter::commit(Transaction transaction, std::function<void(TransactionResult)> done) {
   transaction.conditions.push_back({"leader", token_});
--- a/src/store/leader_writer.hpp
+++ b/src/store/leader_writer.hpp
@@ -19,10 +19,10 @@
   // In the order of their urgency: a start waits for a machine's record, while progress may be
   // late, since only repeated work is at stake.
   PagedRecords& machines() { return machines_; }
-  PagedRecords& rented() { return rented_; }
+  PagedRecords& provisioning() { return provisioning_; }
   PagedRecords& progress() { return progress_; }
   // Where tasks of gangs and services may be: their starts wait for it, after machines.
-  PagedRecords& placed() { return placed_; }
+  PagedRecords& placements() { return placements_; }
 
   // Writes the pages that are due.
   void flush(core::TimePoint now);
@@ -33,7 +33,7 @@
   static constexpr std::size_t kTables = 4;
   using Batches = std::array<PagedRecords::Batch, kTables>;
   std::array<PagedRecords*, kTables> tables() {
-    return {&machines_, &placed_, &rented_, &progress_};
+    return {&machines_, &placements_, &provisioning_, &progress_};
   }
   void flushed(Batches& batches, const TransactionResult& result);
   void reread(const std::string& key);
@@ -42,9 +42,9 @@
   core::FencingToken token_;
   std::size_t max_changes_;
   PagedRecords machines_;
-  PagedRecords rented_;
+  PagedRecords provisioning_;
   PagedRecords progress_;
-  PagedRecords placed_;
+  PagedRecords placements_;
   bool in_flight_ = false;
   int rereading_ = 0;
   core::TimePoint next_flush_{};
--- a/src/store/belief_store.cpp
+++ b/src/store/learned_state_store.cpp
@@ -1,4 +1,4 @@
-#include "store/belief_store.hpp"
+#include "store/learned_state_store.hpp"
 
 #include <sodium.h>
 #include <spdlog/spdlog.h>
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr int kVersion = 1;
-constexpr std::size_t kMostPieces = 6;
+constexpr std::size_t kMaxPieces = 6;
 constexpr int kVariant = sodium_base64_VARIANT_ORIGINAL;
 const std::string kHead = kLearnedStatePrefix + "head";
 
@@ -63,18 +63,19 @@
 
 }  // namespace
 
-BeliefWrites encode_beliefs(const core::LearnedState& learned_state, const std::string& slot,
-                            core::FencingToken token, const LearnedStateSettings& settings) {
+LearnedStateWrites encode_learned_state(const core::LearnedState& learned_state,
+                                        const std::string& slot, core::FencingToken token,
+                                        const LearnedStateSettings& settings) {
   auto bytes = history::packed(learned_state);
   const auto piece = settings.value_bytes * 3 / 4;
-  if (bytes.size() > piece * kMostPieces) {
+  if (bytes.size() > piece * kMaxPieces) {
     auto shorter = learned_state;
-    while (bytes.size() > piece * kMostPieces && !shorter.jobs.empty()) {
+    while (bytes.size() > piece * kMaxPieces && !shorter.jobs.empty()) {
       shorten(shorter);
       bytes = history::packed(shorter);
     }
   }
-  BeliefWrites out;
+  LearnedStateWrites out;
   for (std::size_t at = 0; at < bytes.size(); at += piece)
     out.pieces.push_back({piece_key(slot, out.pieces.size()),
                           Json(to_base64(std::string_view(bytes).substr(at, piece))),
@@ -90,8 +91,9 @@
   return out;
 }
 
-DecodedLearnedState decode_beliefs(const std::vector<Item>& items,
-                                   const LearnedStateSettings& settings, core::WallTime wall) {
+DecodedLearnedState decode_learned_state(const std::vector<Item>& items,
+                                         const LearnedStateSettings& settings,
+                                         core::WallTime wall) {
   DecodedLearnedState out;
   std::map<std::string, const Json*> values;
   for (const auto& item : items) values[item.key] = &item.value;
@@ -128,7 +130,7 @@
     out.problem = problem.what();
     return out;
   }
-  if (out.learned_state->elapsed(wall) > settings.most_age) {
+  if (out.learned_state->elapsed(wall) > settings.max_age) {
     out.problem = "too old";
     out.learned_state.reset();
   }
@@ -144,7 +146,7 @@
                   spdlog::warn("beliefs of the last leader could not be read");
                   return done(std::nullopt);
                 }
-                auto decoded = decode_beliefs(result.items, settings_, wall);
+                auto decoded = decode_learned_state(result.items, settings_, wall);
                 if (!decoded.problem.empty())
                   spdlog::error("beliefs of the last leader are not used: {}", decoded.problem);
                 if (!decoded.slot.empty()) slot_ = decoded.slot;
@@ -161,11 +163,13 @@
   last_ = now;
   in_flight_ = true;
   slot_ = slot_ == "a" ? "b" : "a";
-  send(std::make_shared<BeliefWrites>(encode_beliefs(learned_state, slot_, token_, settings_)), 0);
+  send(std::make_shared<LearnedStateWrites>(
+           encode_learned_state(learned_state, slot_, token_, settings_)),
+       0);
 }
 
 // A piece a transaction: they are small changes that anything else may come between. The head last.
-void LearnedStateStore::send(std::shared_ptr<BeliefWrites> writes, std::size_t from) {
+void LearnedStateStore::send(std::shared_ptr<LearnedStateWrites> writes, std::size_t from) {
   const bool head = from == writes->pieces.size();
   Transaction transaction{{}, {head ? writes->head : writes->pieces[from]}};
   writer_.commit(std::move(transaction),
--- a/src/store/belief_store.hpp
+++ b/src/store/learned_state_store.hpp
@@ -8,7 +8,7 @@
 
 #include <optional>
 
-#include "core/beliefs.hpp"
+#include "core/model/learned_state.hpp"
 #include "history/frames.hpp"
 #include "store/leader_writer.hpp"
 
@@ -17,20 +17,21 @@
 struct LearnedStateSettings {
   std::optional<history::Key> key;
   core::Seconds every{30};
-  core::Seconds most_age{3600};
+  core::Seconds max_age{3600};
   std::size_t value_bytes = 14 * 1024;  // of one key's value
 };
 
 inline const std::string kLearnedStatePrefix = "belief/";
 
 // The writes of one set: pieces first, in any number of transactions, then the head.
-struct BeliefWrites {
+struct LearnedStateWrites {
   std::vector<Write> pieces;
   Write head;
 };
 // Leaves out what is least worth if it would take more than `kMostPieces` values.
-BeliefWrites encode_beliefs(const core::LearnedState& learned_state, const std::string& slot,
-                            core::FencingToken token, const LearnedStateSettings& settings);
+LearnedStateWrites encode_learned_state(const core::LearnedState& learned_state,
+                                        const std::string& slot, core::FencingToken token,
+                                        const LearnedStateSettings& settings);
 
 struct DecodedLearnedState {
   std::optional<core::LearnedState> learned_state;
@@ -38,8 +39,8 @@
   std::string problem;  // why there are none, although something is there
 };
 // `items`: all below `belief/`. `wall`: the time of day now.
-DecodedLearnedState decode_beliefs(const std::vector<Item>& items,
-                                   const LearnedStateSettings& settings, core::WallTime wall);
+DecodedLearnedState decode_learned_state(const std::vector<Item>& items,
+                                         const LearnedStateSettings& settings, core::WallTime wall);
 
 class LearnedStateStore {
  public:
@@ -58,7 +59,7 @@
   void save(const core::LearnedState& learned_state, core::TimePoint now);
 
  private:
-  void send(std::shared_ptr<BeliefWrites> writes, std::size_t from);
+  void send(std::shared_ptr<LearnedStateWrites> writes, std::size_t from);
 
   StoreClient& store_;
   LeaderWriter& writer_;
--- a/src/store/briefing.cpp
+++ b/src/store/read_barrier_loop.cpp
@@ -1,4 +1,4 @@
-#include "store/briefing.hpp"
+#include "store/read_barrier_loop.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -28,7 +28,7 @@
 void ReadBarrierLoop::keep() {
   ask([this](bool fresh) {
     tell(Clock::now());
-    timer_.expires_after(fresh ? kRenewEvery : kRenewAgain);
+    timer_.expires_after(fresh ? kRenewInterval : kRenewRetry);
     timer_.async_wait([this, alive = alive_](const asio::error_code& error) {
       if (*alive && !error) keep();
     });
--- a/src/store/briefing.hpp
+++ b/src/store/read_barrier_loop.hpp
@@ -4,8 +4,8 @@
 // it. Owns the pace and what was last said about serving.
 #pragma once
 
-#include "core/leadership.hpp"
-#include "store/job_mirror.hpp"
+#include "core/failover/leadership.hpp"
+#include "store/job_replica.hpp"
 
 namespace violetpulley::store {
 
--- a/src/store/leader_records.cpp
+++ b/src/store/record_codec.cpp
@@ -1,4 +1,4 @@
-#include "store/leader_records.hpp"
+#include "store/record_codec.hpp"
 
 namespace violetpulley::store {
 
--- a/src/store/leader_records.hpp
+++ b/src/store/record_codec.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "config/settings.hpp"
-#include "core/actions.hpp"
+#include "core/model/actions.hpp"
 #include "store/store_client.hpp"
 
 namespace violetpulley::store {
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -9,8 +9,8 @@
 #include <set>
 #include <string>
 
-#include "core/rate_limiter.hpp"
-#include "core/types.hpp"
+#include "core/dispatch/rate_limiter.hpp"
+#include "core/model/types.hpp"
 #include "net/http_client.hpp"
 
 namespace violetpulley::store {
--- a/src/wall_clock.hpp
+++ b/src/wall_clock.hpp
@@ -1,7 +1,7 @@
 // The time of day, for the shells; the core is told it.
 #pragma once
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace violetpulley {
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -5,7 +5,7 @@
 #include "agent/agent_codec.hpp"
 #include "api/job_codec.hpp"
 #include "cloud/cloud_client.hpp"
-#include "mesh/mesh.hpp"
+#include "peers/peer_network.hpp"
 
 namespace violetpulley {
 namespace {
@@ -133,11 +133,11 @@
     "district":"a","loaners":true,"shift":1,"tally":88,"baton":41,"recall_s":null,
     "cuts":[{"cut":"req-000412/3","try":2,"status":"running"},
             {"cut":"req-000398/0","try":1,"status":"exited","cause":"done"}]})";
-  const auto report = agent::parse_heartbeat(good);
-  EXPECT_EQ(report.tasks.size(), 2U);
-  EXPECT_EQ(report.tasks[0].task.index, 3U);
-  EXPECT_EQ(report.tasks[1].cause, core::ExitCause::done);
-  EXPECT_FALSE(report.notice);
+  const auto heartbeat = agent::parse_heartbeat(good);
+  EXPECT_EQ(heartbeat.tasks.size(), 2U);
+  EXPECT_EQ(heartbeat.tasks[0].task.index, 3U);
+  EXPECT_EQ(heartbeat.tasks[1].cause, core::ExitCause::done);
+  EXPECT_FALSE(heartbeat.notice);
   const std::pair<const char*, Json> bad[] = {{"shift", -1},     {"tally", "x"}, {"rig", 5},
                                               {"recall_s", "x"}, {"cuts", 3},    {"baton", 1.5}};
   for (const auto& [field, value] : bad) {
--- a/tests/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -76,8 +76,8 @@
       {"[settings.cloud]", "[settings.other]", "settings.cloud"},
       {"member = \"n-1\"", "member = \"n-0\"", "named twice"},
       {"nodes = 2", "nodes = = 2", "line"}};
-  for (const auto& [from, to, word] : cases)
-    EXPECT_NE(complaint(from, to).find(word), std::string::npos) << from << " -> " << to;
+  for (const auto& [from, to, message] : cases)
+    EXPECT_NE(complaint(from, to).find(message), std::string::npos) << from << " -> " << to;
 }
 
 TEST(Tuning, IsCheckedAndUnknownNamesAreRefused) {
@@ -90,7 +90,7 @@
   EXPECT_THROW(parse_operators("round_s: 1000"), SettingsError);
   const auto gentle = parse_operators("{most_orders: 64, most_given_up: 0, still_alive: 1}").tuning;
   EXPECT_EQ(gentle.max_commands_in_flight, 64U);
-  EXPECT_EQ(gentle.most_given_up, 0);
+  EXPECT_EQ(gentle.max_declared_dead_share, 0);
   EXPECT_EQ(gentle.still_alive, 1);
   for (const char* bad :
        {"most_orders: 2", "most_orders: many", "most_given_up: 1.5", "still_alive: -1"})
--- a/tests/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -1,9 +1,9 @@
 // The pure parts against small worked examples from DESIGN and the paper.
 #include <gtest/gtest.h>
 
-#include "core/clearing.hpp"
+#include "core/autoscaling/consolidation_rules.hpp"
 #include "core/controller.hpp"
-#include "core/leadership.hpp"
+#include "core/failover/leadership.hpp"
 
 namespace violetpulley::core {
 namespace {
@@ -53,7 +53,7 @@
   EXPECT_EQ(remaining_run_time(Seconds(10), Seconds(25)), Seconds(25));
 }
 
-TEST(Packer, OwnBinByClosestThenGreaterThenLesserByRoom) {
+TEST(BinPacker, OwnBinByClosestThenGreaterThenLesserByRoom) {
   Fleet fleet;
   auto& far = machine_with(fleet, "far", 8, Seconds(15.5));  // bin of 10 s: [8, 16)
   auto& near = machine_with(fleet, "near", 8, Seconds(9));   // the same bin, closer
@@ -61,7 +61,7 @@
   auto& roomy = machine_with(fleet, "roomy", 16, Seconds(50));  // greater too, more room
   auto& lesser = machine_with(fleet, "lesser", 32, Seconds(3));
   const auto spec = spec_of(1, 1, Seconds(10));
-  Packer packer(Seconds(1), kNow);
+  BinPacker packer(Seconds(1), kNow);
   for (auto* machine : {&far, &near, &greater, &roomy, &lesser}) packer.offer(*machine);
   std::set<MachineId> barred;
   const auto choose = [&] {
@@ -76,12 +76,12 @@
   EXPECT_EQ(choose(), nullptr);
 }
 
-TEST(Packer, PrefersAMachineThatHoldsTheImage) {
+TEST(BinPacker, PrefersAMachineThatHoldsTheImage) {
   Fleet fleet;
   auto& closest = machine_with(fleet, "closest", 8, Seconds(10), false);
   auto& holder = machine_with(fleet, "holder", 8, Seconds(40), true);
   const auto spec = spec_of(1, 1, Seconds(10));
-  Packer packer(Seconds(1), kNow);
+  BinPacker packer(Seconds(1), kNow);
   packer.offer(closest);
   packer.offer(holder);
   EXPECT_EQ(packer.choices(spec, Seconds(10), [](const Machine&) { return true; }).best(), &holder);
--- a/tests/orders_test.cpp
+++ b/tests/core/dispatch/command_dispatcher_test.cpp
@@ -1,7 +1,7 @@
 // Orders to many machines over a bounded number of connections.
 #include <gtest/gtest.h>
 
-#include "agent/orders_sender.hpp"
+#include "agent/command_sender.hpp"
 #include "net/http_server.hpp"
 
 namespace violetpulley::agent {
@@ -10,8 +10,8 @@
 // Machines that answer, the orders for them, and who sends those.
 struct Yard {
   explicit Yard(asio::io_context& io)
-      : sender(io, 7, 2, [this](const core::MachineId& id, const core::Heartbeat* report) {
-          ASSERT_NE(report, nullptr) << id;
+      : sender(io, 7, 2, [this](const core::MachineId& id, const core::Heartbeat* heartbeat) {
+          ASSERT_NE(heartbeat, nullptr) << id;
           answered.insert(id);
         }) {
     for (int i = 0; i < 6; ++i) {
@@ -28,11 +28,11 @@
                          R"(","bench":"small","district":"a","shift":1,"tally":1})",
                      {}});
           }));
-      orders.push_back({id, endpoint, 1, {}});
+      batch.push_back({id, endpoint, 1, {}});
     }
   }
   std::vector<std::unique_ptr<net::HttpServer>> machines;
-  std::vector<core::SendCommands> orders;
+  std::vector<core::SendCommands> batch;
   std::multiset<core::MachineId> answered;
   CommandSender sender;  // with two lines
 };
@@ -45,15 +45,15 @@
   auto& answered = yard.answered;
   auto& sender = yard.sender;
   for (int round = 1; round <= 2; ++round)
-    for (const auto& order : yard.orders) {
+    for (const auto& order : yard.batch) {
       const auto before = answered.size();
       sender.send(order);
       for (int i = 0; i < 200 && answered.size() == before; ++i)
         io.run_for(std::chrono::milliseconds(20));
       EXPECT_EQ(answered.size(), before + 1);
-      EXPECT_LE(sender.lines(), 2U);
+      EXPECT_LE(sender.connections(), 2U);
     }
-  for (const auto& order : yard.orders) EXPECT_EQ(answered.count(order.machine), 2U);
+  for (const auto& order : yard.batch) EXPECT_EQ(answered.count(order.machine), 2U);
 }
 
 // Found with half as many machines again as the users' files show: after a takeover each machine
@@ -64,11 +64,11 @@
   auto& answered = yard.answered;
   auto& sender = yard.sender;
   for (int round = 1; round <= 2; ++round) {
-    for (const auto& order : yard.orders) sender.send(order);
-    for (int i = 0; i < 200 && answered.size() < yard.orders.size() * round; ++i)
+    for (const auto& order : yard.batch) sender.send(order);
+    for (int i = 0; i < 200 && answered.size() < yard.batch.size() * round; ++i)
       io.run_for(std::chrono::milliseconds(20));
-    EXPECT_EQ(answered.size(), yard.orders.size() * round);
-    EXPECT_LE(sender.lines(), 2U);
+    EXPECT_EQ(answered.size(), yard.batch.size() * round);
+    EXPECT_LE(sender.connections(), 2U);
   }
 }
 
@@ -88,10 +88,11 @@
                             respond({200, body, {}});
                           });
     std::vector<bool> answers;
-    CommandSender sender(io, 7, 2, [&](const core::MachineId& id, const core::Heartbeat* report) {
-      EXPECT_EQ(id, "m-1");
-      answers.push_back(report != nullptr);
-    });
+    CommandSender sender(io, 7, 2,
+                         [&](const core::MachineId& id, const core::Heartbeat* heartbeat) {
+                           EXPECT_EQ(id, "m-1");
+                           answers.push_back(heartbeat != nullptr);
+                         });
     sender.send({"m-1", "127.0.0.1:" + std::to_string(at.port()), 1, {}});
     for (int i = 0; i < 200 && answers.empty(); ++i) io.run_for(std::chrono::milliseconds(20));
     EXPECT_EQ(answers, std::vector<bool>{false});
--- a/tests/reckoning_test.cpp
+++ b/tests/core/failover/reconciliation_test.cpp
@@ -16,16 +16,16 @@
     for (const std::size_t machines : {0, 50, 2112, 7000, 40'000}) {
       SCOPED_TRACE(std::to_string(sockets) + " sockets, " + std::to_string(machines));
       const auto shares = share_sockets({sockets, 5}, machines);
-      EXPECT_LE(shares.own + shares.reports + shares.orders + shares.users, sockets);
-      EXPECT_GE(shares.orders, 4U);
+      EXPECT_LE(shares.own + shares.heartbeats + shares.commands + shares.users, sockets);
+      EXPECT_GE(shares.commands, 4U);
       EXPECT_GE(shares.users, 4U);
-      EXPECT_GE(shares.reports, std::min(machines, sockets / 3));
-      EXPECT_EQ(shares.accepted(sockets), sockets - shares.own - shares.orders);
+      EXPECT_GE(shares.heartbeats, std::min(machines, sockets / 3));
+      EXPECT_EQ(shares.accepted(sockets), sockets - shares.own - shares.commands);
     }
   // The users' larger fleet, half as many machines again: a tenth is left over.
   const auto shares = share_sockets({3494, 5}, 2112);
-  EXPECT_GE(shares.reports, 2112U);
-  EXPECT_LT(shares.own + 2112 + shares.orders + shares.users, 3494U * 9 / 10);
+  EXPECT_GE(shares.heartbeats, 2112U);
+  EXPECT_LT(shares.own + 2112 + shares.commands + shares.users, 3494U * 9 / 10);
 }
 
 TEST(InFlightWindow, GrowsOnAnswersAndShrinksOnSlowAndMissingOnes) {
@@ -102,14 +102,15 @@
                          TaskState state = TaskState::running, ExitCause cause = ExitCause::none) {
     return {{job, index}, attempt, state, cause, false};
   }
-  void report(const MachineId& id, std::vector<TaskStatus> tasks, FencingToken token = kToken,
-              std::uint64_t epoch = 1, std::uint64_t heartbeat_sequence = 0) {
-    Heartbeat report{id, "10.0.0.1:1", "bench", "a", true, epoch, 0, token, {}, {}};
-    report.heartbeat_sequence = heartbeat_sequence != 0 ? heartbeat_sequence : ++sequence_;
-    report.tasks = std::move(tasks);
-    controller_->report(report, now_);
-    for (const auto& command : controller_->response_commands(report)) commands_.push_back(command);
-    if (token <= kToken) last_[id] = std::move(report);
+  void heartbeat(const MachineId& id, std::vector<TaskStatus> tasks, FencingToken token = kToken,
+                 std::uint64_t epoch = 1, std::uint64_t heartbeat_sequence = 0) {
+    Heartbeat heartbeat{id, "10.0.0.1:1", "bench", "a", true, epoch, 0, token, {}, {}};
+    heartbeat.heartbeat_sequence = heartbeat_sequence != 0 ? heartbeat_sequence : ++sequence_;
+    heartbeat.tasks = std::move(tasks);
+    controller_->heartbeat(heartbeat, now_);
+    for (const auto& command : controller_->response_commands(heartbeat))
+      commands_.push_back(command);
+    if (token <= kToken) last_[id] = std::move(heartbeat);
   }
   // A machine that is neither idle nor full.
   static std::vector<TaskStatus> busy() {
@@ -122,20 +123,20 @@
       if (unreachable_) controller_->commands_answered(id, nullptr, now_);
       return;
     }
-    auto& report = found->second;
-    report.heartbeat_sequence = ++sequence_;
-    report.token = kToken;
-    controller_->commands_answered(id, &report, now_);
+    auto& heartbeat = found->second;
+    heartbeat.heartbeat_sequence = ++sequence_;
+    heartbeat.token = kToken;
+    controller_->commands_answered(id, &heartbeat, now_);
   }
   // Passes time and collects what the leader orders.
   void run(Seconds length) {
     for (const auto end = now_ + to_duration(length); now_ < end; now_ += milliseconds(100)) {
       controller_->tick(now_, true, now_);
       for (auto& action : controller_->take_actions()) {
-        if (auto* orders = std::get_if<SendCommands>(&action)) {
-          asked_.push_back(orders->machine);
-          for (const auto& command : orders->commands) commands_.push_back(command);
-          answer(orders->machine);
+        if (auto* batch = std::get_if<SendCommands>(&action)) {
+          asked_.push_back(batch->machine);
+          for (const auto& command : batch->commands) commands_.push_back(command);
+          answer(batch->machine);
         } else if (const auto* rent = std::get_if<ScaleOut>(&action)) {
           ++rents_;
           controller_->scale_out_answered(rent->name, {ScaleOutResult::Kind::no_capacity, {}},
@@ -179,11 +180,11 @@
 
 TEST_F(Takeover, WhatRunsIsAdoptedAndTheRestStartsWhenAllHaveAnswered) {
   stored({"m1", "m2"}, {job("req-1", 3)});
-  report("m1", {task("req-1", 0)});
+  heartbeat("m1", {task("req-1", 0)});
   run(Seconds(0.5));
   EXPECT_EQ(stats().adopted, 1U);
   EXPECT_EQ(count(CommandType::start), 0U) << "m2 may run the other two";
-  report("m2", {});
+  heartbeat("m2", {});
   run(Seconds(0.5));
   EXPECT_EQ(count(CommandType::start), 2U);
 }
@@ -229,14 +230,14 @@
 
 TEST_F(Takeover, WhoReportsUnderOurTokenIsNotAsked) {
   stored({"m1", "m2"}, {job("req-1", 3)});
-  report("m1", {});
+  heartbeat("m1", {});
   run(Seconds(0.3));
   EXPECT_EQ(asked_, std::vector<MachineId>{"m2"});
 }
 
 TEST_F(Takeover, WhoReportsUnderAnOlderTokenIsGivenTimeToSayMore) {
   stored({"m1", "m2"}, {job("req-1", 3)});
-  report("m1", {}, kToken - 1);
+  heartbeat("m1", {}, kToken - 1);
   run(Seconds(0.9));
   EXPECT_EQ(asked_, std::vector<MachineId>{"m2"});
   run(Seconds(0.6));
@@ -245,7 +246,7 @@
 
 TEST_F(Takeover, StoredAsDoneButStillRunningIsStopped) {
   stored({"m1"}, {job("req-1", 2)}, {{"req-1", 0, {{0, 0}}, {}}});
-  report("m1", {task("req-1", 0)});
+  heartbeat("m1", {task("req-1", 0)});
   run(Seconds(1));
   EXPECT_EQ(stats().stored_done, 1U);
   EXPECT_EQ(count(CommandType::stop), 1U);
@@ -253,7 +254,7 @@
 
 TEST_F(Takeover, ReportedDoneAndNotStoredIsStoredBeforeItIsForgotten) {
   stored({"m1"}, {job("req-1", 2)});
-  report("m1", {task("req-1", 0, 3, TaskState::exited, ExitCause::done)});
+  heartbeat("m1", {task("req-1", 0, 3, TaskState::exited, ExitCause::done)});
   run(Seconds(3));
   EXPECT_EQ(stats().ended, 1U);
   EXPECT_GT(saves_of_progress(), 0U);
@@ -264,15 +265,15 @@
 
 TEST_F(Takeover, TasksOfJobsThatEndedMeanwhileAreStopped) {
   stored({"m1"}, {});
-  report("m1", {task("req-9", 0)});
+  heartbeat("m1", {task("req-9", 0)});
   EXPECT_EQ(stats().of_no_job, 1U);
   EXPECT_EQ(count(CommandType::stop), 1U);
 }
 
 TEST_F(Takeover, OfTwoCopiesTheSecondIsStopped) {
   stored({"m1", "m2"}, {job("req-1", 1)});
-  report("m1", {task("req-1", 0, 3)});
-  report("m2", {task("req-1", 0, 4)});
+  heartbeat("m1", {task("req-1", 0, 3)});
+  heartbeat("m2", {task("req-1", 0, 4)});
   run(Seconds(1));
   EXPECT_EQ(stats().second_copies, 1U);
   ASSERT_EQ(count(CommandType::stop), 1U);
@@ -281,20 +282,20 @@
 
 TEST_F(Takeover, HalfAGangIsStoppedWholeBeforeItStartsAnew) {
   stored({"m1", "m2"}, {job("req-1", 2, Shape::gang)});
-  report("m1", {task("req-1", 0)});
-  report("m2", {});
+  heartbeat("m1", {task("req-1", 0)});
+  heartbeat("m2", {});
   run(Seconds(1));
   EXPECT_EQ(count(CommandType::stop), 1U);
   EXPECT_EQ(count(CommandType::start), 0U) << "the first task is still there";
-  report("m1", {});
+  heartbeat("m1", {});
   run(Seconds(1));
   EXPECT_EQ(count(CommandType::start), 2U);
 }
 
 TEST_F(Takeover, AReplicaTooManyIsNotStartedAgain) {
   stored({"m1", "m2"}, {job("req-1", 1, Shape::service)});
-  report("m1", {task("req-1", 0, 3)});
-  report("m2", {task("req-1", 0, 4)});
+  heartbeat("m1", {task("req-1", 0, 3)});
+  heartbeat("m2", {task("req-1", 0, 4)});
   run(Seconds(1));
   EXPECT_EQ(count(CommandType::stop), 1U);
   EXPECT_EQ(count(CommandType::start), 0U);
@@ -302,8 +303,8 @@
 
 TEST_F(Takeover, ALaterSessionLosesWhatTheEarlierOneHad) {
   stored({"m1"}, {job("req-1", 1)});
-  report("m1", {task("req-1", 0)}, kToken - 1, 1, 5);
-  report("m1", {}, kToken, 2, 6);
+  heartbeat("m1", {task("req-1", 0)}, kToken - 1, 1, 5);
+  heartbeat("m1", {}, kToken, 2, 6);
   run(Seconds(0.5));
   EXPECT_EQ(stats().new_sessions, 1U);
   EXPECT_EQ(count(CommandType::start), 1U);
@@ -311,9 +312,9 @@
 
 TEST_F(Takeover, AnOlderReportIsPassedOver) {
   stored({"m1", "m2"}, {job("req-1", 1)});
-  report("m1", {}, kToken, 2, 6);
-  report("m1", {task("req-1", 0)}, kToken - 1, 1, 9);  // a former session's, held on its way
-  report("m1", {task("req-1", 0)}, kToken, 2, 5);
+  heartbeat("m1", {}, kToken, 2, 6);
+  heartbeat("m1", {task("req-1", 0)}, kToken - 1, 1, 9);  // a former session's, held on its way
+  heartbeat("m1", {task("req-1", 0)}, kToken, 2, 5);
   EXPECT_EQ(stats().late, 2U);
   EXPECT_EQ(stats().adopted, 0U);
 }
@@ -322,9 +323,9 @@
 // held on its way; the task had since been started on the same machine under another attempt.
 TEST_F(Takeover, ALaterAttemptOnTheSameMachineIsNotLostWithTheEarlierOne) {
   stored({"m1", "m2"}, {job("req-1", 1)});
-  report("m2", {});
-  report("m1", {task("req-1", 0, 3)}, kToken - 1, 1, 27);
-  report("m1", {task("req-1", 0, 4)}, kToken, 1, 49);
+  heartbeat("m2", {});
+  heartbeat("m1", {task("req-1", 0, 3)}, kToken - 1, 1, 27);
+  heartbeat("m1", {task("req-1", 0, 4)}, kToken, 1, 49);
   run(Seconds(2));
   EXPECT_EQ(count(CommandType::start), 0U) << "it runs on m1";
   EXPECT_EQ(count(CommandType::stop), 0U);
@@ -332,7 +333,7 @@
 
 TEST_F(Takeover, AMachineThatIsNotStoredIsRegisteredBeforeAnythingStartsThere) {
   stored({}, {job("req-1", 1)});
-  report("new", {});
+  heartbeat("new", {});
   run(Seconds(0.5));
   EXPECT_EQ(count(CommandType::start), 0U);
   controller_->machine_saved("new", true, true);
@@ -343,7 +344,7 @@
 TEST_F(Takeover, AMovedEndpointIsWhatOrdersGoTo) {
   stored({"m1"}, {job("req-1", 1)});
   Heartbeat moved{"m1", "10.0.0.9:9", "bench", "a", true, 1, 1, kToken, {}, {}};
-  controller_->report(moved, now_);
+  controller_->heartbeat(moved, now_);
   controller_->tick(now_, true, now_);
   std::string stored_endpoint;
   for (auto& action : controller_->take_actions())
@@ -355,13 +356,13 @@
   controller_->tick(now_ + milliseconds(200), true, now_);
   std::string endpoint;
   for (auto& action : controller_->take_actions())
-    if (const auto* orders = std::get_if<SendCommands>(&action)) endpoint = orders->endpoint;
+    if (const auto* batch = std::get_if<SendCommands>(&action)) endpoint = batch->endpoint;
   EXPECT_EQ(endpoint, "10.0.0.9:9");
 }
 
 TEST_F(Takeover, AWorkerThatHasSeenAHigherTokenEndsTheLeader) {
   stored({"m1"}, {job("req-1", 1)});
-  report("m1", {}, kToken + 1);
+  heartbeat("m1", {}, kToken + 1);
   run(Seconds(0.2));
   EXPECT_TRUE(std::any_of(actions_.begin(), actions_.end(), [](const Action& action) {
     return std::holds_alternative<Resign>(action);
@@ -375,7 +376,7 @@
   stored({}, {job("req-1", 2000)});
   for (int i = 0; i < 400; ++i) {
     const auto id = std::to_string(1000 + i);
-    report(id, {});
+    heartbeat(id, {});
     controller_->machine_saved(id, true, true);
   }
   const auto placed = [&] {
@@ -403,14 +404,14 @@
 TEST_F(Takeover, AMachineThatWasAnsweredIsWaitedForUntilItsLeaseHasRunOut) {
   stored({"m1", "m2"}, {job("req-1", 1), job("req-2", 3)});
   for (int second = 0; second < 50; ++second) {
-    report("m2", busy());
+    heartbeat("m2", busy());
     run(Seconds(1));
   }
-  report("m1", {}, kToken - 1);
+  heartbeat("m1", {}, kToken - 1);
   last_.erase("m1");
   const auto lease = WorkerTimes{}.lease;
   for (int second = 0; second < 60; ++second) {
-    report("m2", busy());
+    heartbeat("m2", busy());
     run(Seconds(1));
     if (Seconds(second) < lease) {
       ASSERT_EQ(count(CommandType::start), 0U) << "after " << second << " s";
@@ -424,7 +425,7 @@
 // off.
 TEST_F(Takeover, TheAnswerThatRenewsALeaseStopsWhatHasEnded) {
   stored({"m1"}, {job("req-1", 1)});
-  report("m1", {task("req-1", 0), task("req-9", 0, 4)}, kToken - 1);
+  heartbeat("m1", {task("req-1", 0), task("req-9", 0, 4)}, kToken - 1);
   ASSERT_EQ(commands_.size(), 1U) << "with that very answer";
   EXPECT_EQ(commands_[0].type, CommandType::stop);
   EXPECT_EQ(commands_[0].task.job, "req-9");
@@ -439,7 +440,7 @@
   const auto wait = [&](int seconds, int heard) {
     for (int second = 0; second < seconds; ++second) {
       for (int i = 0; i < heard; ++i)
-        report(all[static_cast<std::size_t>(i)], i == 0 ? busy() : std::vector<TaskStatus>{});
+        heartbeat(all[static_cast<std::size_t>(i)], i == 0 ? busy() : std::vector<TaskStatus>{});
       run(Seconds(1));
     }
   };
@@ -459,14 +460,14 @@
 // It listed a task of a job that has ended, was told to stop it, and says nothing since.
 TEST_F(Takeover, WhoListedEndedWorkAndFellSilentIsReturnedInTimeHoweverManyAre) {
   stored({"m1", "m2", "m3", "m4"}, {job("req-2", 3)});
-  report("m1", {task("req-9", 0)});
-  report("m2", busy());
-  for (const auto* id : {"m3", "m4"}) report(id, {});
+  heartbeat("m1", {task("req-9", 0)});
+  heartbeat("m2", busy());
+  for (const auto* id : {"m3", "m4"}) heartbeat(id, {});
   last_.clear();
   unreachable_ = true;
   const auto lease = WorkerTimes{}.lease;
   for (int second = 0; Seconds(second) < lease / 2 + Seconds(2); ++second) {
-    report("m2", busy());
+    heartbeat("m2", busy());
     run(Seconds(1));
   }
   EXPECT_EQ(std::set<MachineId>(returned_.begin(), returned_.end()), (std::set<MachineId>{"m1"}));
@@ -480,11 +481,11 @@
     stored({"m1", "m2"}, {job("req-1", 1), job("req-2", 3)});
     const auto start = now_;
     std::optional<Seconds> started;
-    report("m2", busy());
+    heartbeat("m2", busy());
     run(Seconds(1));
     if (gone) controller_->former_leaders_gone(now_);
     for (int second = 0; second < 70 && !started; ++second) {
-      report("m2", busy());
+      heartbeat("m2", busy());
       run(Seconds(1));
       if (count(CommandType::start) > 0) started = now_ - start;
     }
@@ -498,18 +499,18 @@
 // processor returned a quarter of a healthy fleet five seconds after its takeover.
 TEST_F(Takeover, AMachineThatWasNotAskedTwiceIsNotReturned) {
   stored({"m1", "m2", "m3"}, {job("req-1", 30)});
-  report("m1", {});
-  report("m2", {});
+  heartbeat("m1", {});
+  heartbeat("m2", {});
   run(Seconds(7));  // m3 is asked once, and the answer is still awaited
   EXPECT_TRUE(returned_.empty());
   controller_->commands_answered("m3", nullptr, now_);
-  report("m1", {});
-  report("m2", {});
+  heartbeat("m1", {});
+  heartbeat("m2", {});
   run(Seconds(0.5));
   EXPECT_TRUE(returned_.empty());
   controller_->commands_answered("m3", nullptr, now_);
-  report("m1", {});
-  report("m2", {});
+  heartbeat("m1", {});
+  heartbeat("m2", {});
   run(Seconds(0.5));
   EXPECT_EQ(returned_, std::vector<MachineId>{"m3"});
 }
--- a/tests/contact_test.cpp
+++ b/tests/core/machines/failure_detector_test.cpp
@@ -1,13 +1,13 @@
 // Hearing is not reaching, and a copy is not a sign of life (core/contact.hpp, docs/safety.md,
 // "Reports that prove less than they seem to").
-#include "core/contact.hpp"
+#include "core/machines/failure_detector.hpp"
 
-#include "leader_of_workers.hpp"
+#include "support/leader_with_agents.hpp"
 
 namespace violetpulley::core {
 namespace {
 
-class Reach : public LeaderOfWorkers {
+class Reach : public LeaderWithAgents {
  protected:
   void fill_eight_machines() {
     begin(8, 0);
@@ -87,7 +87,7 @@
 // returned for its silence, but what was cancelled there must go.
 TEST_F(Reach, CancelledWorkOnHungMachinesIsGoneInTimeHoweverManyHang) {
   fill_eight_machines();
-  for (int i = 0; i < 5; ++i) workers_[name(i)].says = workers_[name(i)].gets = false;
+  for (int i = 0; i < 5; ++i) workers_[name(i)].sends_heartbeats = workers_[name(i)].gets = false;
   run(Seconds(1));
   controller_->job_closed("req-1", now_);
   run(times_.cancel - Seconds(5));
@@ -197,10 +197,10 @@
 // Found by inc-c2d3: a leader cut off from its workers returned nine healthy machines, those that
 // had reported longest ago, before it noticed after ten seconds that nobody was heard.
 TEST_F(Reach, ALeaderThatHearsNobodyStepsBackBeforeItReturnsAnything) {
-  report_every_ = Seconds(5);
+  heartbeat_interval_ = Seconds(5);
   begin(40, 0);
   run(Seconds(5));
-  for (auto& [id, worker] : workers_) worker.says = worker.gets = false;
+  for (auto& [id, worker] : workers_) worker.sends_heartbeats = worker.gets = false;
   const auto cut = now_;
   run(Seconds(12));
   ASSERT_TRUE(resigned_);
@@ -211,17 +211,17 @@
 
 // The last one to hear nothing waits, and still must not return its whole fleet one by one.
 TEST_F(Reach, OneThatMayNotStepBackReturnsNobodyWhileItHearsNobody) {
-  report_every_ = Seconds(5);
+  heartbeat_interval_ = Seconds(5);
   resigns_when_deaf_ = false;
   begin(40, 0);
   run(Seconds(5));
-  for (auto& [id, worker] : workers_) worker.says = worker.gets = false;
+  for (auto& [id, worker] : workers_) worker.sends_heartbeats = worker.gets = false;
   run(Seconds(50));
   EXPECT_FALSE(resigned_);
   EXPECT_TRUE(returned_.empty()) << causes_;
   // The end of the cut, after which they come one by one: found by hunt-fa96, where those that had
   // not come yet were returned as silent, and those that had as out of reach.
-  for (auto& [id, worker] : workers_) worker.says = worker.gets = true;
+  for (auto& [id, worker] : workers_) worker.sends_heartbeats = worker.gets = true;
   run(Seconds(12));
   EXPECT_TRUE(returned_.empty()) << causes_;
 }
@@ -232,7 +232,7 @@
   resigns_when_deaf_ = false;
   begin(40, 0);
   run(Seconds(5));
-  for (auto& [id, worker] : workers_) worker.says = worker.gets = false;
+  for (auto& [id, worker] : workers_) worker.sends_heartbeats = worker.gets = false;
   run(Seconds(4));
   EXPECT_FALSE(resigned_);
   controller_->note_peer_receives_heartbeats(now_);
@@ -246,14 +246,14 @@
   begin(20, 0);
   run(Seconds(5));
   serving_ = false;
-  for (auto& [id, worker] : workers_) worker.says = worker.gets = false;
+  for (auto& [id, worker] : workers_) worker.sends_heartbeats = worker.gets = false;
   run(Seconds(30));
   EXPECT_FALSE(resigned_);
   serving_ = true;
   int i = 0;
-  for (auto& [id, worker] : workers_) worker.says = worker.gets = i++ % 3 != 0;
+  for (auto& [id, worker] : workers_) worker.sends_heartbeats = worker.gets = i++ % 3 != 0;
   run(Seconds(3));
-  for (auto& [id, worker] : workers_) worker.says = worker.gets = true;
+  for (auto& [id, worker] : workers_) worker.sends_heartbeats = worker.gets = true;
   run(Seconds(6));
   EXPECT_TRUE(returned_.empty()) << causes_;
   EXPECT_FALSE(resigned_);
@@ -266,11 +266,11 @@
   run(Seconds(2));
   controller_->job_opened(job("req-1", 12), now_);
   run(Seconds(2));
-  const auto early = report_of(name(0));
+  const auto early = heartbeat_of(name(0));
   run(Seconds(4));
   controller_->job_closed("req-1", now_);
   const auto before = *controller_->fleet().find(name(0))->last_heartbeat;
-  controller_->report(early, now_);
+  controller_->heartbeat(early, now_);
   EXPECT_EQ(*controller_->fleet().find(name(0))->last_heartbeat, before);
   EXPECT_TRUE(controller_->response_commands(early).empty())
       << "the stops are for the newest report's answer";
@@ -279,19 +279,19 @@
   workers_[name(0)].heartbeat_sequence += 5;
   workers_[name(0)].tasks.clear();
   send_report(name(0));
-  controller_->report(early, now_);
+  controller_->heartbeat(early, now_);
   EXPECT_EQ(controller_->fleet().find(name(0))->epoch, 2U);
 }
 
 TEST_F(Reach, ACopyOfAReturnedMachinesReportNeverBringsItBack) {
   begin(3, 0);
   run(Seconds(2));
-  const auto copy = report_of(name(0));
+  const auto copy = heartbeat_of(name(0));
   controller_->scale_in_answered({name(0)}, true, now_);
   workers_[name(0)].gone = true;
   run(Seconds(200));  // it was remembered for 90 s
   saved_.clear();
-  controller_->report(copy, now_);
+  controller_->heartbeat(copy, now_);
   EXPECT_EQ(controller_->fleet().find(name(0)), nullptr);
   run(Seconds(1));
   EXPECT_FALSE(saved_.contains(name(0)));
@@ -304,7 +304,7 @@
   Heartbeat copy{"m900", "m900", "bench", "a", true, 1, 80, kToken - 1, {}, {}};
   copy.tasks.push_back({{"req-0", 0}, 5, TaskState::running, ExitCause::none, false});
   copy.tasks.push_back({{"req-1", 0}, 6, TaskState::exited, ExitCause::done, false});
-  controller_->report(copy, now_);
+  controller_->heartbeat(copy, now_);
   EXPECT_EQ(controller_->jobs().at("req-1").done, 1U);
   run(Seconds(3));
   EXPECT_EQ(running(), 1U) << "the other one runs where it is reached";
@@ -319,10 +319,10 @@
   run(Seconds(2));
   Heartbeat odd{"m900", "m900", "none such", "nowhere", true, 1, 1, kToken, {}, {}};
   odd.tasks.push_back({{"req-404", 7}, 3, TaskState::running, ExitCause::none, false});
-  controller_->report(odd, now_);
-  auto back = report_of(name(0));
+  controller_->heartbeat(odd, now_);
+  auto back = heartbeat_of(name(0));
   back.epoch = 0;  // its counters began anew: it cannot be told from a late copy
-  controller_->report(back, now_);
+  controller_->heartbeat(back, now_);
   controller_->job_opened(job("req-1", 8), now_);
   run(Seconds(4));
   EXPECT_EQ(starts_sent_["m900"], 0);
@@ -344,8 +344,8 @@
 // machine looked healthy for ever, and got new tasks after each lease.
 class Mute : public Reach {
  protected:
-  void mute(int first, int last, bool so = true) {
-    for (int i = first; i < last; ++i) workers_[name(i)].mute = so;
+  void outbound_partitioned(int first, int last, bool so = true) {
+    for (int i = first; i < last; ++i) workers_[name(i)].outbound_partitioned = so;
   }
   int starts(int first, int last) {
     int sum = 0;
@@ -356,7 +356,7 @@
 
 TEST_F(Mute, GetNothingThatTheirLeaseEndsAndAreReturnedWhenThatPays) {
   fill_eight_machines();
-  mute(0, 2);
+  outbound_partitioned(0, 2);
   run(Seconds(14));
   starts_sent_.clear();
   EXPECT_TRUE(returned_.empty()) << causes_;
@@ -371,9 +371,9 @@
 
 TEST_F(Mute, AreUsedAgainWithTheirFirstReport) {
   fill_eight_machines();
-  mute(0, 2);
+  outbound_partitioned(0, 2);
   run(Seconds(20));
-  mute(0, 2, false);
+  outbound_partitioned(0, 2, false);
   run(Seconds(8));
   controller_->job_closed("req-1", now_);
   run(Seconds(4));
@@ -385,7 +385,7 @@
 
 TEST_F(Mute, AreToldToStopWhatIsCancelled) {
   fill_eight_machines();
-  mute(0, 8);
+  outbound_partitioned(0, 8);
   run(Seconds(18));
   controller_->job_closed("req-1", now_);
   run(Seconds(2));
@@ -396,12 +396,12 @@
 TEST_F(Mute, AreManyAtOnceAndAreWaitedForAndTheLeaderStays) {
   idle_wait_ = Seconds(15);  // nor are they returned because nothing is started there
   fill_eight_machines();
-  mute(0, 8);
+  outbound_partitioned(0, 8);
   run(times_.lease + Seconds(25));
   EXPECT_TRUE(returned_.empty()) << causes_;
   EXPECT_FALSE(resigned_);
   EXPECT_EQ(running(), 0U) << "their leases have ended, and nothing was started anew";
-  mute(0, 8, false);
+  outbound_partitioned(0, 8, false);
   run(Seconds(8));
   EXPECT_EQ(running(), 32U);
   EXPECT_TRUE(returned_.empty()) << causes_;
@@ -410,14 +410,14 @@
 // The fleet is not kept for ever either: idle machines that cannot be renewed cost money.
 TEST_F(Mute, AreNotKeptForEver) {
   fill_eight_machines();
-  mute(0, 4);
+  outbound_partitioned(0, 4);
   run(times_.lease + Seconds(45));
   EXPECT_EQ(returned_.size(), 4U) << causes_;
 }
 
 TEST_F(Mute, HereAndNotElsewhereMakeTheLeaderStepBack) {
   fill_eight_machines();
-  mute(0, 8);
+  outbound_partitioned(0, 8);
   const auto cut = now_;
   while (!resigned_ && now_ - cut < to_duration(times_.lease)) {
     run(Seconds(1));
@@ -432,7 +432,7 @@
 // The direct answer confirms the machine, and renews nothing.
 TEST_F(Mute, SinceBeforeATakeoverAreNoPlaceForWorkEither) {
   begin(8, 0);
-  mute(0, 2);
+  outbound_partitioned(0, 2);
   run(Seconds(14));
   ASSERT_FALSE(controller_->recovering());
   starts_sent_.clear();
@@ -443,7 +443,7 @@
 }
 
 // A job submitted with a mistake fails on every machine until its user cancels it.
-class Mistakes : public LeaderOfWorkers {};
+class Mistakes : public LeaderWithAgents {};
 
 TEST_F(Mistakes, AreTriedOneTaskAtATimeAndCostNoHealthyMachine) {
   begin(8, 0);
--- a/tests/scale_test.cpp
+++ b/tests/core/scale_test.cpp
@@ -95,14 +95,15 @@
     workers_[id].next_report = now_;
   }
 
-  core::Heartbeat report_of(Worker& worker) {
-    core::Heartbeat report{
+  core::Heartbeat heartbeat_of(Worker& worker) {
+    core::Heartbeat heartbeat{
         worker.id, "10.0.0.1:1", "small", "a", true, 1, ++worker.heartbeat_sequence, 7, {}, {}};
     for (const auto& [key, live] : worker.tasks)
-      report.tasks.push_back({key, live.attempt, core::TaskState::running, core::ExitCause::none});
+      heartbeat.tasks.push_back(
+          {key, live.attempt, core::TaskState::running, core::ExitCause::none});
     for (const auto& [key, attempt] : worker.exited)
-      report.tasks.push_back({key, attempt, core::TaskState::exited, core::ExitCause::done});
-    return report;
+      heartbeat.tasks.push_back({key, attempt, core::TaskState::exited, core::ExitCause::done});
+    return heartbeat;
   }
 
   void live(Worker& worker) {
@@ -118,9 +119,9 @@
     if (now_ < worker.next_report) return;
     worker.next_report = now_ + std::chrono::seconds(5);
     ++outcome_.events;
-    const auto report = report_of(worker);
-    controller_.report(report, now_);
-    for (const auto& command : controller_.response_commands(report)) execute(worker, command);
+    const auto heartbeat = heartbeat_of(worker);
+    controller_.heartbeat(heartbeat, now_);
+    for (const auto& command : controller_.response_commands(heartbeat)) execute(worker, command);
   }
 
   void execute(Worker& worker, const core::Command& command) {
@@ -129,12 +130,12 @@
       worker.tasks.try_emplace(command.task, Live{command.attempt, now_ + std::chrono::seconds(9)});
   }
 
-  void execute(core::SendCommands& orders) {
-    auto& worker = workers_.at(orders.machine);
-    for (const auto& command : orders.commands) execute(worker, command);
+  void execute(core::SendCommands& batch) {
+    auto& worker = workers_.at(batch.machine);
+    for (const auto& command : batch.commands) execute(worker, command);
     ++outcome_.events;
-    const auto report = report_of(worker);
-    controller_.commands_answered(worker.id, &report, now_);
+    const auto heartbeat = heartbeat_of(worker);
+    controller_.commands_answered(worker.id, &heartbeat, now_);
   }
   void execute(core::SaveMachine& save) {
     records_.put(save.record.id, store::Json{save.record.endpoint}, 260,
--- a/tests/together_test.cpp
+++ b/tests/core/scheduling/gangs_and_services_test.cpp
@@ -46,12 +46,12 @@
   void machine(const MachineId& id, const std::string& zone, bool spot = false) {
     auto& worker = workers_[id];
     worker = {id, "10.0.0.1:1", "g4", zone, spot, 1, 0, 5, {}, {}};
-    report(id);
+    heartbeat(id);
   }
-  void report(const MachineId& id) {
+  void heartbeat(const MachineId& id) {
     auto& worker = workers_.at(id);
     ++worker.heartbeat_sequence;
-    controller_->report(worker, now_);
+    controller_->heartbeat(worker, now_);
   }
   // A task's state as its worker reports it.
   TaskStatus* task(const MachineId& id) {
@@ -61,11 +61,11 @@
   void end(const MachineId& id, const JobId& job) {
     for (auto& entry : workers_.at(id).tasks)
       if (entry.task.job == job) entry.state = TaskState::exited, entry.cause = ExitCause::done;
-    report(id);
+    heartbeat(id);
   }
   void notice(const MachineId& id, Seconds left) {
     workers_.at(id).notice = left;
-    report(id);
+    heartbeat(id);
   }
 
   // From here on nothing proves that it still leads.
@@ -78,7 +78,7 @@
     while (now_ < end) {
       now_ += milliseconds(100);
       if (++steps_ % 20 == 0)
-        for (auto& [id, worker] : workers_) report(id);
+        for (auto& [id, worker] : workers_) heartbeat(id);
       controller_->tick(now_, true, cut_off_.value_or(now_));
       for (auto& action : controller_->take_actions())
         std::visit([&](auto& a) { execute(a); }, action);
@@ -100,10 +100,10 @@
   }
 
  private:
-  void execute(SendCommands& orders) {
-    if (!workers_.contains(orders.machine)) return;  // it answers nothing
-    auto& worker = workers_.at(orders.machine);
-    for (const auto& command : orders.commands) {
+  void execute(SendCommands& batch) {
+    if (!workers_.contains(batch.machine)) return;  // it answers nothing
+    auto& worker = workers_.at(batch.machine);
+    for (const auto& command : batch.commands) {
       const auto known =
           std::find_if(worker.tasks.begin(), worker.tasks.end(), [&](const TaskStatus& t) {
             return t.attempt == command.attempt && t.task == command.task;
@@ -116,7 +116,7 @@
     }
     ++worker.heartbeat_sequence;
     const auto answer = worker;
-    controller_->commands_answered(orders.machine, &answer, now_);
+    controller_->commands_answered(batch.machine, &answer, now_);
   }
   void execute(SaveMachine& save) { controller_->machine_saved(save.record.id, true, true); }
   void execute(ScaleOut& rent) { rentals_.push_back(rent); }
@@ -173,14 +173,14 @@
   ASSERT_EQ(hosts.size(), 2U);
   desk.task(hosts[0])->state = TaskState::exited;
   desk.task(hosts[0])->cause = ExitCause::error;
-  desk.report(hosts[0]);
+  desk.heartbeat(hosts[0]);
   desk.run(Seconds(5));
   EXPECT_TRUE(desk.commands(CommandType::start).empty());
   ASSERT_FALSE(desk.commands(CommandType::stop).empty());
   EXPECT_EQ(desk.commands(CommandType::stop)[0].attempt, starts[0].attempt);
   desk.task(hosts[1])->state = TaskState::exited;
   desk.task(hosts[1])->cause = ExitCause::stopped;
-  desk.report(hosts[1]);
+  desk.heartbeat(hosts[1]);
   desk.run(Seconds(2));
   const auto again = desk.commands(CommandType::start);
   ASSERT_EQ(again.size(), 2U);
@@ -405,7 +405,7 @@
     desk.run(Seconds(1));
     ASSERT_NE(desk.task("m1"), nullptr);
     desk.all(TaskState::running);
-    desk.report("m1");
+    desk.heartbeat("m1");
     desk.run(ran);
     desk.notice("m1", notice);
     desk.run(Seconds(0.5));
--- a/tests/standing_test.cpp
+++ b/tests/core/scheduling/starvation_guard_test.cpp
@@ -1,13 +1,13 @@
 // The largest jobs begin in time, whatever flows past them (core/standing.hpp, docs/design.md,
 // "Large jobs begin"). The rule's time is the default of `begin_within`.
-#include "core/standing.hpp"
+#include "core/scheduling/starvation_guard.hpp"
 
-#include "leader_of_workers.hpp"
+#include "support/leader_with_agents.hpp"
 
 namespace violetpulley::core {
 namespace {
 
-class LargestJobs : public LeaderOfWorkers {
+class LargestJobs : public LeaderWithAgents {
  protected:
   // Two machines of 16 processors, kept full by small work of the same or a higher priority.
   void flow(Seconds length, Priority priority, const std::string& team, double cpus = 1) {
@@ -122,7 +122,7 @@
 
 // Whatever is kept for another has a bound: with the troubles over nothing waits for 90 s beside a
 // machine that fits and has room, its team being under its limit (docs/design.md, "Held back").
-class HeldBack : public LeaderOfWorkers {
+class HeldBack : public LeaderWithAgents {
  protected:
   JobRecord sized(const JobId& id, TaskIndex tasks, double cpus, Seconds estimate = Seconds(300)) {
     auto record = job(id, tasks);
--- a/tests/why_test.cpp
+++ b/tests/diagnostics/placement_explanation_test.cpp
@@ -3,9 +3,9 @@
 
 #include <nlohmann/json.hpp>
 
-#include "advice/spending.hpp"
 #include "api/operator_api.hpp"
 #include "core/events.hpp"
+#include "diagnostics/cost_breakdown.hpp"
 
 namespace violetpulley {
 namespace {
@@ -29,7 +29,7 @@
     for (const char* name : {"m-1", "m-2"}) {
       workers_[name] = {name,   "10.0.0.1:1", "big", name[2] == '1' ? "a" : "b", false, 1, 1,
                         kToken, {},           {}};
-      controller_->report(workers_[name], now_);
+      controller_->heartbeat(workers_[name], now_);
     }
   }
 
@@ -54,21 +54,21 @@
       now_ += std::chrono::milliseconds(200);
       for (auto& [name, worker] : workers_) {
         ++worker.heartbeat_sequence;
-        controller_->report(worker, now_);
+        controller_->heartbeat(worker, now_);
       }
       controller_->tick(now_, true, now_);
       for (const auto& action : controller_->take_actions()) {
         if (const auto* save = std::get_if<core::SaveMachine>(&action))
           controller_->machine_saved(save->record.id, true, true);
-        const auto* orders = std::get_if<core::SendCommands>(&action);
-        if (orders == nullptr) continue;
-        auto& worker = workers_.at(orders->machine);
-        for (const auto& command : orders->commands)
+        const auto* batch = std::get_if<core::SendCommands>(&action);
+        if (batch == nullptr) continue;
+        auto& worker = workers_.at(batch->machine);
+        for (const auto& command : batch->commands)
           if (command.type == core::CommandType::start)
             worker.tasks.push_back(
                 {command.task, command.attempt, core::TaskState::running, {}, false});
         ++worker.heartbeat_sequence;
-        controller_->commands_answered(orders->machine, &worker, now_);
+        controller_->commands_answered(batch->machine, &worker, now_);
       }
     }
   }
--- a/tests/loopback_test.cpp
+++ b/tests/end_to_end/loopback_test.cpp
@@ -8,7 +8,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "standins.hpp"
+#include "support/fake_services.hpp"
 
 extern char** environ;
 
@@ -55,7 +55,7 @@
         VIOLETPULLEY_PROGRAM, "--history", history, "--operator-settings", operators,
         "--config",           path};
     std::vector<char*> args;
-    for (auto& word : words) args.push_back(word.data());
+    for (auto& message : words) args.push_back(message.data());
     args.push_back(nullptr);
     setenv("LOG_LEVEL", "error", 1);
     pid_t pid = 0;
--- a/tests/history_test.cpp
+++ b/tests/history/history_test.cpp
@@ -8,9 +8,9 @@
 #include <fstream>
 
 #include "config/history_settings.hpp"
-#include "history/keeper.hpp"
-#include "memory_files.hpp"
-#include "world.hpp"
+#include "history/memory_files.hpp"
+#include "history/recorder.hpp"
+#include "simulation/world.hpp"
 
 namespace violetpulley::history {
 namespace {
@@ -32,16 +32,16 @@
 Story tell(std::uint64_t seed, Seconds length) {
   Story story;
   core::simulated::World world(seed);
-  core::simulated::Watcher watcher;
-  watcher.event = [&](core::FencingToken token, TimePoint at, const core::Event& event) {
+  core::simulated::Observer observer;
+  observer.event = [&](core::FencingToken token, TimePoint at, const core::Event& event) {
     story.records.push_back({token, at, event});
   };
-  watcher.actions = [&](core::FencingToken token, TimePoint at,
-                        const std::vector<core::Action>& actions, core::Controller&) {
-    if (!actions.empty()) story.records.push_back({token, at, Acted{digest_of(actions)}});
+  observer.actions = [&](core::FencingToken token, TimePoint at,
+                         const std::vector<core::Action>& actions, core::Controller&) {
+    if (!actions.empty()) story.records.push_back({token, at, ActionsRecorded{digest_of(actions)}});
   };
   world.run(Seconds(20));
-  world.watch(watcher);
+  world.watch(observer);
   world.run(length);
   Replay clean;
   for (const auto& record : story.records) {
@@ -63,7 +63,7 @@
   std::uint64_t open() {
     replay_ = std::make_unique<Replay>();
     const auto contents =
-        Reader(files_, key_).recover(*replay_, [](const Damaged&) { ADD_FAILURE(); });
+        Reader(files_, key_).recover(*replay_, [](const CorruptionError&) { ADD_FAILURE(); });
     log_ = std::make_unique<EventLog>(files_, key_, settings_, contents, "test", core::WallTime{});
     return contents.events();
   }
@@ -74,14 +74,14 @@
     if (const auto* event = std::get_if<core::Event>(&record.what))
       log_->record(record.token, record.at, *event);
     else
-      log_->acted(record.token, record.at, std::get<Acted>(record.what).digest);
+      log_->record_actions(record.token, record.at, std::get<ActionsRecorded>(record.what).digest);
     log_->flush(record.at);
-    const bool between = std::holds_alternative<Acted>(record.what);
-    if (log_->saving())
-      log_->continue_save();
-    else if (between && log_->save_due(record.at))
-      log_->begin_save(*replay_->controller(), replay_->origin(), replay_->elected_at(), record.at,
-                       core::WallTime{});
+    const bool between = std::holds_alternative<ActionsRecorded>(record.what);
+    if (log_->snapshotting())
+      log_->continue_snapshot();
+    else if (between && log_->snapshot_due(record.at))
+      log_->begin_snapshot(*replay_->controller(), replay_->origin(), replay_->elected_at(),
+                           record.at, core::WallTime{});
   }
   const EventLog& log() const { return *log_; }
 
@@ -96,8 +96,8 @@
 LogSettings often() {
   LogSettings settings;
   settings.sync = SyncPolicy::interval;
-  settings.sync_every = Seconds(0.5);
-  settings.save_every = Seconds(4);
+  settings.sync_interval = Seconds(0.5);
+  settings.snapshot_interval = Seconds(4);
   settings.slice_bytes = 4000;
   return settings;
 }
@@ -133,22 +133,22 @@
   Writer writer(files, often(), kKey);
   writer.open();
   for (const auto& record : story.records) writer.write(record);
-  ASSERT_GT(writer.log().saves_made(), 3U);
+  ASSERT_GT(writer.log().snapshots_made(), 3U);
   Reader reader(files, kKey);
   const auto contents = reader.check();
   EXPECT_EQ(contents.events(), story.records.size());
-  EXPECT_EQ(contents.saves.size(), 2U);
+  EXPECT_EQ(contents.snapshots.size(), 2U);
   // Both saves are the state of a clean run, and covered events are gone.
-  for (const auto& save : contents.saves)
+  for (const auto& save : contents.snapshots)
     EXPECT_EQ(save.state_digest, story.states[save.head.events]);
-  EXPECT_EQ(contents.segments.front().head.segment, contents.saves.front().head.segment);
+  EXPECT_EQ(contents.segments.front().head.segment, contents.snapshots.front().head.segment);
   for (const bool from_older : {false, true}) {
     Replay replay;
     reader.replay(contents, replay, from_older);
     EXPECT_EQ(replay.state_digest(), story.states.back());
     EXPECT_FALSE(replay.difference());
   }
-  const auto until = contents.saves.front().head.events + 5;
+  const auto until = contents.snapshots.front().head.events + 5;
   Replay early;
   reader.replay(contents, early, false, until);
   EXPECT_EQ(early.state_digest(), story.states[until]);
@@ -161,17 +161,17 @@
 
 TEST_P(Captures, AreTheStateOfOneMoment) {
   core::simulated::World world(static_cast<std::uint64_t>(GetParam()));
-  core::simulated::Watcher watcher;
+  core::simulated::Observer observer;
   std::unique_ptr<StateCapture> capture;
   Parts whole;
   Parts sliced;
   int made = 0;
   int calls = 0;
-  watcher.event = [&](core::FencingToken, TimePoint, const core::Event& event) {
+  observer.event = [&](core::FencingToken, TimePoint, const core::Event& event) {
     if (std::holds_alternative<core::LeaderElected>(event)) capture.reset();
   };
-  watcher.actions = [&](core::FencingToken, TimePoint, const std::vector<core::Action>&,
-                        core::Controller& controller) {
+  observer.actions = [&](core::FencingToken, TimePoint, const std::vector<core::Action>&,
+                         core::Controller& controller) {
     if (!capture) {
       whole = parts_of(controller);
       sliced.clear();
@@ -193,7 +193,7 @@
     EXPECT_EQ(capture->digest(), digest_of(whole));
     capture.reset();
   };
-  world.watch(watcher);
+  world.watch(observer);
   world.run(Seconds(400));
   EXPECT_GT(made, 10);
 }
@@ -213,7 +213,7 @@
     Writer writer(files, often());
     writer.open();
     for (const auto& record : story.records) writer.write(record);
-    ASSERT_GE(writer.log().saves_made(), 2U);
+    ASSERT_GE(writer.log().snapshots_made(), 2U);
     ASSERT_GT(story.records.size(), 150U);
     calls = files.calls();
   }
@@ -273,7 +273,7 @@
         }
         return true;
       });
-  } catch (const Damaged&) {
+  } catch (const CorruptionError&) {
     return Verdict::refused;
   }
   return Verdict::prefix;
@@ -294,8 +294,8 @@
   for (const auto& record : story.records) {
     writer.write(record);
     ++out.records;
-    if (writer.log().saves_made() > saves) behind = 0;
-    saves = writer.log().saves_made();
+    if (writer.log().snapshots_made() > saves) behind = 0;
+    saves = writer.log().snapshots_made();
     if (saves >= 2 && ++behind == 25) break;
   }
   out.last = last_segment(out.files);
@@ -341,7 +341,7 @@
     try {
       Reader(memory, key).check();
       ADD_FAILURE() << "accepted, although " << cause << " was expected";
-    } catch (const Damaged& problem) {
+    } catch (const CorruptionError& problem) {
       EXPECT_NE(std::string(problem.what()).find(cause), std::string::npos) << problem.what();
     }
   };
@@ -350,7 +350,7 @@
   std::vector<std::string> saves;
   for (const auto& [name, bytes] : files) {
     if (segment_number(name)) segments.push_back(name);
-    if (save_number(name)) saves.push_back(name);
+    if (snapshot_number(name)) saves.push_back(name);
   }
   ASSERT_GE(segments.size(), 2U);
   refuses(
@@ -385,7 +385,7 @@
 TEST(History, ASegmentLeftOutOrASaveThatIsNotTheirsIsRefused) {
   const auto& story = short_story();
   auto settings = often();
-  settings.save_every = Seconds(1000);
+  settings.snapshot_interval = Seconds(1000);
   MemoryFiles files;
   for (std::size_t at = 0; at < 60; at += 20) {  // three processes, a segment each
     Writer writer(files, settings, kKey);
@@ -394,9 +394,9 @@
   }
   EXPECT_EQ(Reader(files, kKey).check().segments.size(), 3U);
   files.remove(segment_name(2));
-  EXPECT_THROW(Reader(files, kKey).check(), Damaged);
+  EXPECT_THROW(Reader(files, kKey).check(), CorruptionError);
   Replay replay;
-  EXPECT_THROW(Reader(files, kKey).recover(replay, [](const Damaged&) {}), Damaged);
+  EXPECT_THROW(Reader(files, kKey).recover(replay, [](const CorruptionError&) {}), CorruptionError);
 }
 
 // A record changed together with its checksum: only the MAC tells.
@@ -410,7 +410,7 @@
   FrameReader unchecked("f", forged, FileKind::events, std::nullopt);
   EXPECT_EQ(unchecked.next(), "one");
   FrameReader checked("f", forged, FileKind::events, kKey);
-  EXPECT_THROW(checked.next(), Damaged);
+  EXPECT_THROW(checked.next(), CorruptionError);
   FrameReader reader("f", bytes, FileKind::events, kKey);
   for (const char* text : {"one", "two", "three"}) EXPECT_EQ(reader.next(), text);
   EXPECT_FALSE(reader.next());
@@ -420,21 +420,21 @@
 TEST(History, ReportsAsChangesAreReadWhole) {
   std::mt19937_64 random(77);
   const auto pick = [&](std::uint64_t below) { return random() % below; };
-  ReportChangesWriter writer;
-  ReportChangesReader reader;
+  HeartbeatChangesWriter writer;
+  HeartbeatChangesReader reader;
   std::vector<core::Heartbeat> workers(3);
   std::size_t bytes = 0;
   std::size_t whole_bytes = 0;
   for (int round = 0; round < 2000; ++round) {
-    auto& report = workers[pick(workers.size())];
-    report.machine = "m" + std::to_string(&report - workers.data());
-    ++report.heartbeat_sequence;
-    if (pick(50) == 0) report.endpoint = "e" + std::to_string(round);
-    if (pick(50) == 0) report.notice = Seconds(30);
-    if (pick(50) == 0) ++report.epoch;
-    if (pick(50) == 0) std::shuffle(report.tasks.begin(), report.tasks.end(), random);
-    if (pick(80) == 0) report.tasks.clear();
-    auto& tasks = report.tasks;
+    auto& heartbeat = workers[pick(workers.size())];
+    heartbeat.machine = "m" + std::to_string(&heartbeat - workers.data());
+    ++heartbeat.heartbeat_sequence;
+    if (pick(50) == 0) heartbeat.endpoint = "e" + std::to_string(round);
+    if (pick(50) == 0) heartbeat.notice = Seconds(30);
+    if (pick(50) == 0) ++heartbeat.epoch;
+    if (pick(50) == 0) std::shuffle(heartbeat.tasks.begin(), heartbeat.tasks.end(), random);
+    if (pick(80) == 0) heartbeat.tasks.clear();
+    auto& tasks = heartbeat.tasks;
     for (auto changes = pick(4); changes > 0; --changes) {
       const auto at = tasks.begin() + static_cast<std::ptrdiff_t>(pick(tasks.size() + 1));
       if (pick(3) == 0 || at == tasks.end())  // attempts of a gang's tasks are equal
@@ -448,23 +448,25 @@
       else
         at->state = core::TaskState::exited;
     }
-    Record record{7, TimePoint(milliseconds(round)), core::Event(core::MachineReported{report})};
-    if (pick(2) == 0) record.what = core::Event(core::CommandsAnswered{report.machine, report});
+    Record record{7, TimePoint(milliseconds(round)),
+                  core::Event(core::HeartbeatReceived{heartbeat})};
+    if (pick(2) == 0)
+      record.what = core::Event(core::CommandsAnswered{heartbeat.machine, heartbeat});
     const bool answer = std::holds_alternative<core::CommandsAnswered>(std::get<0>(record.what));
     WrittenRecord written{record.token, record.at, std::get<0>(record.what)};
-    if (const auto* changes = writer.changes(report, answer)) written.what = *changes;
+    if (const auto* changes = writer.changes(heartbeat, answer)) written.what = *changes;
     const auto packed_now = packed(written);
     bytes += packed_now.size();
     whole_bytes += packed(record).size();
     EXPECT_EQ(packed(reader.whole(unpacked<WrittenRecord>(packed_now))), packed(record));
   }
   EXPECT_LT(bytes, whole_bytes / 2);
-  ReportChanges unknown;
+  HeartbeatChanges unknown;
   unknown.machine = "m9";
-  EXPECT_THROW(reader.whole({7, {}, unknown}), BadValue);
+  EXPECT_THROW(reader.whole({7, {}, unknown}), DecodeError);
   unknown.machine = "m1";
   unknown.gone = {1000};
-  EXPECT_THROW(reader.whole({7, {}, unknown}), BadValue);
+  EXPECT_THROW(reader.whole({7, {}, unknown}), DecodeError);
 }
 
 TEST(History, ADamagedNewestSaveLeavesTheOneBefore) {
@@ -473,12 +475,12 @@
   write_story(written, story, kKey);
   std::vector<std::string> saves;
   for (const auto& name : written.files.list())
-    if (save_number(name)) saves.push_back(name);
+    if (snapshot_number(name)) saves.push_back(name);
   written.files.bytes(saves.back())[100] ^= 4;
   int notes = 0;
   Replay replay;
   const auto contents =
-      Reader(written.files, kKey).recover(replay, [&](const Damaged&) { ++notes; });
+      Reader(written.files, kKey).recover(replay, [&](const CorruptionError&) { ++notes; });
   EXPECT_EQ(notes, 1);
   EXPECT_EQ(contents.events(), written.records);
   EXPECT_EQ(replay.state_digest(), story.states[written.records]);
@@ -504,7 +506,7 @@
     }
     core::apply(*held, *event, record.at);
     recorder.record(record.at, *event);
-    recorder.acted(record.at, held->take_actions());
+    recorder.record_actions(record.at, held->take_actions());
     recorder.pump(*controller, record.at, {});
   }
   EXPECT_FALSE(recorder.on());
@@ -555,10 +557,11 @@
   writer.open();
   writer.write({5, now, takeover});
   writer.write({5, now + std::chrono::seconds(5), core::Event(core::Ticked{true, {}})});
-  writer.write({5, now + std::chrono::seconds(6), Acted{digest_of(std::vector<core::Action>{})}});
-  while (writer.log().saving())
+  writer.write(
+      {5, now + std::chrono::seconds(6), ActionsRecorded{digest_of(std::vector<core::Action>{})}});
+  while (writer.log().snapshotting())
     writer.write({5, now + std::chrono::seconds(6), core::Event(core::Ticked{true, {}})});
-  ASSERT_EQ(writer.log().saves_made(), 1U);
+  ASSERT_EQ(writer.log().snapshots_made(), 1U);
   const auto state = writer.replay().state_digest();
   Writer again(files, settings);
   again.open();
--- a/tests/mesh_test.cpp
+++ b/tests/peers/peer_network_test.cpp
@@ -1,5 +1,5 @@
 // When a sibling counts as gone. Real sockets on loopback.
-#include "mesh/mesh.hpp"
+#include "peers/peer_network.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/storm.hpp
+++ b/tests/simulation/fleet_simulation.hpp
@@ -12,7 +12,7 @@
 
 #include "core/controller.hpp"
 
-namespace violetpulley::core::storm {
+namespace violetpulley::core::fleet_simulation {
 
 using std::chrono::milliseconds;
 
@@ -32,7 +32,7 @@
   std::size_t killed_by_lease = 0;
   std::size_t started = 0;
   std::size_t done = 0;
-  std::size_t most_sockets = 0;
+  std::size_t peak_sockets = 0;
   std::size_t refused = 0;                 // connections
   std::size_t max_commands_in_flight = 0;  // sent in one second
   std::size_t rented = 0;                  // asked for
@@ -43,16 +43,17 @@
   Seconds latest_event{0};  // waited for the processor
 };
 
-class Storm {
+class FleetSimulation {
  public:
-  explicit Storm(Plan plan, std::uint64_t seed = 1)
+  explicit FleetSimulation(Plan plan, std::uint64_t seed = 1)
       : plan_(plan), random_(seed), nodes_(plan.nodes) {
     now_ = TimePoint{} + std::chrono::hours(1);
     for (std::size_t i = 0; i < plan_.machines; ++i) {
       auto& worker = workers_.emplace_back();
       worker.id = "m-" + std::to_string(100000 + i);
       worker.zone = zones_[i % zones_.size()];
-      worker.next_report = now_ + to_duration(Seconds(between(0, kTimes.report.count())));
+      worker.next_report =
+          now_ + to_duration(Seconds(between(0, kTimes.heartbeat_interval.count())));
       worker.answered_sent = now_;
       index_[worker.id] = i;
       records_[worker.id] = {worker.id, worker.id, "bench", worker.zone, true, {}};
@@ -227,7 +228,7 @@
     return false;
   }
   void note_sockets(std::size_t node) {
-    outcome_.most_sockets = std::max(outcome_.most_sockets, nodes_[node].sockets());
+    outcome_.peak_sockets = std::max(outcome_.peak_sockets, nodes_[node].sockets());
   }
 
   // As agent::CommandSender does it.
@@ -243,43 +244,43 @@
       lines.erase(oldest);
     }
   }
-  void execute(SendCommands& orders) {
+  void execute(SendCommands& batch) {
     const auto second = std::chrono::duration_cast<std::chrono::seconds>(now_ - TimePoint{});
     outcome_.max_commands_in_flight =
         std::max(outcome_.max_commands_in_flight, ++orders_in_second_[second.count()]);
     auto& lines = nodes_[leading_].lines;
-    const auto most = controller_->orders().shares().orders;
-    if (!lines.contains(orders.machine)) {
+    const auto most = controller_->commands().shares().commands;
+    if (!lines.contains(batch.machine)) {
       close_lines(most - 1);
       if (!room_for_socket(leading_))
         return worked(
-            [this, id = orders.machine] { controller_->commands_answered(id, nullptr, now_); });
+            [this, id = batch.machine] { controller_->commands_answered(id, nullptr, now_); });
     }
-    auto& line = lines[orders.machine];
+    auto& line = lines[batch.machine];
     line = {++sends_, true};
     note_sockets(leading_);
-    auto& worker = workers_[index_.at(orders.machine)];
+    auto& worker = workers_[index_.at(batch.machine)];
     if (worker.dead || now_ < worker.hangs_until) {
-      later(orders.commands.empty() ? Seconds(0.7) : Seconds(2.5),
-            [this, id = orders.machine, token = token_] { answered(id, token, nullptr); });
+      later(batch.commands.empty() ? Seconds(0.7) : Seconds(2.5),
+            [this, id = batch.machine, token = token_] { answered(id, token, nullptr); });
       return;
     }
-    later(Seconds(between(0.004, 0.02)), [this, orders, token = token_, &worker] {
-      if (token >= worker.token && orders.epoch == worker.epoch) {
+    later(Seconds(between(0.004, 0.02)), [this, batch, token = token_, &worker] {
+      if (token >= worker.token && batch.epoch == worker.epoch) {
         worker.token = token;
-        for (const auto& command : orders.commands) execute(worker, command);
+        for (const auto& command : batch.commands) execute(worker, command);
       }
-      const auto report = report_of(worker);
+      const auto heartbeat = heartbeat_of(worker);
       later(Seconds(between(0.002, 0.01)),
-            [this, token, report] { answered(report.machine, token, &report); });
+            [this, token, heartbeat] { answered(heartbeat.machine, token, &heartbeat); });
     });
   }
-  void answered(const MachineId& id, FencingToken token, const Heartbeat* report) {
+  void answered(const MachineId& id, FencingToken token, const Heartbeat* heartbeat) {
     if (!controller_ || token != token_) return;
     if (const auto line = nodes_[leading_].lines.find(id); line != nodes_[leading_].lines.end())
       line->second.busy = false;
-    close_lines(controller_->orders().shares().orders);
-    worked([this, id, copy = report ? std::optional(*report) : std::nullopt] {
+    close_lines(controller_->commands().shares().commands);
+    worked([this, id, copy = heartbeat ? std::optional(*heartbeat) : std::nullopt] {
       controller_->commands_answered(id, copy ? &*copy : nullptr, now_);
     });
   }
@@ -349,22 +350,22 @@
     worker.tasks[command.task] = {command.attempt,
                                   now_ + to_duration(plan_.run * between(0.7, 1.3)), false};
   }
-  Heartbeat report_of(Worker& worker) {
-    Heartbeat report{worker.id,
-                     worker.id,
-                     "bench",
-                     worker.zone,
-                     true,
-                     worker.epoch,
-                     ++worker.heartbeat_sequence,
-                     worker.token,
-                     {},
-                     {}};
+  Heartbeat heartbeat_of(Worker& worker) {
+    Heartbeat heartbeat{worker.id,
+                        worker.id,
+                        "bench",
+                        worker.zone,
+                        true,
+                        worker.epoch,
+                        ++worker.heartbeat_sequence,
+                        worker.token,
+                        {},
+                        {}};
     for (const auto& [key, task] : worker.tasks)
-      report.tasks.push_back({key, task.attempt,
-                              task.exited ? TaskState::exited : TaskState::running,
-                              task.exited ? ExitCause::done : ExitCause::none});
-    return report;
+      heartbeat.tasks.push_back({key, task.attempt,
+                                 task.exited ? TaskState::exited : TaskState::running,
+                                 task.exited ? ExitCause::done : ExitCause::none});
+    return heartbeat;
   }
   void live(Worker& worker) {
     if (worker.dead) return;
@@ -391,7 +392,7 @@
       ++node.reports;
       note_sockets(worker.node);
     }
-    worker.next_report = now_ + to_duration(kTimes.report * between(0.75, 1.25));
+    worker.next_report = now_ + to_duration(kTimes.heartbeat_interval * between(0.75, 1.25));
     if (worker.node != leading_ || !controller_) {
       const auto from = worker.node;
       hang_up(worker);
@@ -402,18 +403,19 @@
     }
     const auto number = worker.in_flight = ++reports_;
     const auto sent = now_;
-    const auto report = report_of(worker);
-    worked([this, &worker, number, sent, report] {
-      controller_->report(report, now_);
+    const auto heartbeat = heartbeat_of(worker);
+    worked([this, &worker, number, sent, heartbeat] {
+      controller_->heartbeat(heartbeat, now_);
       if (worker.in_flight != number) return;
-      const bool keeps = nodes_[leading_].reports <= controller_->orders().shares().reports;
+      const bool keeps = nodes_[leading_].reports <= controller_->commands().shares().heartbeats;
       worker.in_flight = 0;
       if (!keeps) hang_up(worker);
       if (token_ > worker.token) worker.next_report = now_ + milliseconds(500);
       worker.token = token_;
       worker.answered_sent = sent;
-      if (worker.epoch == report.epoch)
-        for (const auto& command : controller_->response_commands(report)) execute(worker, command);
+      if (worker.epoch == heartbeat.epoch)
+        for (const auto& command : controller_->response_commands(heartbeat))
+          execute(worker, command);
     });
     later(Seconds(4), [this, &worker, number] {
       if (worker.in_flight != number) return;
@@ -446,4 +448,4 @@
   Outcome outcome_;
 };
 
-}  // namespace violetpulley::core::storm
+}  // namespace violetpulley::core::fleet_simulation
--- a/tests/world.hpp
+++ b/tests/simulation/world.hpp
@@ -10,7 +10,7 @@
 #include <sstream>
 
 #include "core/events.hpp"
-#include "core/leadership.hpp"
+#include "core/failover/leadership.hpp"
 #include "history/digest.hpp"
 
 namespace violetpulley::core::simulated {
@@ -51,10 +51,10 @@
   bool sick = false;
   TimePoint up_at{};
   TimePoint hangs_until{};
-  TimePoint unreached_until{};  // its reports arrive; nothing that it is told does
-  TimePoint mute_until{};       // it reaches no controller, and answers what it is told
-  bool follows_stale = false;   // it reports to a leader that has lost the store and its siblings
-  int lives = 1;                // of the machine: each has an endpoint of its own
+  TimePoint inbound_partition_until{};   // its reports arrive; nothing that it is told does
+  TimePoint outbound_partition_until{};  // it reaches no controller, and answers what it is told
+  bool follows_stale = false;  // it reports to a leader that has lost the store and its siblings
+  int lives = 1;               // of the machine: each has an endpoint of its own
   std::uint64_t epoch = 1;
   std::uint64_t heartbeat_sequence = 0;
   FencingToken token = 0;
@@ -78,7 +78,7 @@
   std::set<MachineId> far_side;
 };
 
-struct Watcher {
+struct Observer {
   std::function<void(FencingToken, TimePoint, const Event&)> event;
   std::function<void(FencingToken, TimePoint, const std::vector<Action>&, Controller&)> actions;
 };
@@ -124,7 +124,7 @@
     meetings(seed);
     further_ = true;
   }
-  std::size_t mutes() const { return mutes_; }
+  std::size_t outbound_partitions() const { return outbound_partitions_; }
   std::size_t cuts() const { return cuts_; }
   std::size_t absences() const { return absences_; }
   std::size_t chains() const { return chains_; }
@@ -134,12 +134,12 @@
   // itself, not in the controller's books.
   Seconds longest_beside_room() const { return longest_beside_room_; }
   const std::string& beside_room() const { return beside_room_; }
-  bool in_gap() const { return outage_ || refused_ || news_lack_; }
+  bool in_gap() const { return outage_ || refused_ || changes_stalled_; }
   std::size_t gaps() const { return gaps_; }
   std::size_t late_writes() const { return late_writes_; }
   Seconds longest_cancelled() const { return longest_cancelled_; }
   std::size_t late_copies() const { return late_copies_; }
-  std::size_t not_reached() const { return not_reached_; }
+  std::size_t inbound_partitions() const { return inbound_partitions_; }
   std::size_t came_back() const { return came_back_; }
   std::size_t kept_workers() const { return kept_workers_; }
   // Every accepted job, each by itself: one that the leader does not know would be forgotten.
@@ -149,8 +149,8 @@
       EXPECT_TRUE(leader_->controller->jobs().contains(id)) << "forgotten " << id;
   }
   // Told of what enters the newest leader, and of what it asks for, as a history would be.
-  void watch(Watcher watcher) {
-    watcher_ = std::move(watcher);
+  void watch(Observer observer) {
+    observer_ = std::move(observer);
     lead_no_more();
     take_over();
   }
@@ -161,7 +161,7 @@
   }
   std::size_t marks() const { return marks_; }
   // From here on leaders hand their beliefs on.
-  void believe() { believes_ = true; }
+  void keep_learned_state() { believes_ = true; }
   std::size_t open_jobs() const { return jobs_.size(); }
   // Replicas that should run and do not.
   std::size_t missing_replicas() const {
@@ -246,7 +246,7 @@
   // --- leaders
   void take_over() {
     if (outage_) return;
-    refused_ = news_lack_ = false;
+    refused_ = changes_stalled_ = false;
     unheard_.clear();
     ++takeovers_;
     ++revision_;
@@ -281,7 +281,7 @@
     const LeaderElected event{settings, leader_->token, leader_->leadership.former_leases_end(now_),
                               recovered};
     leader_->controller = make_controller(event, now_);
-    if (watcher_.event) watcher_.event(leader_->token, now_, event);
+    if (observer_.event) observer_.event(leader_->token, now_, event);
     feed(*leader_, CatalogKnown{types_});
     // The other controllers say that they follow, unless one of them still leads behind a cut.
     if (chance(0.5))
@@ -291,7 +291,7 @@
   }
 
   void feed(LeaderProcess& leader, Event event) {
-    if (&leader == leader_.get() && watcher_.event) watcher_.event(leader.token, now_, event);
+    if (&leader == leader_.get() && observer_.event) observer_.event(leader.token, now_, event);
     apply(*leader.controller, event, now_);
   }
 
@@ -313,15 +313,15 @@
     if (!leader.cut && !refused) {
       leader.leadership.record_proof(now_);
       // All that closed so long ago has reached the core, unless news are lacking.
-      if (!news_lack_ || &leader != leader_.get())
+      if (!changes_stalled_ || &leader != leader_.get())
         leader.leadership.record_read_barrier(now_ - milliseconds(400) -
                                               (slow() ? kSlowest : Duration{}));
     }
     feed(leader, Ticked{leader.leadership.may_serve(now_), leader.leadership.last_proven()});
     auto actions = leader.controller->take_actions();
     for (const auto& action : actions) actions_digest_.add(action);
-    if (&leader == leader_.get() && watcher_.actions)
-      watcher_.actions(leader.token, now_, actions, *leader.controller);
+    if (&leader == leader_.get() && observer_.actions)
+      observer_.actions(leader.token, now_, actions, *leader.controller);
     const auto token = leader.token;
     for (auto& action : actions) std::visit([&](auto& a) { execute(leader, token, a); }, action);
     if (resigning_ == token) {
@@ -346,10 +346,10 @@
   // News that were held up may still be on their way after the state service is quick again.
   bool slow() const { return now_ < slow_until_ + kSlowest; }
   // The leader hears of a change of jobs a little later, or when news reach it again.
-  void news(std::function<void()> what) {
+  void changes(std::function<void()> what) {
     const auto more = now_ < slow_until_ ? Seconds(more_between(0, 4)) : Seconds(0);
     later(Seconds(between(0.01, 0.3)) + more, [this, what = std::move(what)] {
-      if (leader_ && news_lack_) return unheard_.push_back(what);
+      if (leader_ && changes_stalled_) return unheard_.push_back(what);
       what();
     });
   }
@@ -359,52 +359,52 @@
     return stale_ == nullptr || !stale_->far_side.contains(id);
   }
 
-  void execute(LeaderProcess& leader, FencingToken token, SendCommands& orders) {
-    if (!reaches(leader, orders.machine) || chance(loss())) {
-      later(Seconds(2), [this, token, id = orders.machine] { orders_lost(token, id); });
+  void execute(LeaderProcess& leader, FencingToken token, SendCommands& batch) {
+    if (!reaches(leader, batch.machine) || chance(loss())) {
+      later(Seconds(2), [this, token, id = batch.machine] { orders_lost(token, id); });
       // Held packets: the commands may still arrive, much later.
       if (chance(0.5))
-        later(Seconds(between(2, 40)), [this, token, orders] { deliver(token, orders, false); });
+        later(Seconds(between(2, 40)), [this, token, batch] { deliver(token, batch, false); });
       return;
     }
-    later(Seconds(between(0.001, 0.2)), [this, token, orders] { deliver(token, orders, true); });
+    later(Seconds(between(0.001, 0.2)), [this, token, batch] { deliver(token, batch, true); });
   }
   void orders_lost(FencingToken token, const MachineId& id) {
     if (auto* leader = process(token)) feed(*leader, CommandsAnswered{id, std::nullopt});
   }
-  void deliver(FencingToken token, const SendCommands& orders, bool answered) {
-    const auto found = workers_.find(orders.machine);
+  void deliver(FencingToken token, const SendCommands& batch, bool answered) {
+    const auto found = workers_.find(batch.machine);
     if (found == workers_.end() || found->second.gone || now_ < found->second.up_at)
-      return answered ? orders_lost(token, orders.machine) : void();
+      return answered ? orders_lost(token, batch.machine) : void();
     auto& worker = found->second;
-    if (now_ < worker.unreached_until) {
-      ++not_reached_;
+    if (now_ < worker.inbound_partition_until) {
+      ++inbound_partitions_;
       if (answered)
-        later(Seconds(2), [this, token, id = orders.machine] { orders_lost(token, id); });
-      const auto rest = Seconds(worker.unreached_until - now_);
+        later(Seconds(2), [this, token, id = batch.machine] { orders_lost(token, id); });
+      const auto rest = Seconds(worker.inbound_partition_until - now_);
       if (more_chance(0.7))
-        later(rest + Seconds(0.01), [this, token, orders] { deliver(token, orders, false); });
+        later(rest + Seconds(0.01), [this, token, batch] { deliver(token, batch, false); });
       return;
     }
     if (now_ < worker.hangs_until) {
       const auto rest = Seconds(worker.hangs_until - now_);
-      later(rest + Seconds(0.01), [this, token, orders] { deliver(token, orders, false); });
+      later(rest + Seconds(0.01), [this, token, batch] { deliver(token, batch, false); });
       if (answered)
-        later(Seconds(2), [this, token, id = orders.machine] { orders_lost(token, id); });
+        later(Seconds(2), [this, token, id = batch.machine] { orders_lost(token, id); });
       return;
     }
-    if (token >= worker.token && orders.epoch == worker.epoch) {
+    if (token >= worker.token && batch.epoch == worker.epoch) {
       worker.token = token;
-      for (const auto& command : orders.commands) execute(worker, command);
+      for (const auto& command : batch.commands) execute(worker, command);
     }
     if (!answered) return;
-    const auto report = report_of(worker);
+    const auto heartbeat = heartbeat_of(worker);
     if (chance(loss())) {
       later(Seconds(2), [this, token, id = worker.id] { orders_lost(token, id); });
       return;
     }
-    later(Seconds(between(0.001, 0.1)), [this, token, id = worker.id, report] {
-      if (auto* leader = process(token)) feed(*leader, CommandsAnswered{id, report});
+    later(Seconds(between(0.001, 0.1)), [this, token, id = worker.id, heartbeat] {
+      if (auto* leader = process(token)) feed(*leader, CommandsAnswered{id, heartbeat});
     });
   }
   void execute(LeaderProcess&, FencingToken token, SaveMachine& save) {
@@ -412,8 +412,8 @@
       const bool ok = store_takes(token) && !chance(loss());
       // Records of rentals have pages of their own: one that comes late replaces no registration.
       const auto known = machine_records_.find(save.record.id);
-      const bool rental_only = save.record.endpoint.empty();
-      if (ok && (!rental_only || known == machine_records_.end()))
+      const bool provisioning_only = save.record.endpoint.empty();
+      if (ok && (!provisioning_only || known == machine_records_.end()))
         machine_records_[save.record.id] = save.record;
       if (auto* leader = process(token))
         feed(*leader, MachineSaved{save.record.id, !save.record.endpoint.empty(), ok});
@@ -496,7 +496,7 @@
       if (troubles_ && chance(0.15)) {
         answer.kind = ScaleOutResult::Kind::no_capacity;
       } else if (workers_.size() < 14) {
-        answer.kind = ScaleOutResult::Kind::rented;
+        answer.kind = ScaleOutResult::Kind::granted;
         const int count = troubles_ && chance(0.2) ? rent.count / 2 : rent.count;
         for (int i = 0; i < std::min(count, 4); ++i) {
           const double factor = troubles_ && chance(0.1) ? 50 : between(0.6, 1.5);
@@ -661,7 +661,7 @@
     if (changed) worker.next_report = std::min(worker.next_report, now_ + milliseconds(300));
     if (now_ >= worker.next_report) {
       worker.next_report = now_ + to_duration(Seconds(between(2.2, 3.7)));
-      if (now_ >= worker.mute_until) send_report(worker);
+      if (now_ >= worker.outbound_partition_until) send_report(worker);
     }
   }
 
@@ -721,46 +721,46 @@
     }
   }
 
-  Heartbeat report_of(Worker& worker) {
-    Heartbeat report{worker.id,
-                     "10.0.0.1:" + std::to_string(worker.lives),
-                     worker.type,
-                     worker.zone,
-                     worker.spot,
-                     worker.epoch,
-                     ++worker.heartbeat_sequence,
-                     worker.token,
-                     {},
-                     {}};
-    if (worker.taken_at) report.notice = Seconds(*worker.taken_at - now_);
+  Heartbeat heartbeat_of(Worker& worker) {
+    Heartbeat heartbeat{worker.id,
+                        "10.0.0.1:" + std::to_string(worker.lives),
+                        worker.type,
+                        worker.zone,
+                        worker.spot,
+                        worker.epoch,
+                        ++worker.heartbeat_sequence,
+                        worker.token,
+                        {},
+                        {}};
+    if (worker.taken_at) heartbeat.notice = Seconds(*worker.taken_at - now_);
     for (const auto& [key, task] : worker.tasks)
-      report.tasks.push_back({key.first, key.second, task.state, task.cause, task.stored});
-    return report;
+      heartbeat.tasks.push_back({key.first, key.second, task.state, task.cause, task.stored});
+    return heartbeat;
   }
 
   void send_report(Worker& worker) {
-    const auto report = report_of(worker);
+    const auto heartbeat = heartbeat_of(worker);
     const auto sent = now_;
-    if (more_chance(0.03)) copy_later(report);
+    if (more_chance(0.03)) copy_later(heartbeat);
     if (chance(loss())) {
       // Held: it arrives late, and its answer is dropped.
-      later(Seconds(between(5, 40)), [this, report] {
-        if (leader_) feed(*leader_, MachineReported{report});
+      later(Seconds(between(5, 40)), [this, heartbeat] {
+        if (leader_) feed(*leader_, HeartbeatReceived{heartbeat});
       });
       return;
     }
-    later(Seconds(between(0.001, 0.1)), [this, report, sent, id = worker.id] {
+    later(Seconds(between(0.001, 0.1)), [this, heartbeat, sent, id = worker.id] {
       auto* leader = listens_to(id);
       if (leader == nullptr || !leader->leadership.may_serve(now_)) return moves_on(id);
-      feed(*leader, MachineReported{report});
+      feed(*leader, HeartbeatReceived{heartbeat});
       const auto token = leader->token;
-      if (report.token > token) return moves_on(id);
-      const auto commands = leader->controller->response_commands(report);
+      if (heartbeat.token > token) return moves_on(id);
+      const auto commands = leader->controller->response_commands(heartbeat);
       if (const auto worker = workers_.find(id);
-          worker != workers_.end() && now_ < worker->second.unreached_until)
+          worker != workers_.end() && now_ < worker->second.inbound_partition_until)
         return;
       if (chance(loss())) return;
-      later(Seconds(0.02), [this, id, sent, token, commands, epoch = report.epoch] {
+      later(Seconds(0.02), [this, id, sent, token, commands, epoch = heartbeat.epoch] {
         const auto found = workers_.find(id);
         if (found == workers_.end()) return;
         auto& worker = found->second;
@@ -777,12 +777,12 @@
 
   // A copy arrives once more, from seconds to well over a lease later, whatever became of the
   // machine and of who led then.
-  void copy_later(const Heartbeat& report) {
-    later(Seconds(more_between(1, 3 * kTimes.lease.count())), [this, report] {
+  void copy_later(const Heartbeat& heartbeat) {
+    later(Seconds(more_between(1, 3 * kTimes.lease.count())), [this, heartbeat] {
       ++late_copies_;
       for (auto* leader : {&leader_, &stale_})
         if (*leader && (*leader)->leadership.may_serve(now_))
-          feed(**leader, MachineReported{report});
+          feed(**leader, HeartbeatReceived{heartbeat});
     });
   }
 
@@ -857,7 +857,7 @@
                        ++revision_};
       jobs_[spec.id] = {record};
       // The leader hears of it a little later, and only while it verifiably leads.
-      news([this, record] {
+      changes([this, record] {
         if (leader_ && jobs_.contains(record.spec.id)) feed(*leader_, JobOpened{record});
       });
     }
@@ -878,7 +878,7 @@
     jobs_.erase(id);
     placements_.erase(id);
     ++revision_;
-    news([this, id] {
+    changes([this, id] {
       if (leader_) feed(*leader_, JobClosed{id});
     });
   }
@@ -912,26 +912,27 @@
   // With the end of it the key is ours again at once, and the watch stays silent for a while.
   void begin_gap() {
     ++gaps_;
-    refused_ = news_lack_ = true;
+    refused_ = changes_stalled_ = true;
     for (int i = 0; i < 2; ++i)
       later(Seconds(more_between(0.1, 1)), [this] {
         if (!jobs_.empty() && !outage_) cancel(JobId(jobs_.begin()->first));
       });
     later(Seconds(more_between(0.2, 2.8)), [this] {
-      outage_ = refused_ = news_lack_ = true;
+      outage_ = refused_ = changes_stalled_ = true;
       later(Seconds(more_between(0.2, 1.4 * kTimes.cancel.count())), [this] {
         outage_ = refused_ = false;
         later(Seconds(more_between(0.05, 10)), [this] {
-          news_lack_ = false;
+          changes_stalled_ = false;
           for (auto& what : std::exchange(unheard_, {})) what();
         });
       });
     });
   }
 
-  void mute(Worker& worker, Seconds length) {
-    worker.mute_until = std::max(worker.mute_until, now_ + to_duration(length));
-    ++mutes_;
+  void partition_outbound(Worker& worker, Seconds length) {
+    worker.outbound_partition_until =
+        std::max(worker.outbound_partition_until, now_ + to_duration(length));
+    ++outbound_partitions_;
   }
   // Jobs are called off within a fifth of a second, and up to eight of their machines hang.
   void call_off() {
@@ -957,13 +958,13 @@
     const auto lease = kTimes.lease.count();
     for (auto& [id, worker] : workers_)
       if (!worker.gone && now_ >= worker.up_at && more_chance(0.0005))
-        mute(worker, Seconds(more_between(5, 2 * lease)));
+        partition_outbound(worker, Seconds(more_between(5, 2 * lease)));
     if (more_chance(0.001)) {
       const bool all = more_chance(0.5);
       const std::string zone = more_chance(0.5) ? "a" : "b";
       const Seconds length(more_between(5, 1.5 * lease));
       for (auto& [id, worker] : workers_)
-        if (all || worker.zone == zone) mute(worker, length);
+        if (all || worker.zone == zone) partition_outbound(worker, length);
     }
     // Nobody on this side hears or reaches the zone, whatever its own controller does.
     if (more_chance(0.001)) {
@@ -971,7 +972,8 @@
       const std::string zone = more_chance(0.5) ? "a" : "b";
       const auto until = now_ + to_duration(Seconds(more_between(0.5 * lease, 2 * lease)));
       for (auto& [id, worker] : workers_)
-        if (worker.zone == zone) worker.mute_until = worker.unreached_until = until;
+        if (worker.zone == zone)
+          worker.outbound_partition_until = worker.inbound_partition_until = until;
     }
     if (more_chance(0.001)) call_off();
     if (more_chance(0.0006)) {
@@ -990,7 +992,7 @@
 
   // What operators met later (PROTOCOL's additions).
   void more_trouble() {
-    if (meetings_ && leader_ && !stale_ && !news_lack_ && !outage_ &&
+    if (meetings_ && leader_ && !stale_ && !changes_stalled_ && !outage_ &&
         (more_chance(0.004) || (gaps_ == 0 && now_ > kBegin + std::chrono::seconds(150))))
       begin_gap();
     if (meetings_ && more_chance(0.001))
@@ -1010,7 +1012,7 @@
     for (auto& [id, worker] : workers_) {
       if (worker.gone || now_ < worker.up_at) continue;
       if (more_chance(0.0004))
-        worker.unreached_until = now_ + to_duration(Seconds(more_between(2, 60)));
+        worker.inbound_partition_until = now_ + to_duration(Seconds(more_between(2, 60)));
       // A machine is back within a fraction of a second, without its tasks; its endpoint may be
       // another one, and its session need not have grown.
       if (more_chance(0.0002)) {
@@ -1029,13 +1031,15 @@
     if (in_gap() || stale_ || !leader_ || now_ - took_over_ < kStep) return true;
     return std::any_of(workers_.begin(), workers_.end(), [&](const auto& entry) {
       const auto& worker = entry.second;
-      return now_ < std::max({worker.hangs_until, worker.unreached_until, worker.mute_until});
+      return now_ < std::max({worker.hangs_until, worker.inbound_partition_until,
+                              worker.outbound_partition_until});
     });
   }
   bool fits_now(const JobSpec& spec, const Worker& worker,
                 const std::map<std::string, TaskIndex>& zones) const {
     if (worker.gone || worker.sick || worker.taken_at || now_ < worker.up_at) return false;
-    if (now_ < worker.hangs_until || now_ < worker.unreached_until || now_ < worker.mute_until)
+    if (now_ < worker.hangs_until || now_ < worker.inbound_partition_until ||
+        now_ < worker.outbound_partition_until)
       return false;
     if (!allowed_on(spec, worker.type, worker.zone, worker.spot)) return false;
     const auto here = zones.find(worker.zone);
@@ -1151,8 +1155,9 @@
     std::ostringstream text;
     text << worker.id << ", answered a report sent " << ago(worker.answered_sent)
          << " s ago; seconds since the end of its hang " << ago(worker.hangs_until) << ", cut "
-         << ago(worker.unreached_until) << ", muteness " << ago(worker.mute_until) << "; token "
-         << worker.token << ", session " << worker.epoch;
+         << ago(worker.inbound_partition_until) << ", muteness "
+         << ago(worker.outbound_partition_until) << "; token " << worker.token << ", session "
+         << worker.epoch;
     if (stale_) text << "; an older leader " << stale_->token << " is there";
     if (!leader_) return text.str() + "; no leader";
     text << "; leader " << leader_->token << " since " << ago(took_over_) << " s"
@@ -1238,20 +1243,20 @@
   bool operators_ = false;
   std::mt19937_64 more_random_;
   std::size_t late_copies_ = 0;
-  std::size_t not_reached_ = 0;
+  std::size_t inbound_partitions_ = 0;
   std::size_t came_back_ = 0;
   std::size_t kept_workers_ = 0;
   bool meetings_ = false;
-  bool refused_ = false;    // the leader, by the state service; in an outage too
-  bool outage_ = false;     // for all
-  bool news_lack_ = false;  // what jobs opened and ended has not reached the leader
+  bool refused_ = false;          // the leader, by the state service; in an outage too
+  bool outage_ = false;           // for all
+  bool changes_stalled_ = false;  // what jobs opened and ended has not reached the leader
   std::vector<std::function<void()>> unheard_;
   std::size_t gaps_ = 0;
   std::size_t late_writes_ = 0;
   Seconds longest_cancelled_{0};
   TimePoint slow_until_{};
   bool further_ = false;
-  std::size_t mutes_ = 0;
+  std::size_t outbound_partitions_ = 0;
   std::size_t cuts_ = 0;
   std::size_t absences_ = 0;
   std::size_t chains_ = 0;
@@ -1294,7 +1299,7 @@
   std::size_t gang_starts_ = 0;
   std::size_t saves_ = 0;
   history::Digest actions_digest_;
-  Watcher watcher_;
+  Observer observer_;
   bool believes_ = false;
   bool commits_ = false;
   bool commits_always_ = false;
--- a/tests/simulation_test.cpp
+++ b/tests/simulation/world_test.cpp
@@ -1,7 +1,7 @@
 // Seeded runs of the simulated world (world.hpp): every rule is checked after each step.
-#include <cstdlib>
+#include "simulation/world.hpp"
 
-#include "world.hpp"
+#include <cstdlib>
 
 namespace violetpulley::core::simulated {
 namespace {
@@ -55,7 +55,7 @@
   const auto seed = static_cast<std::uint64_t>(GetParam());
   SCOPED_TRACE("seed " + std::to_string(seed));
   World world(seed);
-  world.believe();
+  world.keep_learned_state();
   expect_all_runs(world, Seconds(300));
 }
 
@@ -86,7 +86,7 @@
   if (seed % 4 == 0) world.commit_starts(true);
   expect_all_runs(world, Seconds(400));
   EXPECT_GT(world.late_copies(), 10U);
-  EXPECT_GT(world.not_reached() + world.came_back() + world.kept_workers(), 0U);
+  EXPECT_GT(world.inbound_partitions() + world.came_back() + world.kept_workers(), 0U);
 }
 
 // Troubles that meet, beside all of the others (docs/meetings.md).
@@ -116,13 +116,13 @@
   world.further_meetings(seed);
   if (seed % 4 == 0) world.commit_starts(true);
   expect_all_runs(world, Seconds(400));
-  EXPECT_GT(world.mutes(), 0U);
+  EXPECT_GT(world.outbound_partitions(), 0U);
   EXPECT_LT(world.longest_beside_room(), Seconds(90)) << world.beside_room();
   std::cout << "longest from a cancellation to gone: " << world.longest_cancelled().count()
             << " of " << kTimes.cancel.count() << " s; waiting beside room "
-            << world.longest_beside_room().count() << " s; " << world.mutes() << " mute, "
-            << world.cuts() << " cuts, " << world.absences() << " absences, " << world.chains()
-            << " chains, " << world.calls_off() << " called off\n";
+            << world.longest_beside_room().count() << " s; " << world.outbound_partitions()
+            << " mute, " << world.cuts() << " cuts, " << world.absences() << " absences, "
+            << world.chains() << " chains, " << world.calls_off() << " called off\n";
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Hunted, ::testing::Range(901, 901 + seeds(32)));
--- a/tests/exhaustive.hpp
+++ b/tests/solver/exhaustive_search.hpp
@@ -107,14 +107,14 @@
 // Every placement, machine by machine and job by job; those that are too much for a machine already
 // are not gone on with. `each` is called with all that are whole and not wrong. False: there are
 // more than so many steps to it.
-inline bool all(const Problem& p, std::uint64_t most_steps,
+inline bool all(const Problem& p, std::uint64_t max_steps,
                 const std::function<void(const Placement&)>& each) {
   Placement at(p.jobs.size(), std::vector<std::uint32_t>(p.machines.size()));
   std::vector<std::array<Amount, 3>> load(p.machines.size());
   std::uint64_t steps = 0;
   const std::function<void(std::size_t, std::size_t, std::uint32_t)> next =
       [&](std::size_t j, std::size_t m, std::uint32_t left) {
-        if (++steps > most_steps) return;
+        if (++steps > max_steps) return;
         if (j == p.jobs.size()) {
           if (!wrong(p, at)) each(at);
           return;
@@ -136,12 +136,12 @@
         load[m] = before;
       };
   next(0, 0, p.jobs.empty() ? 0 : p.jobs[0].tasks);
-  return steps <= most_steps;
+  return steps <= max_steps;
 }
 
-inline std::optional<Value> best(const Problem& p, std::uint64_t most_steps) {
+inline std::optional<Value> best(const Problem& p, std::uint64_t max_steps) {
   std::optional<Value> out;
-  const bool complete = all(p, most_steps, [&](const Placement& at) {
+  const bool complete = all(p, max_steps, [&](const Placement& at) {
     auto here = value(p, at);
     if (!out || here > *out) out = std::move(here);
   });
--- a/tests/solver_test.cpp
+++ b/tests/solver/solver_test.cpp
@@ -10,7 +10,7 @@
 #include <sstream>
 
 #include "config/case_file.hpp"
-#include "exhaustive.hpp"
+#include "solver/exhaustive_search.hpp"
 #include "solver/reasons.hpp"
 #include "solver/steps.hpp"
 
@@ -271,8 +271,8 @@
 }
 
 // docs/solver.md states these; the run outside CI prints the histogram.
-constexpr int kMargin = 1000;        // thousandths: at most, what the fast search may miss
-constexpr double kMostWorse = 0.05;  // of the cases in which it places less than the best
+constexpr int kMargin = 1000;       // thousandths: at most, what the fast search may miss
+constexpr double kMaxWorse = 0.05;  // of the cases in which it places less than the best
 
 TEST(Solver, SmallCasesAgainstAnExhaustiveSearch) {
   const char* wanted = std::getenv("VIOLETPULLEY_SOLVER_CASES");
@@ -307,7 +307,7 @@
   for (const auto& [up_to, count] : histogram)
     std::cout << "  up to " << up_to << " thousandths less: " << count << "\n";
   EXPECT_GE(complete, cases / 2);
-  EXPECT_LE(less, cases * kMostWorse);
+  EXPECT_LE(less, cases * kMaxWorse);
   EXPECT_GT(sum.reasons, 0U);
   EXPECT_GT(sum.impossible, 0U);
   EXPECT_GT(sum.steps, 0U);
--- a/tests/election_test.cpp
+++ b/tests/store/election_test.cpp
@@ -5,7 +5,7 @@
 
 #include <gtest/gtest.h>
 
-#include "standins.hpp"
+#include "support/fake_services.hpp"
 
 namespace violetpulley::store {
 namespace {
--- a/tests/beliefs_test.cpp
+++ b/tests/store/learned_state_test.cpp
@@ -3,7 +3,7 @@
 
 #include "core/controller.hpp"
 #include "history/pack.hpp"
-#include "store/belief_store.hpp"
+#include "store/learned_state_store.hpp"
 
 namespace violetpulley::store {
 namespace {
@@ -39,7 +39,7 @@
   return out;
 }
 
-std::vector<Item> items_of(const BeliefWrites& writes) {
+std::vector<Item> items_of(const LearnedStateWrites& writes) {
   std::vector<Item> out;
   for (const auto& piece : writes.pieces) out.push_back({piece.key, *piece.value, 1});
   out.push_back({writes.head.key, *writes.head.value, 1});
@@ -55,11 +55,11 @@
 
 TEST(LearnedState, ComeBackWholeInPieces) {
   for (const bool key : {false, true}) {
-    const auto written = encode_beliefs(learned(150), "a", 7, settings(key));
+    const auto written = encode_learned_state(learned(150), "a", 7, settings(key));
     EXPECT_GT(written.pieces.size(), 1U);
     for (const auto& piece : written.pieces) EXPECT_LE(piece.value->dump().size(), 2010U);
     const auto read =
-        decode_beliefs(items_of(written), settings(key), kWall + std::chrono::seconds(5));
+        decode_learned_state(items_of(written), settings(key), kWall + std::chrono::seconds(5));
     ASSERT_TRUE(read.learned_state) << read.problem;
     EXPECT_EQ(read.slot, "a");
     EXPECT_EQ(history::packed(*read.learned_state), history::packed(learned(150)));
@@ -67,21 +67,21 @@
 }
 
 TEST(LearnedState, AreShortenedByWhatIsWorthLeast) {
-  const auto written = encode_beliefs(learned(5000), "a", 7, settings());
+  const auto written = encode_learned_state(learned(5000), "a", 7, settings());
   EXPECT_LE(written.pieces.size(), 6U);
-  const auto read = decode_beliefs(items_of(written), settings(), kWall);
+  const auto read = decode_learned_state(items_of(written), settings(), kWall);
   ASSERT_TRUE(read.learned_state);
   ASSERT_EQ(read.learned_state->jobs.size(), 1U);
   EXPECT_EQ(read.learned_state->jobs[0].id, "req-saved");
 }
 
 TEST(LearnedState, WhatIsNotWholeIsNotUsedAndSaysWhy) {
-  const auto whole = items_of(encode_beliefs(learned(150), "a", 7, settings(true)));
+  const auto whole = items_of(encode_learned_state(learned(150), "a", 7, settings(true)));
   const auto problem = [&](auto change, const LearnedStateSettings& with,
                            core::WallTime wall = kWall) {
     auto items = whole;
     change(items);
-    const auto read = decode_beliefs(items, with, wall);
+    const auto read = decode_learned_state(items, with, wall);
     EXPECT_FALSE(read.learned_state);
     return read.problem;
   };
@@ -98,9 +98,10 @@
   EXPECT_EQ(problem([](auto& items) { items.back().value["token"] = 8; }, settings(true)),
             "the MAC is wrong");
   EXPECT_EQ(problem(none, settings(true), kWall + std::chrono::hours(2)), "too old");
-  EXPECT_TRUE(decode_beliefs({}, settings(), kWall).problem.empty());
+  EXPECT_TRUE(decode_learned_state({}, settings(), kWall).problem.empty());
   // A time of day that stepped back makes them no older.
-  EXPECT_TRUE(decode_beliefs(whole, settings(true), kWall - std::chrono::hours(2)).learned_state);
+  EXPECT_TRUE(
+      decode_learned_state(whole, settings(true), kWall - std::chrono::hours(2)).learned_state);
 }
 
 TEST(LearnedState, SpeedTheNextLeaderAndSayNothingOfMachines) {
--- a/tests/pages_test.cpp
+++ b/tests/store/paged_records_test.cpp
@@ -1,10 +1,10 @@
 // Records in pages: few changes for many machines, and no committed record lost to a late write.
+#include "store/paged_records.hpp"
+
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "store/paged_records.hpp"
-
 namespace violetpulley::store {
 namespace {
 
--- a/tests/informed_test.cpp
+++ b/tests/store/read_barrier_test.cpp
@@ -10,9 +10,9 @@
 
 #include "api/job_codec.hpp"
 #include "api/user_api.hpp"
-#include "standins.hpp"
-#include "store/briefing.hpp"
 #include "store/election.hpp"
+#include "store/read_barrier_loop.hpp"
+#include "support/fake_services.hpp"
 
 namespace violetpulley::store {
 namespace {
@@ -26,7 +26,7 @@
 // Short, so that a world takes seconds; the sum is the same.
 core::WorkerTimes short_times() {
   core::WorkerTimes times;
-  times.report = Seconds(0.1);
+  times.heartbeat_interval = Seconds(0.1);
   times.lease = Seconds(1);
   times.cancel = Seconds(3.5);
   return times;
--- a/tests/standins.hpp
+++ b/tests/support/fake_services.hpp
@@ -210,14 +210,14 @@
   }
 
   bool answer(const std::string& prefix, std::uint64_t since, bool now, const Answer& respond) {
-    Json news = Json::array();
+    Json changes = Json::array();
     for (const auto& change : changes_) {
       const auto key = change.value(change.contains("write") ? "write" : "delete", std::string());
       if (change.at("stamp").get<std::uint64_t>() > since && key.starts_with(prefix))
-        news.push_back(change);
+        changes.push_back(change);
     }
-    if (news.empty() && !now) return false;
-    respond({200, Json{{"ledger", revision_ - backward_}, {"news", news}}.dump(), {}});
+    if (changes.empty() && !now) return false;
+    respond({200, Json{{"ledger", revision_ - backward_}, {"news", changes}}.dump(), {}});
     return true;
   }
 
@@ -281,9 +281,9 @@
         node_(nodes_.begin()->first),
         timer_(io),
         server_(io, any_port(), {}, [this](Request&& request, const Responder& respond) {
-          orders(Json::parse(request.body), respond);
+          batch(Json::parse(request.body), respond);
         }) {
-    report();
+    heartbeat();
   }
 
   std::size_t starts() const { return starts_; }
@@ -334,7 +334,7 @@
     }
   }
 
-  void orders(const Json& body, const Responder& respond) {
+  void batch(const Json& body, const Responder& respond) {
     const bool obey = body.at("baton").get<std::uint64_t>() >= token_ && body.at("shift") == 1;
     if (obey) {
       token_ = body.at("baton").get<std::uint64_t>();
@@ -343,7 +343,7 @@
     respond({obey ? 200 : 409, state().dump(), {}});
   }
 
-  void report() {
+  void heartbeat() {
     client_ = std::make_unique<net::HttpClient>(io_, net::parse_endpoint(nodes_.at(node_)), 1);
     client_->request({"POST", "/agent/beat", state().dump()}, std::chrono::seconds(2),
                      [this](const std::optional<net::Response>& response) {
@@ -358,7 +358,7 @@
                        }
                        timer_.expires_after(std::chrono::milliseconds(100));
                        timer_.async_wait([this](const asio::error_code& error) {
-                         if (!error) report();
+                         if (!error) heartbeat();
                        });
                      });
   }
--- a/tests/leader_of_workers.hpp
+++ b/tests/support/leader_with_agents.hpp
@@ -13,7 +13,7 @@
 
 inline constexpr FencingToken kToken = 40;
 
-class LeaderOfWorkers : public ::testing::Test {
+class LeaderWithAgents : public ::testing::Test {
  protected:
   struct Running {
     Attempt attempt = 0;
@@ -24,12 +24,12 @@
     std::uint64_t epoch = 1;
     std::uint64_t heartbeat_sequence = 0;
     FencingToken token = 0;
-    bool says = true;     // its reports arrive
-    bool mute = false;    // it reports to nobody, and answers what it is told
-    bool gets = true;     // what it is told arrives
-    bool gone = false;    // returned
-    bool sick = false;    // every task fails there
-    bool answers = true;  // off: orders are carried out and the answer is lost
+    bool sends_heartbeats = true;       // its reports arrive
+    bool outbound_partitioned = false;  // it reports to nobody, and answers what it is told
+    bool gets = true;                   // what it is told arrives
+    bool gone = false;                  // returned
+    bool sick = false;                  // every task fails there
+    bool answers = true;                // off: orders are carried out and the answer is lost
     TimePoint renewed{};
     std::map<TaskKey, Running> tasks;
     std::map<TaskKey, TaskStatus> ended;
@@ -46,7 +46,7 @@
     ControllerSettings settings;
     settings.teams = {{"t", 0, 0, 0, 0}, {"narrow", 0, 8, 0, 0}};
     settings.cloud_calls_per_s = 10;
-    settings.workers.report = report_every_;
+    settings.workers.heartbeat_interval = heartbeat_interval_;
     settings.wall_at_start = wall_now();
     settings.resigns_when_isolated = resigns_when_deaf_;
     settings.tuning.idle_wait = idle_wait_;
@@ -72,15 +72,15 @@
     record.revision = kToken + 1;
     return record;
   }
-  Heartbeat report_of(const MachineId& id) {
+  Heartbeat heartbeat_of(const MachineId& id) {
     auto& worker = workers_[id];
-    Heartbeat report{
+    Heartbeat heartbeat{
         id,           id, "bench", "a", true, worker.epoch, ++worker.heartbeat_sequence,
         worker.token, {}, {}};
     for (const auto& [key, task] : worker.tasks)
-      report.tasks.push_back({key, task.attempt, TaskState::running, ExitCause::none, false});
-    for (const auto& [key, entry] : worker.ended) report.tasks.push_back(entry);
-    return report;
+      heartbeat.tasks.push_back({key, task.attempt, TaskState::running, ExitCause::none, false});
+    for (const auto& [key, entry] : worker.ended) heartbeat.tasks.push_back(entry);
+    return heartbeat;
   }
   void execute(Worker& worker, const std::vector<Command>& commands) {
     for (const auto& command : commands) {
@@ -122,11 +122,11 @@
       worker.ended.clear();
       worker.renewed = now_;
     }
-    if (worker.mute) return;
-    const auto report = report_of(id);
-    if (!worker.says) return;
-    controller_->report(report, now_);
-    const auto commands = controller_->response_commands(report);
+    if (worker.outbound_partitioned) return;
+    const auto heartbeat = heartbeat_of(id);
+    if (!worker.sends_heartbeats) return;
+    controller_->heartbeat(heartbeat, now_);
+    const auto commands = controller_->response_commands(heartbeat);
     if (!worker.gets) return;
     worker.token = kToken;
     worker.renewed = now_;
@@ -136,7 +136,7 @@
     for (const auto end = now_ + to_duration(length); now_ < end; now_ += milliseconds(100)) {
       std::size_t i = 0;
       for (auto& [id, worker] : workers_) {
-        const auto every = to_duration(report_every_);
+        const auto every = to_duration(heartbeat_interval_);
         const auto phase =
             milliseconds(100) * static_cast<int>(i++ * 7 % (every / milliseconds(100)));
         if (!worker.gone && (now_ - next_ + phase) % every == Duration::zero()) send_report(id);
@@ -151,26 +151,26 @@
     }
   }
   void execute(const Action& action) {
-    if (const auto* orders = std::get_if<SendCommands>(&action)) {
-      for (const auto& command : orders->commands)
-        ++(command.type == CommandType::start ? starts_sent_ : stops_sent_)[orders->machine];
-      const auto found = workers_.find(orders->machine);
+    if (const auto* batch = std::get_if<SendCommands>(&action)) {
+      for (const auto& command : batch->commands)
+        ++(command.type == CommandType::start ? starts_sent_ : stops_sent_)[batch->machine];
+      const auto found = workers_.find(batch->machine);
       if (found == workers_.end() || found->second.gone || !found->second.gets ||
-          !found->second.says) {
-        answers_.emplace(now_ + milliseconds(700), orders->machine);
+          !found->second.sends_heartbeats) {
+        answers_.emplace(now_ + milliseconds(700), batch->machine);
         return;
       }
       auto& worker = found->second;
-      if (orders->epoch == worker.epoch) {
+      if (batch->epoch == worker.epoch) {
         worker.token = kToken;
-        execute(worker, orders->commands);
+        execute(worker, batch->commands);
       }
       if (!worker.answers) {
-        answers_.emplace(now_ + milliseconds(700), orders->machine);
+        answers_.emplace(now_ + milliseconds(700), batch->machine);
         return;
       }
-      const auto report = report_of(orders->machine);
-      controller_->commands_answered(orders->machine, &report, now_);
+      const auto heartbeat = heartbeat_of(batch->machine);
+      controller_->commands_answered(batch->machine, &heartbeat, now_);
     } else if (const auto* save = std::get_if<SaveMachine>(&action)) {
       saved_.insert(save->record.id);
       if (store_answers_ && !save->record.endpoint.empty())
@@ -195,7 +195,7 @@
     } else if (const auto* rent = std::get_if<ScaleOut>(&action)) {
       ++rents_;
       const bool any = !for_rent_.empty();
-      const auto kind = any ? ScaleOutResult::Kind::rented : ScaleOutResult::Kind::no_capacity;
+      const auto kind = any ? ScaleOutResult::Kind::granted : ScaleOutResult::Kind::no_capacity;
       controller_->scale_out_answered(rent->name, {kind, std::exchange(for_rent_, {})}, now_);
     }
   }
@@ -206,7 +206,7 @@
   }
 
   WorkerTimes times_;
-  Seconds report_every_{3};
+  Seconds heartbeat_interval_{3};
   TimePoint now_ = TimePoint{} + std::chrono::hours(1);
   TimePoint next_{};
   Seconds idle_wait_{10'000};
