--- a/src/core/dispatch/socket_budget.hpp
+++ b/src/core/dispatch/socket_budget.hpp
@@ -1,4 +1,4 @@
-// Who may hold how many of a controller's sockets (docs/reckoning.md, "Connections"; DEPLOY, "The
+// Who may hold how many of a controller's sockets (docs/reconciliation.md, "Connections"; DEPLOY, "The
 // machine"). Pure arithmetic: the shells keep to what it says.
 #pragma once
 
--- a/src/core/failover/reconciler.hpp
+++ b/src/core/failover/reconciler.hpp
@@ -1,4 +1,4 @@
-// How a new leader squares what is stored with what the machines tell (docs/reckoning.md; DESIGN: a
+// How a new leader squares what is stored with what the machines tell (docs/reconciliation.md; DESIGN: a
 // new leader rebuilds from reports before placing). Owns who is still to be asked, what the wait
 // has cost and what was found; decides the order of the asking, how long a silent machine is waited
 // for and when the fleet is known well enough to rent. Which tasks are held up is Recovery's.
@@ -25,7 +25,7 @@
 };
 
 // What differed between the state service and the reports, counted until the reckoning ends: a row
-// of the table in docs/reckoning.md each.
+// of the table in docs/reconciliation.md each.
 struct ReconciliationStats {
   std::size_t adopted = 0;        // tasks found on machines
   std::size_t ended = 0;          // reported done and not stored as done
--- a/src/core/machines/machine_watch.cpp
+++ b/src/core/machines/machine_watch.cpp
@@ -62,7 +62,7 @@
 // A cancelled task that was told to stop long ago and is not proven gone: its machine hangs, or a
 // start that was held on its way may bring it yet. It must be gone within `cancel_s`, however many
 // others are silent, and a start that was lost would else hold its room for ever
-// (docs/meetings.md). The cancellation may have been confirmed a serving time before this leader
+// (docs/combined-failures.md). The cancellation may have been confirmed a serving time before this leader
 // heard of it, so a machine that answers and does not show the task is given half a lease (seed
 // 1758 of Meetings); one that does not answer runs its lease out unless it hangs.
 bool MachineWatch::holds_unconfirmed_cancellation(const Machine& machine, TimePoint now) const {
--- a/tests/core/failover/reconciliation_test.cpp
+++ b/tests/core/failover/reconciliation_test.cpp
@@ -1,5 +1,5 @@
 // Squaring what is stored with what the machines tell: a test for each row of the table in
-// docs/reckoning.md, and the parts that pace the asking. The storm (storm_test.cpp) has the fleet.
+// docs/reconciliation.md, and the parts that pace the asking. The storm (storm_test.cpp) has the fleet.
 #include <gtest/gtest.h>
 
 #include "core/controller.hpp"
--- a/tests/simulation/fleet_simulation_test.cpp
+++ b/tests/simulation/fleet_simulation_test.cpp
@@ -125,7 +125,7 @@
   EXPECT_EQ(outcome.started, plan.machines * plan.tasks_a_machine / 2);
 }
 
-// For docs/reckoning.md, by hand: VIOLETPULLEY_STORM_SIZES=1.
+// For docs/reconciliation.md, by hand: VIOLETPULLEY_STORM_SIZES=1.
 TEST(FleetSimulation, Sizes) {
   if (std::getenv("VIOLETPULLEY_STORM_SIZES") == nullptr) GTEST_SKIP() << "a long run by hand";
   for (const std::size_t machines : {100, 1000, 2000, 5000}) {
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -110,7 +110,7 @@
     operators_ = true;
     more_random_.seed(seed * 7919 + 17);
   }
-  // Troubles that meet (docs/meetings.md): the leader is refused alone while others confirm
+  // Troubles that meet (docs/combined-failures.md): the leader is refused alone while others confirm
   // cancellations, then the state service is down for all, its end brings the key back before the
   // news; writes without an answer are carried out late.
   void meetings(std::uint64_t seed) {
--- a/tests/simulation/world_test.cpp
+++ b/tests/simulation/world_test.cpp
@@ -89,7 +89,7 @@
   EXPECT_GT(world.inbound_partitions() + world.came_back() + world.kept_workers(), 0U);
 }
 
-// Troubles that meet, beside all of the others (docs/meetings.md).
+// Troubles that meet, beside all of the others (docs/combined-failures.md).
 class Meetings : public ::testing::TestWithParam<int> {};
 
 TEST_P(Meetings, KeepEveryRuleAndFinish) {
