--- a/src/api/job_codec.cpp
+++ b/src/api/job_codec.cpp
@@ -166,8 +166,8 @@
   // An array runs within the limit task by task; the tasks of gangs and services run together.
   const bool together = spec.shape != Shape::array;
   const auto needed = spec.per_task * (together ? static_cast<double>(spec.tasks) : 1.0);
-  if ((team->max_cpus > 0 && needed.cpus > team->max_cpus + core::Resources::kSlack) ||
-      (team->max_gpus > 0 && needed.gpus > team->max_gpus + core::Resources::kSlack))
+  if ((team->max_cpus > 0 && needed.cpus > team->max_cpus + core::Resources::kRoundingTolerance) ||
+      (team->max_gpus > 0 && needed.gpus > team->max_gpus + core::Resources::kRoundingTolerance))
     return (together ? "the job needs" : "a task needs") +
            std::string(" more than the limit of team ") + spec.team;
   if (spec.zone && std::find(zones.begin(), zones.end(), *spec.zone) == zones.end())
--- a/src/core/autoscaling/scale_out_planner.cpp
+++ b/src/core/autoscaling/scale_out_planner.cpp
@@ -31,7 +31,7 @@
     ScalerJob entry{&spec, candidate.estimate, {}, {}};
     for (const auto index : job.waiting) {
       if (!spec.per_task.fits_in(free)) break;
-      if (task_starter_.held(job, index)) continue;
+      if (task_starter_.blocked_on_reconciliation(job, index)) continue;
       free -= spec.per_task;
       if (!job.tasks[index].bound.empty()) continue;
       entry.tasks.push_back(index);
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -1,109 +1,123 @@
-// The leader's brain: events and the time in, actions out. It does no input or output, holds no
-// clock, and is made anew at every takeover. This front only hands events to the parts, each of
-// which owns its state and says in its header what it decides.
+/// @file
+/// The leader's decisions: events and the time go in, actions come out. The controller does no
+/// input or output, reads no clock, and is made anew at every election. This class only hands
+/// events to its parts, each of which owns its state and says in its header what it decides.
 #pragma once
 
 #include "core/autoscaling/consolidation.hpp"
 #include "core/failover/heartbeat_handler.hpp"
 #include "core/failover/reconciler.hpp"
+#include "core/learned_state_handover.hpp"
 #include "core/scheduling/replica_consolidation.hpp"
 #include "core/scheduling/scheduler.hpp"
 
 namespace violetpulley::core {
 
+/// Tasks of a job by what has become of them.
 struct JobCounts {
   TaskIndex done = 0;
   TaskIndex running = 0;
 };
 
-struct ListedMachine {
-  MachineId id;
-  std::string endpoint;
-  std::string type;
-  std::string zone;
-  bool spot = false;
-  bool failed = false;
-  Seconds age{0};
-
-  template <class S, class F>
-  static void fields(S& s, F&& f) {
-    f(s.id, s.endpoint, s.type, s.zone, s.spot, s.failed, s.age);
-  }
-};
-
+/// The scheduler core of a leader. Equal events at equal times lead to equal actions.
 class Controller {
  public:
+  /// Recovers the jobs, machines and hints that the former leaders have left. `token`: this
+  /// leader's fencing token. `former_leases_end`: when the agents' leases that former leaders may
+  /// have renewed have run out.
   Controller(ControllerSettings settings, FencingToken token, TimePoint now,
              TimePoint former_leases_end, const RecoveredState& recovered);
   // The parts refer to each other.
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
+  /// Replaces the machine types.
   void set_catalog(std::vector<MachineType> types);
 
-  // Only jobs that were read while leadership was proved.
+  /// Adds a job. The job must have been read while leadership was proven.
   void job_opened(const JobRecord& record, TimePoint now) { jobs_.open(record, now); }
+  /// The job has ended or was cancelled: stops its tasks and forgets it. Unknown jobs are ignored.
   void job_closed(const JobId& id, TimePoint now);
 
+  /// Handles an agent's periodic heartbeat.
   void heartbeat(const Heartbeat& heartbeat, TimePoint now) {
     heartbeats_.heartbeat(heartbeat, now);
   }
-  // Every other controller has said, after it saw our key, that it does not lead.
+  /// The stops and acknowledgements that travel in the answer to a heartbeat.
+  std::vector<Command> response_commands(const Heartbeat& heartbeat) const {
+    return commands_.response_commands(heartbeat.machine, heartbeat.number());
+  }
+  /// Handles the outcome of a command batch. `heartbeat`: the agent's response; null if none came.
+  void commands_answered(const MachineId& machine, const Heartbeat* heartbeat, TimePoint now) {
+    heartbeats_.commands_answered(machine, heartbeat, now);
+  }
+
+  /// Every other controller has said, after it saw our leader key, that it does not lead.
   void former_leaders_gone(TimePoint now) { recovery_.former_leaders_gone(now); }
-  // Workers come to another controller.
+  /// Agents send their heartbeats to another controller.
   void note_peer_receives_heartbeats(TimePoint now) {
     failure_detector_.note_peer_receives_heartbeats(now);
   }
-  // What others hear matters then.
+  /// Whether this leader may be isolated, so that it matters where agents send their heartbeats.
   bool possibly_isolated(TimePoint now) const {
     return failure_detector_.no_heartbeats(now) || failure_detector_.no_lease_renewals(now);
   }
-  // Stops and forgets that travel in the answer to a report.
-  std::vector<Command> response_commands(const Heartbeat& heartbeat) const {
-    return commands_.response_commands(heartbeat.machine,
-                                       {heartbeat.epoch, heartbeat.heartbeat_sequence});
-  }
-  void commands_answered(const MachineId& machine, const Heartbeat* heartbeat, TimePoint now) {
-    heartbeats_.commands_answered(machine, heartbeat, now);
-  }
 
+  /// Result of a `SaveMachine`. `with_endpoint`: the saved record had an endpoint.
   void machine_saved(const MachineId& id, bool with_endpoint, bool ok) {
     registry_.saved(id, with_endpoint, ok);
   }
+  /// Result of a `SaveProgress`.
   void progress_saved(const SaveProgress& saved, bool ok) { jobs_.progress_saved(saved, ok); }
-  void placements_saved(const JobId& job, std::uint64_t version);
+  /// A `SavePlacements` of this version was committed: the starts that waited for it are sent.
+  void placements_saved(const JobId& job, PlacementVersion version);
+  /// A `FinishJob` was not carried out; the next try is not before `retry`.
   void finish_answered(const JobId& job, TimePoint retry) { jobs_.finish_answered(job, retry); }
+
+  /// Result of the `ScaleOut` with this name.
   void scale_out_answered(const std::string& name, const ScaleOutResult& answer, TimePoint now) {
     scale_out_.answered(name, answer, now);
   }
+  /// Result of a `ScaleIn`. `ok`: the machines are proven gone.
   void scale_in_answered(const std::vector<MachineId>& machines, bool ok, TimePoint now);
+  /// Handles the cloud's list of machines.
   void cloud_listed(const std::vector<ListedMachine>& machines, TimePoint now);
 
-  // Deadlines, placing and scaling. `may_place`: leadership may still be served. `proved`: the
-  // latest time of which it is known that nobody else led then (Leadership::contact).
-  void tick(TimePoint now, bool may_place, TimePoint proved);
+  /// Does what depends on time: failure detection, scheduling, scaling, writes that are due and
+  /// commands. `may_place`: leadership may still be served. `last_proven`: the latest time of which
+  /// it is known that no other controller led then (`Leadership::last_proven`).
+  void tick(TimePoint now, bool may_place, TimePoint last_proven);
+
+  /// Returns the actions since the last call, in the order in which to carry them out.
   std::vector<Action> take_actions() { return out_.take(); }
+  /// Whether a scheduling round is requested, so that the next tick should come soon.
   bool placing_wanted() const { return out_.placing_wanted(); }
 
+  /// Null if the job is unknown.
   std::optional<JobCounts> counts(const JobId& id) const;
   const Jobs::Table& jobs() const { return jobs_.table(); }
   const Fleet& fleet() const { return fleet_; }
-  const Estimator& estimator() const { return estimator_; }
+  const RunTimeEstimator& estimator() const { return estimator_; }
   const InstanceOfferings& offerings() const { return offerings_; }
-  bool recovering() const { return recovery_.recovering(); }
   const Reconciler& reconciler() const { return reconciler_; }
   const CommandDispatcher& commands() const { return commands_; }
-  // Machines looked at so far, each time counted; tests hold it against the events.
+  /// Whether tasks of former leaders may still be on unconfirmed machines.
+  bool recovering() const { return recovery_.recovering(); }
+  /// Machines examined so far, each time counted; tests compare the count with the events.
   std::uint64_t inspections() const { return out_.inspections(); }
+  /// One line for the log.
   std::string summary() const;
-  // What the next leader may go by. `wall`: the time of day now.
-  LearnedState learned_state(TimePoint now, WallTime wall) const;
+  /// Hints for the next leader. `wall`: the time of day at `now`.
+  LearnedState learned_state(TimePoint now, WallTime wall) const {
+    return learned_state_handover_.collect(now, wall);
+  }
 
-  // Who takes a save is told of machines and jobs before they change or go.
+  /// Registers observers that are called with each machine and job before it changes or is erased,
+  /// for a snapshot that is taken in parts.
   void before_changes(Fleet::BeforeChange machine, Jobs::BeforeChange job);
 
-  // Calls `visit(name, part)` for every part that owns state, in the order in which saves hold
-  // them.
+  /// Calls `visit(name, part)` for every part that owns state, in the order of snapshots. The names
+  /// are stored.
   template <class Self, class Visit>
   static void each_part(Self& self, const Visit& visit) {
     visit("outbox", self.out_);
@@ -129,14 +143,17 @@
   }
 
  private:
-  void apply_learned_state(const LearnedState& learned_state, TimePoint now);
+  void recover_jobs(const RecoveredState& recovered, FencingToken token, TimePoint now);
+  void recover_machine(const MachineRecord& record, TimePoint now);
+  void forget_returned_machine(Machine& machine, TimePoint now);
+  Machine& add_unexpected_machine(const ListedMachine& listed, TimePoint now);
 
   const ControllerSettings settings_;
   Outbox out_;
   Catalog catalog_;
   Fleet fleet_;
   Jobs jobs_;
-  Estimator estimator_;
+  RunTimeEstimator estimator_;
   DeadlineForecaster forecaster_;
   FailureDetector failure_detector_;
   Recovery recovery_;
@@ -146,6 +163,7 @@
   TaskStarter task_starter_;
   Reconciler reconciler_;
   InstanceOfferings offerings_;
+  LearnedStateHandover learned_state_handover_;
   TaskBindings bindings_;
   Scarcity scarcity_;
   Preemption preemption_;
--- a/src/core/dispatch/command_dispatcher.cpp
+++ b/src/core/dispatch/command_dispatcher.cpp
@@ -9,24 +9,31 @@
 namespace violetpulley::core {
 
 namespace {
-constexpr int kStops = 0;
-constexpr int kUsual = 1;
-constexpr int kSilent = 2;
+
+Command immediate_stop(const TaskStatus& status) {
+  return {CommandType::stop, status.task, status.attempt, Seconds(0)};
+}
+
+// The agent is saving a checkpoint within its grace: a second stop would end the task.
+bool is_checkpointing(const Assignment& assignment) {
+  return assignment.state == TaskState::checkpointing && assignment.grace > Seconds(0);
+}
+
 }  // namespace
 
-bool CommandDispatcher::acknowledgeable(const Machine& machine, const TaskStatus& entry) const {
-  // Held packets may bring a start once more, and a worker that has forgotten the attempt would
-  // run it anew. So an attempt whose start was ever left unanswered stays in the worker's memory
-  // until the session, the token or the machine ends.
-  if (machine.in_doubt_attempts.contains(entry.attempt)) return false;
-  if (entry.cause != ExitCause::done) return true;
-  const auto found = jobs_.find(entry.task.job);
-  if (found != jobs_.end() && found->second.service()) return true;
-  if (found == jobs_.end() || entry.task.index >= found->second.tasks.size()) return true;
-  return found->second.tasks[entry.task.index].persisted;
+bool CommandDispatcher::acknowledgeable(const Machine& machine, const TaskStatus& status) const {
+  // Delayed packets may deliver a start a second time, and an agent that has forgotten the attempt
+  // would run the task anew. So an attempt whose start was ever left unanswered stays in the
+  // agent's memory until the agent epoch, the fencing token or the machine ends.
+  if (machine.in_doubt_attempts.contains(status.attempt)) return false;
+  if (status.cause != ExitCause::done) return true;
+  const auto found = jobs_.find(status.task.job);
+  if (found == jobs_.end()) return true;
+  const auto& job = found->second;
+  if (job.service() || status.task.index >= job.tasks.size()) return true;
+  return job.tasks[status.task.index].persisted;
 }
 
-// A start waits until the record of where it goes is committed.
 bool CommandDispatcher::committed(const TaskKey& key, const Assignment& assignment) const {
   if (assignment.record == 0) return true;
   const auto job = jobs_.find(key.job);
@@ -34,39 +41,57 @@
 }
 
 std::vector<Command> CommandDispatcher::commands_for(const Machine& machine,
-                                                     bool with_starts) const {
+                                                     IncludeStarts include_starts) const {
   std::vector<Command> commands;
-  // What an unconfirmed machine lists may be out of date, but a job that has ended has for ever.
-  // The answer to its report renews its lease, so it must carry these stops: without them a task
-  // that an older leader had seen cancelled outlived `cancel_s`, as the machine was cut off right
-  // after (seed 1379 of Hunted).
   if (!machine.confirmed) {
-    for (const auto& entry : machine.task_statuses)
-      if (entry.state != TaskState::exited && !jobs_.table().contains(entry.task.job))
-        commands.push_back({CommandType::stop, entry.task, entry.attempt, Seconds(0)});
+    add_stops_of_ended_jobs(machine, commands);
     return commands;
   }
-  for (const auto& entry : machine.task_statuses)
-    if (entry.state == TaskState::exited && acknowledgeable(machine, entry))
-      commands.push_back({CommandType::acknowledge, entry.task, entry.attempt, Seconds(0)});
-  for (const auto& entry : machine.task_statuses) {
-    if (entry.state == TaskState::exited) continue;
-    const auto ours = machine.tasks.find(entry.task);
-    if (ours == machine.tasks.end() || ours->second.attempt != entry.attempt)
-      commands.push_back({CommandType::stop, entry.task, entry.attempt, Seconds(0)});
+  add_acknowledgements(machine, commands);
+  add_stops_of_unknown_attempts(machine, commands);
+  add_starts_and_stops(machine, include_starts, commands);
+  return commands;
+}
+
+// The statuses of an unconfirmed machine may be out of date, but a job that has ended has ended for
+// ever. The answer to the machine's heartbeat renews its lease, so the answer must carry these
+// stops: without them a task that a former leader had seen cancelled outlived `cancel_s`, as the
+// machine was cut off right afterwards (seed 1379 of Hunted).
+void CommandDispatcher::add_stops_of_ended_jobs(const Machine& machine,
+                                                std::vector<Command>& commands) const {
+  for (const auto& status : machine.task_statuses)
+    if (status.state != TaskState::exited && !jobs_.table().contains(status.task.job))
+      commands.push_back(immediate_stop(status));
+}
+
+void CommandDispatcher::add_acknowledgements(const Machine& machine,
+                                             std::vector<Command>& commands) const {
+  for (const auto& status : machine.task_statuses)
+    if (status.state == TaskState::exited && acknowledgeable(machine, status))
+      commands.push_back({CommandType::acknowledge, status.task, status.attempt, Seconds(0)});
+}
+
+void CommandDispatcher::add_stops_of_unknown_attempts(const Machine& machine,
+                                                      std::vector<Command>& commands) {
+  for (const auto& status : machine.task_statuses) {
+    if (status.state == TaskState::exited) continue;
+    const auto assigned = machine.tasks.find(status.task);
+    if (assigned == machine.tasks.end() || assigned->second.attempt != status.attempt)
+      commands.push_back(immediate_stop(status));
   }
+}
+
+void CommandDispatcher::add_starts_and_stops(const Machine& machine, IncludeStarts include_starts,
+                                             std::vector<Command>& commands) const {
   for (const auto& [key, assignment] : machine.tasks) {
-    // A start that was not answered may be executed late. Where the job still runs, sending it
-    // once more before the stop makes the attempt known, so that its exit is reported.
-    if (with_starts && !assignment.seen && !assignment.orphaned && committed(key, assignment))
+    // A start that was not answered may be executed late. While the job still runs, a repeated
+    // start before the stop makes the attempt known to the agent, so that its exit is reported.
+    if (include_starts == IncludeStarts::yes && !assignment.seen && !assignment.orphaned &&
+        committed(key, assignment))
       commands.push_back({CommandType::start, key, assignment.attempt, Seconds(0)});
-    // What saves is left to it: a second stop would end it.
-    const bool saves =
-        assignment.state == TaskState::checkpointing && assignment.grace > Seconds(0);
-    if (assignment.stop && !saves)
+    if (assignment.stop && !is_checkpointing(assignment))
       commands.push_back({CommandType::stop, key, assignment.attempt, assignment.grace});
   }
-  return commands;
 }
 
 std::vector<Command> CommandDispatcher::response_commands(const MachineId& id,
@@ -75,7 +100,7 @@
   if (machine == nullptr ||
       heartbeat != HeartbeatNumber{machine->epoch, machine->heartbeat_sequence})
     return {};
-  return commands_for(*machine, false);
+  return commands_for(*machine, IncludeStarts::no);
 }
 
 void CommandDispatcher::stop(Machine& machine, Assignment& assignment, TimePoint now,
@@ -83,27 +108,29 @@
   if (assignment.stop && assignment.grace <= grace) return;
   fleet_.before_change(machine);
   assignment.grace = grace;
-  if (assignment.stop) return want(machine);
-  assignment.stop = true;
-  assignment.stop_since = now;
-  want(machine);
+  if (!assignment.stop) {
+    assignment.stop = true;
+    assignment.stop_since = now;
+  }
+  mark_due(machine);
 }
 
-// Stops a task that has to leave its machine. It may save if that fits into the time there is and
-// gains more than it takes; of a gang all tasks must be told together, or the save fails.
 void CommandDispatcher::stop_with_checkpoint(Machine& machine, const TaskKey& key,
                                              Assignment& assignment, Seconds available,
                                              TimePoint now) {
-  const auto job = jobs_.find(key.job);
-  const bool saves = job != jobs_.end() && worth_checkpointing(assignment, now) &&
-                     available > assignment.checkpoint_time + kCommandTravelTime;
-  if (!saves) return stop(machine, assignment, now);
-  // With more grace than the save takes, a worker that counts a little faster still lets it end.
+  // Longer than the checkpoint takes, so that an agent whose clock runs a little faster still lets
+  // the checkpoint end.
   const auto grace = assignment.checkpoint_time + kCommandTravelTime;
-  if (!job->second.gang()) return stop(machine, assignment, now, grace);
-  each_on_machines(fleet_, job->second, [&](Machine& place, const TaskKey&, Assignment& mate) {
-    stop(place, mate, now, grace);
-  });
+  const auto found = jobs_.find(key.job);
+  const bool saves =
+      found != jobs_.end() && worth_checkpointing(assignment, now) && available > grace;
+  if (!saves) return stop(machine, assignment, now);
+  const auto& job = found->second;
+  if (!job.gang()) return stop(machine, assignment, now, grace);
+  each_on_machines(fleet_, job,
+                   [&](Machine& peer_machine, const TaskKey&, Assignment& peer_assignment) {
+                     stop(peer_machine, peer_assignment, now, grace);
+                   });
 }
 
 bool CommandDispatcher::holds_cancelled_task(const Machine& machine) {
@@ -111,17 +138,15 @@
                      [](const auto& entry) { return entry.second.orphaned; });
 }
 
-CommandDispatcher::Urgency CommandDispatcher::urgency(const Machine& machine) const {
-  Attempt oldest = std::numeric_limits<Attempt>::max();
-  for (const auto& [key, assignment] : machine.tasks) {
-    if (assignment.stop) return {kStops, 0};
-    if (!assignment.seen) oldest = std::min(oldest, assignment.attempt);
-  }
-  return {machine.unanswered_commands > 0 ? kSilent : kUsual, oldest};
+SocketShares CommandDispatcher::shares() const {
+  auto shares = share_sockets(sockets_, fleet_.all().size());
+  if (max_in_flight_ > 0) shares.commands = std::min(shares.commands, max_in_flight_);
+  return shares;
 }
 
-std::size_t CommandDispatcher::room() const {
-  // Those that did not answer the last time leave room to those that were not asked yet.
+std::size_t CommandDispatcher::available_slots() const {
+  // Machines that left their last batch unanswered do not keep slots from machines that were not
+  // asked yet.
   const auto due = static_cast<std::size_t>(
       std::count_if(machines_due_.begin(), machines_due_.end(), [&](const MachineId& id) {
         const auto* machine = fleet_.find(id);
@@ -131,65 +156,98 @@
   return window_.size() > taken ? window_.size() - taken : 0;
 }
 
-void CommandDispatcher::send(TimePoint now) {
-  out_.note_inspections(machines_due_.size());
-  std::vector<std::pair<Urgency, Machine*>> ready;
+CommandDispatcher::Urgency CommandDispatcher::urgency_of(const Machine& machine) {
+  Attempt oldest_unseen = std::numeric_limits<Attempt>::max();
+  for (const auto& [key, assignment] : machine.tasks) {
+    if (assignment.stop) return {UrgencyRank::stops, 0};
+    if (!assignment.seen) oldest_unseen = std::min(oldest_unseen, assignment.attempt);
+  }
+  const bool unresponsive = machine.unanswered_commands > 0;
+  return {unresponsive ? UrgencyRank::unresponsive : UrgencyRank::usual, oldest_unseen};
+}
+
+// Stops are safety traffic; machines that are likely dead leave half of the window to the others.
+bool CommandDispatcher::window_admits(UrgencyRank rank) const {
+  switch (rank) {
+    case UrgencyRank::stops:
+      return window_.admits_stops();
+    case UrgencyRank::unresponsive:
+      return window_.admits_unresponsive();
+    case UrgencyRank::usual:
+      break;
+  }
+  return window_.admits();
+}
+
+// Until the cloud has answered the release of a machine, a cancelled task on it is still stopped:
+// the cloud may be unreachable, and a delayed start may arrive meanwhile (seed 1758 of Meetings).
+bool CommandDispatcher::accepts_commands(const Machine& machine) {
+  return machine.up() && (!machine.releasing || holds_cancelled_task(machine));
+}
+
+// Drops the machines that take no commands and returns those that may get a batch now.
+std::vector<CommandDispatcher::ReadyMachine> CommandDispatcher::collect_ready(TimePoint now) {
+  std::vector<ReadyMachine> ready;
   for (auto due = machines_due_.begin(); due != machines_due_.end();) {
     auto* machine = fleet_.find(*due);
-    // Until the cloud has answered, a task that has to go is told so: the cloud may be out of
-    // reach, and a start that was held may come meanwhile (seed 1758 of Meetings).
-    if (machine == nullptr || !machine->up() ||
-        (machine->releasing && !holds_cancelled_task(*machine))) {
+    if (machine == nullptr || !accepts_commands(*machine)) {
       due = machines_due_.erase(due);
       continue;
     }
     ++due;
     if (!machine->commands_in_flight && now >= machine->next_commands_at)
-      ready.emplace_back(urgency(*machine), machine);
+      ready.push_back({urgency_of(*machine), machine});
   }
+  return ready;
+}
+
+void CommandDispatcher::send_due(TimePoint now) {
+  out_.note_inspections(machines_due_.size());
+  auto ready = collect_ready(now);
   if (ready.empty()) return;
-  std::sort(ready.begin(), ready.end(), [](const auto& a, const auto& b) {
-    return std::tie(a.first, a.second->id) < std::tie(b.first, b.second->id);
+  std::sort(ready.begin(), ready.end(), [](const ReadyMachine& a, const ReadyMachine& b) {
+    return std::tie(a.urgency, a.machine->id) < std::tie(b.urgency, b.machine->id);
   });
   window_.set_share(shares().commands);
   for (const auto& [urgency, machine] : ready) {
-    // Stops are safety traffic; machines that are likely dead leave half of the window to the
-    // others.
-    const auto rank = urgency.first;
-    if (rank == kStops ? !window_.admits_stops() : !window_.admits(rank == kSilent ? 2 : 1))
-      continue;
-    send(*machine, now);
+    if (!window_admits(urgency.rank)) continue;
+    send_batch(*machine, now);
     machines_due_.erase(machine->id);
   }
 }
 
-void CommandDispatcher::send(Machine& machine, TimePoint now) {
+void CommandDispatcher::send_batch(Machine& machine, TimePoint now) {
   fleet_.before_change(machine);
   machine.commands_in_flight = true;
   machine.commands_sent_at = now;
   window_.sent();
-  // A machine that does not answer is asked, not given the same starts again and again: each of
-  // them might be held on its way. Stops are worth it.
-  auto commands = commands_for(machine, !machine.unacknowledged_since);
+  // A machine that does not answer is probed and not sent the same starts again and again: each
+  // copy might be delayed on its way. Stops are worth that risk.
+  const auto include_starts = machine.unacknowledged_since ? IncludeStarts::no : IncludeStarts::yes;
+  auto commands = commands_for(machine, include_starts);
   machine.starts_in_flight.clear();
   for (const auto& command : commands)
     if (command.type == CommandType::start) machine.starts_in_flight.push_back(command.attempt);
-  // An empty list under our token confirms a machine; a wrong session is answered with a report
-  // that tells the right one.
-  out_.push_back(SendCommands{machine.id, machine.endpoint,
-                              std::max<std::uint64_t>(1, machine.epoch), std::move(commands)});
+  // An empty batch under our fencing token confirms a machine; a batch with a wrong epoch is
+  // answered with a heartbeat that holds the right one.
+  const auto epoch = std::max<AgentEpoch>(1, machine.epoch);
+  out_.push_back(SendCommands{machine.id, machine.endpoint, epoch, std::move(commands)});
 }
 
-void CommandDispatcher::answered(Machine& machine, bool any, TimePoint now) {
+void CommandDispatcher::record_outcome(Machine& machine, bool answered, TimePoint now) {
   fleet_.before_change(machine);
-  if (machine.commands_in_flight)
-    any ? window_.answered(now - machine.commands_sent_at) : window_.lost(now);
+  if (machine.commands_in_flight) {
+    if (answered)
+      window_.answered(now - machine.commands_sent_at);
+    else
+      window_.lost(now);
+  }
   machine.commands_in_flight = false;
-  machine.unanswered_commands = any ? 0 : machine.unanswered_commands + 1;
+  machine.unanswered_commands = answered ? 0 : machine.unanswered_commands + 1;
 }
 
-void CommandDispatcher::gone(const Machine& machine) {
-  if (machine.commands_in_flight) window_.dropped();
+void CommandDispatcher::machine_returned(const Machine& machine) {
+  if (machine.commands_in_flight) window_.release_slot();
 }
 
 }  // namespace violetpulley::core
--- a/src/core/dispatch/command_dispatcher.hpp
+++ b/src/core/dispatch/command_dispatcher.hpp
@@ -1,6 +1,8 @@
-// What machines are told: starts, stops and forgets, repeated until a report shows them done
-// (PROTOCOL, "Workers"; docs/safety.md, "One copy of a task", 5). Owns the set of machines that are
-// due and the window of what is under way; decides what is sent when, never what should run.
+/// @file
+/// Commands to the machines: starts, stops and acknowledgements, repeated until a heartbeat shows
+/// their effect (PROTOCOL, "Workers"; docs/safety.md, "One copy of a task", 5). Owns the set of
+/// machines that are due for a command batch and the window of unanswered batches. Decides which
+/// command is sent when, never which task should run.
 #pragma once
 
 #include <set>
@@ -12,46 +14,64 @@
 
 namespace violetpulley::core {
 
-// Session and sequence of a report.
-using HeartbeatNumber = std::pair<std::uint64_t, std::uint64_t>;
-
-// An order's way to the worker, with room to spare.
+/// Upper estimate of the time in which a command reaches the agent.
 inline constexpr Seconds kCommandTravelTime{1};
 
+/// Whether a command batch may contain starts.
+enum class IncludeStarts : bool { no, yes };
+
+/// Sends command batches to machines, the most urgent first, within the in-flight window.
 class CommandDispatcher {
  public:
-  // `most`: order lists under way, if the operators set it.
-  CommandDispatcher(const SocketBudget& sockets, std::size_t most, Outbox& out, Fleet& fleet,
-                    const Jobs& jobs)
-      : sockets_(sockets), most_(most), out_(out), fleet_(fleet), jobs_(jobs) {}
-
-  void want(const Machine& machine) { machines_due_.insert(machine.id); }
-  std::vector<Command> commands_for(const Machine& machine, bool with_starts) const;
-  // Stops and forgets that travel in the answer to a report, if it is the newest of its machine: a
-  // late copy of one carries nothing.
+  /// `max_in_flight`: the operators' bound of unanswered command batches; 0: as the sockets allow.
+  CommandDispatcher(const SocketBudget& sockets, std::size_t max_in_flight, Outbox& out,
+                    Fleet& fleet, const Jobs& jobs)
+      : sockets_(sockets), max_in_flight_(max_in_flight), out_(out), fleet_(fleet), jobs_(jobs) {}
+
+  /// Requests that a command batch is sent to the machine, even if the batch is empty.
+  void mark_due(const Machine& machine) { machines_due_.insert(machine.id); }
+
+  /// The commands that the machine's last heartbeat and its assignments call for, in the order
+  /// acknowledgements, stops of unknown attempts, then starts and stops by task.
+  std::vector<Command> commands_for(const Machine& machine, IncludeStarts include_starts) const;
+
+  /// The stops and acknowledgements for the answer to a heartbeat. Empty unless `heartbeat` is the
+  /// machine's newest one: the answer to a late copy carries nothing.
   std::vector<Command> response_commands(const MachineId& machine, HeartbeatNumber heartbeat) const;
-  // Sends what the window admits; the rest stays due. Stops come first, then tasks in the order in
-  // which placing chose them, then machines that did not answer the last time.
-  void send(TimePoint now);
-  // The machine's answer came, or none did.
-  void answered(Machine& machine, bool any, TimePoint now);
-  // It was returned.
-  void gone(const Machine& machine);
-  // How many more machines may be asked now.
-  std::size_t room() const;
-  SocketShares shares() const {
-    auto shares = share_sockets(sockets_, fleet_.all().size());
-    if (most_ > 0) shares.commands = std::min(shares.commands, most_);
-    return shares;
-  }
+
+  /// Sends as many batches as the window admits; the other machines stay due. Machines with stops
+  /// come first, then machines by their oldest unconfirmed attempt (the order in which the
+  /// scheduler chose the tasks), then machines that left their last batch unanswered.
+  void send_due(TimePoint now);
+
+  /// Ends the machine's batch in flight. `answered`: false if the request failed or timed out.
+  void record_outcome(Machine& machine, bool answered, TimePoint now);
+
+  /// Frees the window's slot of a machine that was returned.
+  void machine_returned(const Machine& machine);
+
+  /// How many more machines may be marked due before the window is full.
+  std::size_t available_slots() const;
+
+  /// The socket shares for the present number of machines, with the operators' bound applied.
+  SocketShares shares() const;
+
+  /// The window of unanswered command batches.
   const InFlightWindow& window() const { return window_; }
-  // A task of a job that was cancelled or has ended may be on it.
+
+  /// Whether the machine has, or may have, a task of a job that has ended or was cancelled.
   static bool holds_cancelled_task(const Machine& machine);
-  // Whether the start may have been sent.
+
+  /// Whether the placement record of the assignment is committed, so that its start may be sent.
   bool committed(const TaskKey& key, const Assignment& assignment) const;
 
+  /// Marks the assignment to be stopped, with `grace` to save a checkpoint. A repeated stop only
+  /// ever shortens the grace.
   void stop(Machine& machine, Assignment& assignment, TimePoint now, Seconds grace = Seconds(0));
-  // `available`: how long the task may take to save.
+
+  /// Stops a task that has to leave its machine, with time for a checkpoint if that takes less
+  /// than `available` and gains more than it takes. The tasks of a gang are then all stopped, as
+  /// the checkpoint fails unless all save together.
   void stop_with_checkpoint(Machine& machine, const TaskKey& key, Assignment& assignment,
                             Seconds available, TimePoint now);
 
@@ -61,14 +81,36 @@
   }
 
  private:
-  // Smaller is more urgent: the rank, and within it the number of the oldest open start.
-  using Urgency = std::pair<int, Attempt>;
-  bool acknowledgeable(const Machine& machine, const TaskStatus& entry) const;
-  Urgency urgency(const Machine& machine) const;
-  void send(Machine& machine, TimePoint now);
+  /// Smaller is more urgent.
+  enum class UrgencyRank { stops, usual, unresponsive };
+
+  /// Order in which machines get their batches: by rank, then by the oldest unconfirmed attempt.
+  struct Urgency {
+    UrgencyRank rank = UrgencyRank::usual;
+    Attempt oldest_unseen_attempt = 0;
+    friend auto operator<=>(const Urgency&, const Urgency&) = default;
+  };
+
+  struct ReadyMachine {
+    Urgency urgency;
+    Machine* machine = nullptr;
+  };
+
+  bool acknowledgeable(const Machine& machine, const TaskStatus& status) const;
+  void add_stops_of_ended_jobs(const Machine& machine, std::vector<Command>& commands) const;
+  void add_acknowledgements(const Machine& machine, std::vector<Command>& commands) const;
+  static void add_stops_of_unknown_attempts(const Machine& machine, std::vector<Command>& commands);
+  void add_starts_and_stops(const Machine& machine, IncludeStarts include_starts,
+                            std::vector<Command>& commands) const;
+
+  static Urgency urgency_of(const Machine& machine);
+  bool window_admits(UrgencyRank rank) const;
+  static bool accepts_commands(const Machine& machine);
+  std::vector<ReadyMachine> collect_ready(TimePoint now);
+  void send_batch(Machine& machine, TimePoint now);
 
   const SocketBudget& sockets_;
-  std::size_t most_;
+  std::size_t max_in_flight_;
   Outbox& out_;
   Fleet& fleet_;
   const Jobs& jobs_;
--- a/src/core/dispatch/rate_limiter.hpp
+++ b/src/core/dispatch/rate_limiter.hpp
@@ -1,4 +1,5 @@
-// Token bucket. Pure: the caller passes the time.
+/// @file
+/// Token bucket. Owns its fill level and reads no clock: the caller passes the time.
 #pragma once
 
 #include <algorithm>
@@ -7,11 +8,15 @@
 
 namespace violetpulley::core {
 
+/// Limits a rate of operations; up to `burst` of them may happen at once.
 class RateLimiter {
  public:
+  /// Starts with a full bucket. `per_second`: refill rate; `burst`: capacity of the bucket.
   RateLimiter(double per_second, double burst)
       : per_second_(per_second), burst_(burst), level_(burst) {}
 
+  /// Takes `amount` if the bucket holds that much; an amount above the burst needs a full bucket.
+  /// Returns whether it was taken.
   bool take(TimePoint now, double amount = 1.0) {
     refill(now);
     if (level_ < std::min(amount, burst_)) return false;
@@ -19,12 +24,13 @@
     return true;
   }
 
-  // Takes even when empty: for safety traffic, which then delays the rest.
+  /// Takes `amount` even from an empty bucket: for safety traffic, which then delays the rest.
   void force(TimePoint now, double amount = 1.0) {
     refill(now);
     level_ -= amount;
   }
 
+  /// Time until `take` of this amount succeeds; zero if it would now.
   Duration wait_for(TimePoint now, double amount = 1.0) {
     refill(now);
     const double lacking = std::min(amount, burst_) - level_;
@@ -32,14 +38,16 @@
     return to_duration(Seconds(lacking / per_second_)) + std::chrono::milliseconds(1);
   }
 
-  // The same for an amount that may take longer than one burst.
+  /// Time in which `amount` accumulates, also beyond one burst; zero if the bucket holds it.
   Duration wait_until(TimePoint now, double amount) {
     refill(now);
     const double lacking = amount - level_;
     return lacking <= 0 ? Duration::zero() : to_duration(Seconds(lacking / per_second_));
   }
 
+  /// Refill rate, per second.
   double rate() const { return per_second_; }
+  /// Changes rate and burst; the level stays.
   void set_rate(double per_second, double burst) {
     per_second_ = per_second;
     burst_ = burst;
@@ -47,20 +55,20 @@
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.per_second_, s.burst_, s.level_, s.last_);
+    f(s.per_second_, s.burst_, s.level_, s.last_refill_);
   }
 
  private:
   void refill(TimePoint now) {
-    if (last_ && now > *last_)
-      level_ = std::min(burst_, level_ + Seconds(now - *last_).count() * per_second_);
-    if (!last_ || now > *last_) last_ = now;
+    if (last_refill_ && now > *last_refill_)
+      level_ = std::min(burst_, level_ + Seconds(now - *last_refill_).count() * per_second_);
+    if (!last_refill_ || now > *last_refill_) last_refill_ = now;
   }
 
   double per_second_;
   double burst_;
   double level_;
-  std::optional<TimePoint> last_;
+  std::optional<TimePoint> last_refill_;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/dispatch/socket_budget.hpp
+++ b/src/core/dispatch/socket_budget.hpp
@@ -1,5 +1,6 @@
-// Who may hold how many of a controller's sockets (docs/reconciliation.md, "Connections"; DEPLOY, "The
-// machine"). Pure arithmetic: the shells keep to what it says.
+/// @file
+/// Division of a controller's sockets among heartbeats, commands and users (docs/reconciliation.md,
+/// "Connections"; DEPLOY, "The machine"). Pure arithmetic without state; the shells enforce it.
 #pragma once
 
 #include <algorithm>
@@ -7,10 +8,10 @@
 
 namespace violetpulley::core {
 
-// What the platform's settings give; both are counts.
+/// What the platform's settings allow.
 struct SocketBudget {
-  std::size_t sockets = 1000;
-  std::size_t nodes = 1;  // controllers
+  std::size_t sockets = 1000;  ///< All sockets that a controller may hold.
+  std::size_t nodes = 1;       ///< Controllers of the service.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -18,37 +19,46 @@
   }
 };
 
+/// How many sockets each use may take.
 struct SocketShares {
-  std::size_t own = 0;         // state service, cloud, siblings, listeners, files
-  std::size_t heartbeats = 0;  // kept open for workers; one beyond is closed after its answer
-  std::size_t users = 0;       // the same for users and health checks
-  std::size_t commands = 0;    // order lists under way and lines kept, together
+  std::size_t own = 0;         ///< State service, cloud, peers, listeners, files.
+  std::size_t heartbeats = 0;  ///< Kept open for agents; a connection beyond the share is closed
+                               ///< after its answer.
+  std::size_t users = 0;       ///< Kept open for users and health checks, likewise.
+  std::size_t commands = 0;    ///< Command batches in flight and idle connections to agents.
 
-  // What may be accepted at all: connections beyond a share have to be answered before they close.
+  /// Connections that may be accepted at all: a connection beyond a share has to be answered before
+  /// it is closed.
   std::size_t accepted(std::size_t sockets) const {
     return sockets > own + commands ? sockets - own - commands : 0;
   }
 };
 
-// `machines`: up or coming. Reports come first, since they hold the leases: with as many machines
-// as there is room for, each keeps its connection and a tenth more finds room, for machines that
-// boot and connections that their workers have given up. What is left is for orders and users in
-// equal parts. With more machines than that the last ones connect anew for each report, and orders
-// and users keep a least share: slower, but nobody is shut out.
+/// Divides the budget for `machines` that are up or booting.
+///
+/// Heartbeats come first, since they renew the leases: while the sockets suffice, each machine
+/// keeps its connection, and a tenth more is spare for machines that boot and for connections that
+/// their agents have abandoned. Commands and users share the remainder equally. With more machines
+/// than that the last ones connect anew for each heartbeat, and commands and users keep a minimal
+/// share: slower, but nobody is shut out.
 inline SocketShares share_sockets(const SocketBudget& budget, std::size_t machines) {
-  constexpr std::size_t kOwnAtLeast = 40;
-  constexpr std::size_t kOfSibling = 4;
+  constexpr std::size_t kMinOwn = 40;
+  constexpr std::size_t kPerNode = 4;
+  constexpr std::size_t kMinShare = 8;        // of commands, and of users
+  constexpr std::size_t kSpareMachines = 16;  // beside the tenth of all machines
   SocketShares shares;
-  const auto all = std::max<std::size_t>(budget.sockets, 2 * kOwnAtLeast);
-  shares.own = std::min(all / 2, kOwnAtLeast + kOfSibling * budget.nodes);
-  const auto rest = all - shares.own;
-  const auto least = std::max<std::size_t>(8, rest / 10);  // of orders, and of users
-  shares.heartbeats = std::min(machines + machines / 10 + 16, rest - 2 * least);
-  // Nine tenths of all are enough for everything, so that an error of ours shows before it hurts.
-  const auto left = rest - shares.heartbeats;
-  const auto spare = std::min(all / 10, left - 2 * least);
-  shares.commands = std::max(least, (left - spare) / 2);
-  shares.users = std::max(least, left - spare - shares.commands);
+  const auto all = std::max<std::size_t>(budget.sockets, 2 * kMinOwn);
+  shares.own = std::min(all / 2, kMinOwn + kPerNode * budget.nodes);
+  const auto divisible = all - shares.own;
+  const auto min_share = std::max<std::size_t>(kMinShare, divisible / 10);
+  shares.heartbeats =
+      std::min(machines + machines / 10 + kSpareMachines, divisible - 2 * min_share);
+  // Nine tenths of all sockets are enough for everything: the last tenth stays unused where
+  // possible, so that a leak of ours shows before it does harm.
+  const auto left = divisible - shares.heartbeats;
+  const auto spare = std::min(all / 10, left - 2 * min_share);
+  shares.commands = std::max(min_share, (left - spare) / 2);
+  shares.users = std::max(min_share, left - spare - shares.commands);
   return shares;
 }
 
--- a/src/core/dispatch/task_starter.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -10,9 +10,9 @@
 
 bool zone_allowed(const JobSpec& spec, const ZoneUse& use, const std::string& zone) {
   const auto found = use.find(zone);
-  const TaskIndex here = found == use.end() ? 0 : found->second;
-  if (spec.same_zone) return use.empty() || (use.size() == 1 && here > 0);
-  return !spec.spread || here + 1 <= max_tasks_in_zone(spec);
+  const TaskIndex tasks_in_zone = found == use.end() ? 0 : found->second;
+  if (spec.same_zone) return use.empty() || (use.size() == 1 && tasks_in_zone > 0);
+  return !spec.spread || tasks_in_zone + 1 <= max_tasks_in_zone(spec);
 }
 
 Seconds fetch_time(const JobSpec& spec, double gb_per_s) {
@@ -21,7 +21,7 @@
 
 bool TaskStarter::placeable(const Machine& machine, TimePoint now) const {
   if (!machine.up() || !machine.confirmed || !machine.registered || machine.releasing) return false;
-  // All that starts on a mute machine ends with its lease.
+  // All tasks that start behind an outbound partition end with the machine's lease.
   if (!reached(machine) || machine.outbound_partition_since) return false;
   if (machine.draining || machine.quarantined || machine.notice_ends) return false;
   return machine.last_heartbeat &&
@@ -31,8 +31,8 @@
 bool TaskStarter::within_limit(const JobSpec& spec, std::size_t tasks) const {
   const auto found = catalog_.teams().find(spec.team);
   if (found == catalog_.teams().end()) return false;
-  const auto more = spec.per_task * static_cast<double>(tasks);
-  return (fleet_.team_use(spec.team) + recovery_.uncertain() + more)
+  const auto added = spec.per_task * static_cast<double>(tasks);
+  return (fleet_.team_use(spec.team) + recovery_.uncertain() + added)
       .fits_in(limit_of(found->second));
 }
 
@@ -42,47 +42,59 @@
   return limit_of(found->second) - fleet_.team_use(team) - recovery_.uncertain();
 }
 
-// Where every task of the job possibly is, for same_zone and spread; empty for other jobs.
 ZoneUse TaskStarter::zone_use(const Job& job) const {
   ZoneUse use;
   if (!job.spec().same_zone && !job.spec().spread) return use;
-  for (TaskIndex i = 0; i < job.tasks.size(); ++i) {
-    const auto& task = job.tasks[i];
-    // One that is held up may be where it was recorded.
-    const bool held =
-        task.phase == Phase::waiting && job.placements_complete && recovery_.held(job, i);
-    if (task.phase != Phase::assigned && !held) continue;
-    if (const auto* machine = fleet_.find(held ? job.placed[i] : task.machine))
+  for (TaskIndex index = 0; index < job.tasks.size(); ++index) {
+    const auto& task = job.tasks[index];
+    // A task that is blocked on reconciliation may be where its start was recorded.
+    const bool blocked = task.phase == Phase::waiting && job.placements_complete &&
+                         blocked_on_reconciliation(job, index);
+    if (task.phase != Phase::assigned && !blocked) continue;
+    if (const auto* machine = fleet_.find(blocked ? job.placed[index] : task.machine))
       ++use[machine->zone];
   }
   return use;
 }
 
-// The one place where starts are made: limits and places are checked here, whatever chose them.
-bool TaskStarter::start(Job& job, TaskIndex index, Machine& machine, Attempt attempt,
-                        TimePoint now) {
+bool TaskStarter::may_start(const Job& job, TaskIndex index, const Machine& machine,
+                            TimePoint now) const {
   const auto& spec = job.spec();
-  const auto& task = job.tasks[index];
-  if (task.phase != Phase::waiting || recovery_.held(job, index)) return false;
+  if (job.tasks[index].phase != Phase::waiting) return false;
+  if (blocked_on_reconciliation(job, index)) return false;
   if (!machine.reserved_for.empty() && machine.reserved_for != spec.id) return false;
-  if (!placeable(machine, now) || !spec.per_task.fits_in(machine.free())) return false;
+  if (!placeable(machine, now)) return false;
+  if (!spec.per_task.fits_in(machine.free())) return false;
   if (!allowed_on(spec, machine.type, machine.zone, machine.spot)) return false;
-  if (!zone_allowed(spec, zone_use(job), machine.zone) || !within_limit(spec)) return false;
-  const TaskKey key{spec.id, index};
-  if (machine.tasks.contains(key)) return false;
-  fleet_.before_change(machine);
-  jobs_.before_change(job);
+  if (!zone_allowed(spec, zone_use(job), machine.zone)) return false;
+  if (!within_limit(spec)) return false;
+  return !machine.tasks.contains({spec.id, index});
+}
+
+Assignment TaskStarter::make_assignment(Job& job, TaskIndex index, const Machine& machine,
+                                        Attempt attempt, TimePoint now) {
+  const auto& spec = job.spec();
   auto assignment = assignment_of(spec, attempt, forecaster_.estimate_left(job, index), now);
-  assignment.saved = job.tasks[job.gang() ? 0 : index].saved;
+  assignment.saved = job.saved_run_time(index);
   if (image_rank(machine, spec.image) < 2)
     assignment.fetch = fetch_time(spec, machine.fetch_gb_per_s);
   if (settings_.tuning.commit_starts && job.records_starts())
     assignment.record = jobs_.record_start(job, index, machine.id);
+  return assignment;
+}
+
+bool TaskStarter::start(Job& job, TaskIndex index, Machine& machine, Attempt attempt,
+                        TimePoint now) {
+  if (!may_start(job, index, machine, now)) return false;
+  const auto& spec = job.spec();
+  fleet_.before_change(machine);
+  jobs_.before_change(job);
+  auto assignment = make_assignment(job, index, machine, attempt, now);
   fleet_.touch_image(machine, spec.image, spec.image_gb, false);
-  fleet_.assign(machine, key, std::move(assignment));
+  fleet_.assign(machine, {spec.id, index}, std::move(assignment));
   job.set_assigned(index, machine.id);
   machine.idle_since.reset();
-  commands_.want(machine);
+  commands_.mark_due(machine);
   return true;
 }
 
--- a/src/core/dispatch/task_starter.hpp
+++ b/src/core/dispatch/task_starter.hpp
@@ -1,6 +1,7 @@
-// The one place where starts are made: limits, types, zones and kinds are checked here, whatever
-// chose the machine (docs/safety.md, "Limits and places"; PROTOCOL, "Rules"). Owns the counter of
-// attempts.
+/// @file
+/// The only place where starts are made: limits, machine types, zones and spot permission are
+/// checked here, whichever part of the scheduler chose the machine (docs/safety.md, "Limits and
+/// places"; PROTOCOL, "Rules"). Owns the counter of attempts.
 #pragma once
 
 #include "core/dispatch/command_dispatcher.hpp"
@@ -10,17 +11,21 @@
 
 namespace violetpulley::core {
 
-// How many tasks of a job a zone has.
+/// Number of tasks of a job by zone.
 using ZoneUse = std::map<std::string, TaskIndex>;
 
-// Whether one more task may go to the zone, given where the others possibly are.
+/// Whether one more task may go to the zone, given the zones in which the job's other tasks are or
+/// may be.
 bool zone_allowed(const JobSpec& spec, const ZoneUse& use, const std::string& zone);
 
-// How long a machine of that rate fetches the job's image.
+/// Time in which a machine with this fetch rate fetches the job's image; zero if the rate is
+/// unknown.
 Seconds fetch_time(const JobSpec& spec, double gb_per_s);
 
+/// Checks and makes starts of tasks on machines.
 class TaskStarter {
  public:
+  /// `token`: this leader's fencing token, from which its attempts are derived.
   TaskStarter(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet, Jobs& jobs,
               CommandDispatcher& commands, const DeadlineForecaster& forecaster,
               const Recovery& recovery, FencingToken token)
@@ -31,24 +36,38 @@
         commands_(commands),
         forecaster_(forecaster),
         recovery_(recovery),
-        // Attempts come from the token and a counter, so no two leaders ever choose the same one.
-        next_attempt_((token << 24U) + 1) {}
+        next_attempt_((token << kAttemptCounterBits) + 1) {}
 
+  /// A number that no other attempt of any leader has.
   Attempt next_attempt() { return next_attempt_++; }
+
+  /// Assigns a waiting task to the machine and marks the machine due for commands. Returns false,
+  /// without any effect, if a rule forbids the start.
   bool start(Job& job, TaskIndex index, Machine& machine, Attempt attempt, TimePoint now);
 
-  // It may still be where an older leader started it.
-  bool held(const Job& job, TaskIndex index) const { return recovery_.held(job, index); }
-  // Tasks that wait and are not held up.
+  /// Whether the task may still be running where a former leader started it.
+  bool blocked_on_reconciliation(const Job& job, TaskIndex index) const {
+    return recovery_.held(job, index);
+  }
+
+  /// Number of tasks that wait and are not blocked on reconciliation.
   TaskIndex startable(const Job& job) const {
     return static_cast<TaskIndex>(job.waiting.size() - recovery_.held(job));
   }
+
+  /// Whether the machine takes new tasks at all: up, confirmed, responsive and staying.
   bool placeable(const Machine& machine, TimePoint now) const;
+
+  /// Whether one more task of the job keeps its team's limit.
   bool within_limit(const JobSpec& spec) const { return within_limit(spec, 1); }
+  /// Whether `tasks` more tasks of the job keep its team's limit. False for unknown teams.
   bool within_limit(const JobSpec& spec, std::size_t tasks) const;
-  // What a team may still use; unknown teams may use nothing.
+
+  /// Resources that the team may still use; nothing for unknown teams.
   std::optional<Resources> quota_left(const std::string& team) const;
-  // Where every task of the job possibly is, for same_zone and spread; empty for other jobs.
+
+  /// The zones in which tasks of the job are or may be; empty unless the job has `same_zone` or
+  /// `spread`.
   ZoneUse zone_use(const Job& job) const;
 
   template <class S, class F>
@@ -57,6 +76,14 @@
   }
 
  private:
+  // An attempt is the fencing token followed by a counter of this many bits, so no two leaders ever
+  // choose the same one.
+  static constexpr unsigned kAttemptCounterBits = 24;
+
+  bool may_start(const Job& job, TaskIndex index, const Machine& machine, TimePoint now) const;
+  Assignment make_assignment(Job& job, TaskIndex index, const Machine& machine, Attempt attempt,
+                             TimePoint now);
+
   const ControllerSettings& settings_;
   const Catalog& catalog_;
   Fleet& fleet_;
--- a/src/core/events.cpp
+++ b/src/core/events.cpp
@@ -6,6 +6,7 @@
 
 namespace violetpulley::core {
 
+// These names are stored and printed by `history show`: they stay as they are.
 const char* name_of(const Event& event) {
   static constexpr std::array kNames{"takeover",
                                      "catalog",
@@ -27,44 +28,58 @@
   return kNames[event.index()];
 }
 
+namespace {
+
+// Calls the controller's method for each kind of event.
+struct EventApplier {
+  Controller& controller;
+  TimePoint now;
+
+  void operator()(const LeaderElected&) const {
+    throw std::logic_error("LeaderElected makes a controller and cannot be applied to one");
+  }
+  void operator()(const CatalogKnown& event) const { controller.set_catalog(event.types); }
+  void operator()(const JobOpened& event) const { controller.job_opened(event.record, now); }
+  void operator()(const JobClosed& event) const { controller.job_closed(event.id, now); }
+  void operator()(const HeartbeatReceived& event) const {
+    controller.heartbeat(event.heartbeat, now);
+  }
+  void operator()(const CommandsAnswered& event) const {
+    const auto* heartbeat = event.heartbeat ? &*event.heartbeat : nullptr;
+    controller.commands_answered(event.machine, heartbeat, now);
+  }
+  void operator()(const MachineSaved& event) const {
+    controller.machine_saved(event.id, event.with_endpoint, event.ok);
+  }
+  void operator()(const ProgressSaved& event) const {
+    controller.progress_saved(event.saved, event.ok);
+  }
+  void operator()(const FinishAnswered& event) const {
+    controller.finish_answered(event.job, event.retry);
+  }
+  void operator()(const ScaleOutAnswered& event) const {
+    controller.scale_out_answered(event.name, event.answer, now);
+  }
+  void operator()(const ScaleInAnswered& event) const {
+    controller.scale_in_answered(event.machines, event.ok, now);
+  }
+  void operator()(const CloudListed& event) const { controller.cloud_listed(event.machines, now); }
+  void operator()(const Ticked& event) const {
+    controller.tick(now, event.may_place, event.proved);
+  }
+  void operator()(const PlacementsSaved& event) const {
+    controller.placements_saved(event.job, event.version);
+  }
+  void operator()(const FormerLeadersGone&) const { controller.former_leaders_gone(now); }
+  void operator()(const PeerReceivesHeartbeats&) const {
+    controller.note_peer_receives_heartbeats(now);
+  }
+};
+
+}  // namespace
+
 void apply(Controller& controller, const Event& event, TimePoint now) {
-  const auto visit = [&]<typename T>(const T& e) {
-    if constexpr (std::is_same_v<T, LeaderElected>) {
-      throw std::logic_error("a takeover makes a controller, it is not applied to one");
-    } else if constexpr (std::is_same_v<T, CatalogKnown>) {
-      controller.set_catalog(e.types);
-    } else if constexpr (std::is_same_v<T, JobOpened>) {
-      controller.job_opened(e.record, now);
-    } else if constexpr (std::is_same_v<T, JobClosed>) {
-      controller.job_closed(e.id, now);
-    } else if constexpr (std::is_same_v<T, HeartbeatReceived>) {
-      controller.heartbeat(e.heartbeat, now);
-    } else if constexpr (std::is_same_v<T, CommandsAnswered>) {
-      controller.commands_answered(e.machine, e.heartbeat ? &*e.heartbeat : nullptr, now);
-    } else if constexpr (std::is_same_v<T, MachineSaved>) {
-      controller.machine_saved(e.id, e.with_endpoint, e.ok);
-    } else if constexpr (std::is_same_v<T, ProgressSaved>) {
-      controller.progress_saved(e.saved, e.ok);
-    } else if constexpr (std::is_same_v<T, FinishAnswered>) {
-      controller.finish_answered(e.job, e.retry);
-    } else if constexpr (std::is_same_v<T, ScaleOutAnswered>) {
-      controller.scale_out_answered(e.name, e.answer, now);
-    } else if constexpr (std::is_same_v<T, ScaleInAnswered>) {
-      controller.scale_in_answered(e.machines, e.ok, now);
-    } else if constexpr (std::is_same_v<T, CloudListed>) {
-      controller.cloud_listed(e.machines, now);
-    } else if constexpr (std::is_same_v<T, PlacementsSaved>) {
-      controller.placements_saved(e.job, e.version);
-    } else if constexpr (std::is_same_v<T, FormerLeadersGone>) {
-      controller.former_leaders_gone(now);
-    } else if constexpr (std::is_same_v<T, PeerReceivesHeartbeats>) {
-      controller.note_peer_receives_heartbeats(now);
-    } else {
-      static_assert(std::is_same_v<T, Ticked>);
-      controller.tick(now, e.may_place, e.proved);
-    }
-  };
-  std::visit(visit, event);
+  std::visit(EventApplier{controller, now}, event);
 }
 
 std::unique_ptr<Controller> make_controller(const LeaderElected& event, TimePoint now) {
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -1,5 +1,6 @@
-// Everything that enters the core, as values: a leader that is given the same events at the same
-// times takes the same actions. `apply` hands an event to the controller's method of that name.
+/// @file
+/// Everything that enters the core, as values: a leader that is given the same events at the same
+/// times takes the same actions. The history records these values.
 #pragma once
 
 #include <memory>
@@ -9,11 +10,11 @@
 
 namespace violetpulley::core {
 
-// The first event of every leader: a controller is made from it.
+/// The first event of every leader: a controller is made from it.
 struct LeaderElected {
   ControllerSettings settings;
   FencingToken token = 0;
-  TimePoint former_leases_end{};
+  TimePoint former_leases_end{};  ///< When leases that former leaders may have renewed run out.
   RecoveredState recovered;
 
   template <class S, class F>
@@ -21,110 +22,148 @@
     f(s.settings, s.token, s.former_leases_end, s.recovered);
   }
 };
+
+/// The cloud's catalog was read.
 struct CatalogKnown {
   std::vector<MachineType> types;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.types);
   }
 };
+
+/// A job was accepted.
 struct JobOpened {
   JobRecord record;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.record);
   }
 };
+
+/// A job has ended or was cancelled.
 struct JobClosed {
   JobId id;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.id);
   }
 };
+
+/// An agent sent a periodic heartbeat.
 struct HeartbeatReceived {
   Heartbeat heartbeat;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.heartbeat);
   }
 };
+
+/// A command batch was answered or has failed.
 struct CommandsAnswered {
   MachineId machine;
-  std::optional<Heartbeat> heartbeat;  // none: no answer came
+  std::optional<Heartbeat> heartbeat;  ///< The response; null: none came.
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.machine, s.heartbeat);
   }
 };
+
+/// Result of a `SaveMachine`.
 struct MachineSaved {
   MachineId id;
   bool with_endpoint = false;
   bool ok = false;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.id, s.with_endpoint, s.ok);
   }
 };
+
+/// Result of a `SaveProgress`.
 struct ProgressSaved {
   SaveProgress saved;
   bool ok = false;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.saved, s.ok);
   }
 };
+
+/// A `FinishJob` was not carried out; the next try is not before `retry`.
 struct FinishAnswered {
   JobId job;
   TimePoint retry{};
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.job, s.retry);
   }
 };
+
+/// Result of the `ScaleOut` with this name.
 struct ScaleOutAnswered {
   std::string name;
   ScaleOutResult answer;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.name, s.answer);
   }
 };
+
+/// Result of a `ScaleIn`.
 struct ScaleInAnswered {
   std::vector<MachineId> machines;
-  bool ok = false;
+  bool ok = false;  ///< The machines are proven gone.
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.machines, s.ok);
   }
 };
+
+/// The cloud listed its machines.
 struct CloudListed {
   std::vector<ListedMachine> machines;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.machines);
   }
 };
+
+/// Time has passed.
 struct Ticked {
-  bool may_place = false;
-  TimePoint proved{};  // no other leader had been elected by then
+  bool may_place = false;  ///< Leadership may still be served.
+  TimePoint proved{};      ///< No other leader had been elected by then.
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.may_place, s.proved);
   }
 };
 
+/// A `SavePlacements` was committed.
 struct PlacementsSaved {
   JobId job;
-  std::uint64_t version = 0;
+  PlacementVersion version = 0;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.job, s.version);
   }
 };
 
-// No older leader answers reports any more (docs/safety.md, "Older leaders that are known to be
-// gone").
+/// No former leader answers heartbeats any more (docs/safety.md, "Older leaders that are known to
+/// be gone").
 struct FormerLeadersGone {
   template <class S, class F>
   static void fields(S&, F&& f) {
@@ -132,7 +171,7 @@
   }
 };
 
-// Workers come to another controller (docs/safety.md, "Liveness").
+/// Agents send their heartbeats to another controller (docs/safety.md, "Liveness").
 struct PeerReceivesHeartbeats {
   template <class S, class F>
   static void fields(S&, F&& f) {
@@ -140,19 +179,20 @@
   }
 };
 
-// New kinds go to the end: a record names its kind by its place here.
+/// New kinds go to the end: the history names a kind by its position here.
 using Event = std::variant<LeaderElected, CatalogKnown, JobOpened, JobClosed, HeartbeatReceived,
                            CommandsAnswered, MachineSaved, ProgressSaved, FinishAnswered,
                            ScaleOutAnswered, ScaleInAnswered, CloudListed, Ticked, PlacementsSaved,
                            FormerLeadersGone, PeerReceivesHeartbeats>;
 
-// In words, for tables and messages.
+/// The kind of the event in words, for tables and messages; the words are kept stable.
 const char* name_of(const Event& event);
 
-// Throws std::logic_error for LeaderElected, which makes a controller instead.
+/// Calls the controller's method for the event. Throws std::logic_error for `LeaderElected`, from
+/// which a controller is made instead.
 void apply(Controller& controller, const Event& event, TimePoint now);
 
-// The controller that a takeover makes.
+/// Makes the controller of a newly elected leader.
 std::unique_ptr<Controller> make_controller(const LeaderElected& event, TimePoint now);
 
 }  // namespace violetpulley::core
--- a/src/core/failover/heartbeat_handler.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -52,7 +52,7 @@
   }
   if (first) {
     machine.up_since = now;
-    commands_.want(machine);
+    commands_.mark_due(machine);
   }
   if (heartbeat.token == token_ && !machine.confirmed) {
     machine.confirmed = true;
@@ -177,7 +177,8 @@
   }
   if (entry.cause == ExitCause::done) {
     if (assignment.running_since && !assignment.stop)
-      estimator_.finished(job.spec(), assignment.saved + Seconds(now - *assignment.running_since));
+      estimator_.record_run_time(job.spec(),
+                                 assignment.saved + Seconds(now - *assignment.running_since));
     fleet_.touch_image(machine, assignment.image, job.spec().image_gb, true);
     machine.errors = 0;
     machine.error_jobs.clear();
@@ -226,7 +227,7 @@
                                          TimePoint now) {
   auto* machine = fleet_.find(id);
   if (machine == nullptr) return;
-  commands_.answered(*machine, answer != nullptr, now);
+  commands_.record_outcome(*machine, answer != nullptr, now);
   if (answer == nullptr) {
     failure_detector_.record_missed_response(*machine, machine->commands_sent_at);
     machine->in_doubt_attempts.insert(machine->starts_in_flight.begin(),
@@ -235,7 +236,7 @@
     // machine.
     const bool first = machine->unanswered_commands == 1 && recovery_.is_unconfirmed(id);
     machine->next_commands_at = now + (first ? kAskRetry : kCommandRetry);
-    commands_.want(*machine);
+    commands_.mark_due(*machine);
     return;
   }
   const bool was_confirmed = machine->confirmed;
@@ -248,15 +249,15 @@
   out_.want_placing();
   if (!machine->confirmed) {
     machine->next_commands_at = now + milliseconds(50);
-    commands_.want(*machine);
+    commands_.mark_due(*machine);
     return;
   }
-  const auto left = commands_.commands_for(*machine, true);
+  const auto left = commands_.commands_for(*machine, IncludeStarts::yes);
   const bool urgent = std::any_of(left.begin(), left.end(), [](const Command& c) {
     return c.type != CommandType::acknowledge;
   });
   if (urgent) {
-    commands_.want(*machine);
+    commands_.mark_due(*machine);
     machine->next_commands_at = was_confirmed ? now + milliseconds(500) : now;
   }
 }
--- a/src/core/failover/heartbeat_handler.hpp
+++ b/src/core/failover/heartbeat_handler.hpp
@@ -13,7 +13,7 @@
 class HeartbeatHandler {
  public:
   HeartbeatHandler(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
-                   Fleet& fleet, FailureDetector& contact, Jobs& jobs, Estimator& estimator,
+                   Fleet& fleet, FailureDetector& contact, Jobs& jobs, RunTimeEstimator& estimator,
                    const DeadlineForecaster& forecaster, Recovery& recovery, Reconciler& reconciler,
                    MachineRegistry& registry, CommandDispatcher& commands, Assignments& assignments,
                    GangScheduler& gangs, FencingToken token)
@@ -54,7 +54,7 @@
   Fleet& fleet_;
   FailureDetector& failure_detector_;
   Jobs& jobs_;
-  Estimator& estimator_;
+  RunTimeEstimator& estimator_;
   const DeadlineForecaster& forecaster_;
   Recovery& recovery_;
   Reconciler& reconciler_;
--- a/src/core/failover/reconciler.cpp
+++ b/src/core/failover/reconciler.cpp
@@ -35,11 +35,11 @@
 
 void Reconciler::ask(TimePoint now) {
   if (queue_.empty() && awaiting_second_heartbeat_.empty()) return;
-  auto room = commands_.room();
+  auto room = commands_.available_slots();
   const auto due = [&](const MachineId& id) {
     const auto* machine = fleet_.find(id);
     if (machine == nullptr || machine->confirmed) return;
-    commands_.want(*machine);
+    commands_.mark_due(*machine);
     ++asked_;
     --room;
   };
--- a/src/core/jobs/each_assignment.hpp
+++ b/src/core/jobs/each_assignment.hpp
@@ -1,4 +1,5 @@
-// The tasks of a job that are, or may be, on machines.
+/// @file
+/// Iteration over the assignments of a job.
 #pragma once
 
 #include "core/jobs/job.hpp"
@@ -6,14 +7,17 @@
 
 namespace violetpulley::core {
 
-// Calls `visit(machine, key, assignment)` for each. It may end that one assignment, no other.
+/// Calls `visit(machine, key, assignment)` for each task of the job that is, or may be, on a
+/// machine, in the order of the tasks. The visitor may end the assignment that it is given, and no
+/// other.
 template <class Visit>
 void each_on_machines(Fleet& fleet, const Job& job, const Visit& visit) {
-  for (TaskIndex i = 0; i < job.tasks.size(); ++i) {
-    if (job.tasks[i].phase != Phase::assigned) continue;
-    auto* machine = fleet.find(job.tasks[i].machine);
+  for (TaskIndex index = 0; index < job.tasks.size(); ++index) {
+    const auto& task = job.tasks[index];
+    if (task.phase != Phase::assigned) continue;
+    auto* machine = fleet.find(task.machine);
     if (machine == nullptr) continue;
-    const TaskKey key{job.spec().id, i};
+    const TaskKey key{job.spec().id, index};
     const auto assignment = machine->tasks.find(key);
     if (assignment != machine->tasks.end()) visit(*machine, key, assignment->second);
   }
--- a/src/core/jobs/job.hpp
+++ b/src/core/jobs/job.hpp
@@ -1,4 +1,6 @@
-// Unfinished jobs as the leader sees them.
+/// @file
+/// An unfinished job as the leader sees it: the phase of each task, which progress is stored, and
+/// the failures so far. Keeps its own counters consistent; decides nothing.
 #pragma once
 
 #include <set>
@@ -8,51 +10,62 @@
 
 namespace violetpulley::core {
 
-inline constexpr Seconds kLongestPause{64};  // of a job whose tasks fail
+/// Longest pause of a job whose tasks fail; the job also avoids the machines on which they failed
+/// for this time after the last failure.
+inline constexpr Seconds kLongestPause{64};
 
-enum class Phase : std::uint8_t { waiting, assigned, done };
+/// Phase of a task for the scheduler.
+enum class Phase : std::uint8_t {
+  waiting,   ///< Not on any machine, as far as this leader knows.
+  assigned,  ///< Is or may be on `Task::machine`.
+  done
+};
 
+/// A task of an unfinished job.
 struct Task {
   Phase phase = Phase::waiting;
-  bool restarted = false;  // by clearing, which happens once at most
-  bool persisted = false;  // its end is in the store
-  MachineId machine;       // when assigned
-  std::string bound;       // rental or booting machine that it waits for
-  Seconds saved{0};        // run time that a restart need not repeat
+  bool restarted = false;  ///< By consolidation or preemption, which happens at most once.
+  bool persisted = false;  ///< The end of the task is recorded in the store.
+  MachineId machine;       ///< Empty unless assigned.
+  std::string bound;       ///< Request or booting machine that the task waits for; empty: none.
+  Seconds saved{0};        ///< Run time that a restart need not repeat, thanks to a checkpoint.
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.phase, s.restarted, s.persisted, s.machine, s.bound, s.saved);
   }
 };
 
+/// An unfinished job.
 struct Job {
   JobRecord record;
-  bool from_former_leader = false;  // accepted before our takeover
+  bool from_former_leader = false;  ///< Accepted before this leader was elected.
   std::vector<Task> tasks;
-  std::set<TaskIndex> waiting;
-  std::set<TaskIndex> chunks_dirty;
-  std::set<TaskIndex> chunks_in_flight;
-  std::set<TaskIndex> chunks_stored;
-  TaskIndex done = 0;
-  TaskIndex running = 0;  // seen running by their workers
-  bool finishing = false;
-  TimePoint finish_retry{};
-  TimePoint opened{};
+  std::set<TaskIndex> waiting;           ///< Tasks in `Phase::waiting`.
+  std::set<TaskIndex> chunks_dirty;      ///< Progress records that are out of date in the store.
+  std::set<TaskIndex> chunks_in_flight;  ///< Progress records that are being written.
+  std::set<TaskIndex> chunks_stored;     ///< Progress records that exist in the store.
+  TaskIndex done = 0;                    ///< Number of tasks in `Phase::done`.
+  TaskIndex running = 0;                 ///< Number of tasks reported as running.
+  bool finishing = false;                ///< A `FinishJob` is in flight.
+  TimePoint finish_retry{};              ///< No `FinishJob` before this time.
+  TimePoint opened{};                    ///< When a leader first saw the job.
   std::set<MachineId> failed_on;
-  int failures = 0;
+  int failures = 0;  ///< Failed tasks so far.
   TimePoint last_failure{};
-  TimePoint backoff_until{};
-  Attempt attempt = 0;  // of a gang whose tasks are on machines: they share it
-  // Where each task was last started, as recorded or about to be; empty if nothing is recorded.
+  TimePoint backoff_until{};  ///< No starts before this time.
+  Attempt attempt = 0;        ///< The attempt that all tasks of an assigned gang share.
+  /// By task: the machine of the last start, as recorded or about to be recorded. Empty if nothing
+  /// is recorded.
   std::vector<MachineId> placed;
-  bool placements_complete = false;     // what an older leader recorded is all that there is
-  std::uint64_t placement_version = 0;  // of the newest record asked for
-  std::uint64_t committed_placement_version = 0;  // of the newest record that is committed
-  bool has_started = false;                       // a task of it has been on a machine
-  // All of it has failed, on several machines: most likely it was submitted with a mistake. One
-  // task at a time is tried, until one ends well.
+  bool placements_complete = false;  ///< The records of former leaders cover all their starts.
+  PlacementVersion placement_version = 0;            ///< Newest record that was requested.
+  PlacementVersion committed_placement_version = 0;  ///< Newest record that is committed.
+  bool has_started = false;                          ///< A task of the job has been on a machine.
+  /// All tasks have failed, on several machines: most likely the job was submitted with a mistake.
+  /// One task at a time is tried, until a task ends well.
   bool suspected = false;
-  Seconds pause{0};  // after the last try
+  Seconds pause{0};  ///< Pause after the last failed try.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -63,72 +76,38 @@
   }
 
   Job() : Job(JobRecord{}) {}
-  explicit Job(JobRecord r) : record(std::move(r)), tasks(record.spec.tasks) {
-    for (TaskIndex i = 0; i < record.spec.tasks; ++i) waiting.insert(waiting.end(), i);
-  }
+  /// All tasks wait.
+  explicit Job(JobRecord job_record);
 
   const JobSpec& spec() const { return record.spec; }
-  // One of its tasks failed there a while ago: others go first. Where all that fit are such, it
-  // would wait for ever beside free room, so they are forgotten after the longest pause.
-  bool avoids(const MachineId& machine, TimePoint now) const {
-    return !suspected && now - last_failure < kLongestPause && failed_on.contains(machine);
-  }
   bool gang() const { return record.spec.shape == Shape::gang; }
   bool service() const { return record.spec.shape == Shape::service; }
-  // Gangs and services: few starts, and long waits when one is in doubt.
+  /// Whether starts of the job are recorded before they are sent: gangs and services have few
+  /// starts, and long waits when a start is in doubt.
   bool records_starts() const { return gang() || service(); }
+  /// Whether all tasks are done.
   bool complete() const { return done == tasks.size(); }
 
-  void set_waiting(TaskIndex index) {
-    auto& task = tasks[index];
-    if (task.phase == Phase::done) return;
-    task.phase = Phase::waiting;
-    task.machine.clear();
-    waiting.insert(index);
-  }
-  void set_assigned(TaskIndex index, const MachineId& machine) {
-    auto& task = tasks[index];
-    task.phase = Phase::assigned;
-    has_started = true;
-    task.machine = machine;
-    task.bound.clear();
-    waiting.erase(index);
-  }
-  void set_done(TaskIndex index) {
-    auto& task = tasks[index];
-    if (task.phase == Phase::done) return;
-    task.phase = Phase::done;
-    has_started = true;
-    task.machine.clear();
-    task.bound.clear();
-    waiting.erase(index);
-    suspected = false;
-    ++done;
+  /// Whether a task of the job failed on this machine recently, so that other machines go first.
+  /// Where tasks failed on all machines that fit, the job would wait for ever beside free capacity,
+  /// so failures are forgotten after the longest pause.
+  bool avoids(const MachineId& machine, TimePoint now) const {
+    return !suspected && now - last_failure < kLongestPause && failed_on.contains(machine);
   }
 
-  // Chunks of its progress that are, or may yet be, in the store.
-  std::vector<TaskIndex> chunks_written() const {
-    auto chunks = chunks_stored;
-    chunks.insert(chunks_in_flight.begin(), chunks_in_flight.end());
-    return {chunks.begin(), chunks.end()};
-  }
+  /// Run time that a restart of the task need not repeat. A gang saves and restarts as a whole.
+  Seconds saved_run_time(TaskIndex index) const { return tasks[gang() ? 0 : index].saved; }
 
-  ProgressRecord progress(TaskIndex chunk) const {
-    ProgressRecord out{record.spec.id, chunk, {}, {}};
-    const TaskIndex first = chunk * kProgressChunk;
-    const auto last = std::min<std::size_t>(tasks.size(), first + kProgressChunk);
-    const auto extend = [](std::vector<IndexRange>& ranges, TaskIndex index) {
-      if (!ranges.empty() && ranges.back().second + 1 == index)
-        ranges.back().second = index;
-      else
-        ranges.emplace_back(index, index);
-    };
-    for (TaskIndex i = first; i < last; ++i) {
-      if (tasks[i].phase == Phase::done) extend(out.done, i);
-      if (tasks[i].restarted) extend(out.restarted, i);
-    }
-    return out;
-  }
+  /// Puts a task back into the queue; no effect on a task that is done.
+  void set_waiting(TaskIndex index);
+  void set_assigned(TaskIndex index, const MachineId& machine);
+  /// No effect on a task that is done already.
+  void set_done(TaskIndex index);
+
+  /// Progress records of the job that are, or may yet be, in the store.
+  std::vector<TaskIndex> chunks_written() const;
+  /// The progress record of a chunk as the job is now.
+  ProgressRecord progress(TaskIndex chunk) const;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -5,8 +5,17 @@
 namespace violetpulley::core {
 
 namespace {
-constexpr std::chrono::milliseconds kPersistEvery{1000};
+
+constexpr std::chrono::milliseconds kPersistInterval{1000};
 constexpr std::size_t kMaxPlacements = 400;  // tasks whose machines fit into one record
+
+// Calls `apply(index)` for each index in the ranges below `end`.
+template <class Apply>
+void each_index(const std::vector<IndexRange>& ranges, std::size_t end, const Apply& apply) {
+  for (const auto& [first, last] : ranges)
+    for (TaskIndex index = first; index <= last && index < end; ++index) apply(index);
+}
+
 }  // namespace
 
 void Jobs::open(const JobRecord& record, TimePoint now) {
@@ -20,7 +29,7 @@
   const auto found = jobs_.find(id);
   auto& job = found->second;
   before_change(job);
-  // The end of a job that finishes takes them with it.
+  // A `FinishJob` in flight deletes the progress records itself.
   if (auto chunks = job.chunks_written(); !chunks.empty() && !job.finishing)
     out_.push_back(DeleteProgress{id, std::move(chunks)});
   progress_dirty_.erase(id);
@@ -30,23 +39,20 @@
   out_.want_placing();
 }
 
-void Jobs::restore_progress(const ProgressRecord& progress) {
-  const auto found = jobs_.find(progress.job);
+void Jobs::restore_progress(const ProgressRecord& record) {
+  const auto found = jobs_.find(record.job);
   if (found == jobs_.end()) {
-    out_.push_back(DeleteProgress{progress.job, {progress.chunk}});
+    out_.push_back(DeleteProgress{record.job, {record.chunk}});
     return;
   }
   auto& job = found->second;
-  job.chunks_stored.insert(progress.chunk);
-  const auto each = [&](const std::vector<IndexRange>& ranges, auto apply) {
-    for (const auto& [first, last] : ranges)
-      for (TaskIndex i = first; i <= last && i < job.tasks.size(); ++i) apply(i);
-  };
-  each(progress.done, [&](TaskIndex i) {
-    task_done(job, i);
-    job.tasks[i].persisted = true;
+  job.chunks_stored.insert(record.chunk);
+  each_index(record.done, job.tasks.size(), [&](TaskIndex index) {
+    task_done(job, index);
+    job.tasks[index].persisted = true;
   });
-  each(progress.restarted, [&](TaskIndex i) { job.tasks[i].restarted = true; });
+  each_index(record.restarted, job.tasks.size(),
+             [&](TaskIndex index) { job.tasks[index].restarted = true; });
 }
 
 void Jobs::restore_placements(const std::vector<PlacementRecord>& records) {
@@ -57,7 +63,7 @@
     found->second.placements_complete = record.known;
     found->second.placed = record.machines;
   }
-  mark_ = Mark::set;
+  placement_mark_ = PlacementMark::set;
 }
 
 void Jobs::progress_changed(Job& job, TaskIndex index) {
@@ -72,101 +78,120 @@
   if (job.complete()) complete_.insert(job.spec().id);
 }
 
-void Jobs::persist(TimePoint now) {
-  if (now - last_persist_ < kPersistEvery) return;
+void Jobs::persist_progress(TimePoint now) {
+  if (now - last_persist_ < kPersistInterval) return;
   last_persist_ = now;
   for (auto entry = progress_dirty_.begin(); entry != progress_dirty_.end();) {
     const auto found = jobs_.find(*entry);
-    if (found == jobs_.end() || found->second.complete()) {  // its end is written instead
+    if (found == jobs_.end() || found->second.complete()) {  // the job's end is written instead
       entry = progress_dirty_.erase(entry);
       continue;
     }
     auto& job = found->second;
     before_change(job);
-    for (auto chunk = job.chunks_dirty.begin(); chunk != job.chunks_dirty.end();) {
-      if (job.chunks_in_flight.contains(*chunk)) {
-        ++chunk;
-        continue;
-      }
-      job.chunks_in_flight.insert(*chunk);
-      const auto first = std::size_t{*chunk} * kProgressChunk;
-      out_.push_back(SaveProgress{job.progress(*chunk),
-                                  std::min<std::size_t>(kProgressChunk, job.tasks.size() - first)});
-      chunk = job.chunks_dirty.erase(chunk);
-    }
+    save_dirty_chunks(job);
     entry = job.chunks_dirty.empty() ? progress_dirty_.erase(entry) : std::next(entry);
   }
 }
 
+// A chunk that is being written stays dirty until that write is answered.
+void Jobs::save_dirty_chunks(Job& job) {
+  for (auto chunk = job.chunks_dirty.begin(); chunk != job.chunks_dirty.end();) {
+    if (job.chunks_in_flight.contains(*chunk)) {
+      ++chunk;
+      continue;
+    }
+    job.chunks_in_flight.insert(*chunk);
+    const auto first = std::size_t{*chunk} * kProgressChunk;
+    const auto tasks_in_chunk = std::min<std::size_t>(kProgressChunk, job.tasks.size() - first);
+    out_.push_back(SaveProgress{job.progress(*chunk), tasks_in_chunk});
+    chunk = job.chunks_dirty.erase(chunk);
+  }
+}
+
 void Jobs::progress_saved(const SaveProgress& saved, bool ok) {
-  const auto found = jobs_.find(saved.record.job);
+  const auto& record = saved.record;
+  const auto found = jobs_.find(record.job);
   if (found == jobs_.end()) {
-    if (ok) out_.push_back(DeleteProgress{saved.record.job, {saved.record.chunk}});
+    if (ok) out_.push_back(DeleteProgress{record.job, {record.chunk}});
     return;
   }
   auto& job = found->second;
   before_change(job);
-  job.chunks_in_flight.erase(saved.record.chunk);
-  job.chunks_stored.insert(saved.record.chunk);
+  job.chunks_in_flight.erase(record.chunk);
+  job.chunks_stored.insert(record.chunk);  // also a failed write may have reached the store
   if (!ok) {
-    progress_changed(job, saved.record.chunk * kProgressChunk);
+    progress_changed(job, record.chunk * kProgressChunk);
     return;
   }
-  for (const auto& [first, last] : saved.record.done)
-    for (TaskIndex i = first; i <= last; ++i) job.tasks[i].persisted = true;
+  each_index(record.done, job.tasks.size(),
+             [&](TaskIndex index) { job.tasks[index].persisted = true; });
 }
 
-std::uint64_t Jobs::record_start(Job& job, TaskIndex index, const MachineId& machine) {
+PlacementVersion Jobs::record_start(Job& job, TaskIndex index, const MachineId& machine) {
   before_change(job);
   job.placed.resize(job.tasks.size());
-  // The version counts batches: all starts until the next one is written share it.
+  // The version counts batches: all starts until the next write share a version.
   if (placements_dirty_.insert(job.spec().id).second) ++job.placement_version;
   job.placed[index] = machine;
   return job.placement_version;
 }
 
-void Jobs::placements_saved(const JobId& id, std::uint64_t version) {
+void Jobs::placements_saved(const JobId& id, PlacementVersion version) {
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return;
-  before_change(found->second);
-  found->second.committed_placement_version =
-      std::max(found->second.committed_placement_version, version);
-}
-
-void Jobs::persist_placements(bool all_accounted) {
-  if (all_accounted && mark_ == Mark::none) {
-    mark_ = Mark::writing;
-    for (auto& [id, job] : jobs_) {
-      if (!job.records_starts()) continue;
-      for (TaskIndex i = 0; i < job.tasks.size(); ++i)
-        if (job.tasks[i].phase == Phase::assigned) record_start(job, i, job.tasks[i].machine);
-    }
+  auto& job = found->second;
+  before_change(job);
+  job.committed_placement_version = std::max(job.committed_placement_version, version);
+}
+
+void Jobs::persist_placements(bool all_confirmed) {
+  if (all_confirmed && placement_mark_ == PlacementMark::absent) {
+    placement_mark_ = PlacementMark::writing;
+    record_all_assignments();
   }
+  save_dirty_placements();
+  if (placement_mark_ != PlacementMark::writing || !all_placements_committed()) return;
+  placement_mark_ = PlacementMark::set;
+  out_.push_back(MarkPlacements{});
+}
+
+void Jobs::record_all_assignments() {
+  for (auto& [id, job] : jobs_) {
+    if (!job.records_starts()) continue;
+    for (TaskIndex index = 0; index < job.tasks.size(); ++index)
+      if (job.tasks[index].phase == Phase::assigned)
+        record_start(job, index, job.tasks[index].machine);
+  }
+}
+
+void Jobs::save_dirty_placements() {
   for (const auto& id : placements_dirty_) {
     const auto& job = jobs_.at(id);
     const bool known = job.placed.size() <= kMaxPlacements;
-    out_.push_back(SavePlacements{{id, known ? job.placed : std::vector<MachineId>{}, known},
-                                  job.placement_version});
+    PlacementRecord record{id, known ? job.placed : std::vector<MachineId>{}, known};
+    out_.push_back(SavePlacements{std::move(record), job.placement_version});
   }
   placements_dirty_.clear();
-  if (mark_ != Mark::writing) return;
-  const bool open = std::any_of(jobs_.begin(), jobs_.end(), [](const auto& entry) {
-    return entry.second.committed_placement_version < entry.second.placement_version;
+}
+
+bool Jobs::all_placements_committed() const {
+  return std::none_of(jobs_.begin(), jobs_.end(), [](const auto& entry) {
+    const auto& job = entry.second;
+    return job.committed_placement_version < job.placement_version;
   });
-  if (open) return;
-  mark_ = Mark::set;
-  out_.push_back(MarkPlacements{});
 }
 
 void Jobs::finish_answered(const JobId& id, TimePoint retry) {
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return;
-  before_change(found->second);
-  found->second.finishing = false;
-  found->second.finish_retry = retry;
+  auto& job = found->second;
+  before_change(job);
+  job.finishing = false;
+  job.finish_retry = retry;
 }
 
-void Jobs::finish_complete(TimePoint now) {
+void Jobs::finish_completed_jobs(TimePoint now) {
   for (const auto& id : complete_) {
     auto& job = jobs_.at(id);
     if (job.finishing || now < job.finish_retry) continue;
--- a/src/core/jobs/jobs.hpp
+++ b/src/core/jobs/jobs.hpp
@@ -1,5 +1,6 @@
-// Unfinished jobs, what of them is done, and when that is written down (PROTOCOL, "Users"; DESIGN:
-// the state service holds jobs). Owns every Job; decides when progress and ends go to the store.
+/// @file
+/// All unfinished jobs, and when their progress and ends are written to the store (PROTOCOL,
+/// "Users"; DESIGN: the state service holds jobs). Owns every `Job`.
 #pragma once
 
 #include <functional>
@@ -10,9 +11,12 @@
 
 namespace violetpulley::core {
 
+/// The table of unfinished jobs with the writes that they need.
 class Jobs {
  public:
   using Table = std::unordered_map<JobId, Job>;
+  /// Called before a job changes or is erased.
+  using BeforeChange = std::function<void(const Job&)>;
 
   explicit Jobs(Outbox& out) : out_(out) {}
 
@@ -22,65 +26,83 @@
   Table::const_iterator begin() const { return jobs_.begin(); }
   Table::iterator end() { return jobs_.end(); }
   Table::const_iterator end() const { return jobs_.end(); }
+  /// Throws std::out_of_range if the job is unknown.
   Job& at(const JobId& id) { return jobs_.at(id); }
   const Job& at(const JobId& id) const { return jobs_.at(id); }
   const Table& table() const { return jobs_; }
 
-  // The same for jobs as Fleet::touch for machines.
-  using BeforeChange = std::function<void(const Job&)>;
-  void set_change_observer(BeforeChange told) { before_change_ = std::move(told); }
+  /// Registers the observer that a snapshot needs while it is taken in parts.
+  void set_change_observer(BeforeChange observer) { before_change_ = std::move(observer); }
+  /// Must be called before every change of a job from outside of this class.
   void before_change(const Job& job) {
     if (before_change_) before_change_(job);
   }
 
+  /// Adds a job; no effect if the job is known.
   void open(const JobRecord& record, TimePoint now);
-  // Forgets the job and the records of its progress.
+  /// Erases the job, which must be known, and deletes its progress records.
   void close(const JobId& id);
-  // What an earlier leader wrote about a job's tasks.
-  void restore_progress(const ProgressRecord& record);
 
-  // What marked records tell of older leaders' starts; jobs without a record were never started.
+  /// Takes over a progress record of a former leader.
+  void restore_progress(const ProgressRecord& record);
+  /// Takes over the placement records of former leaders, whose mark was set: a job without a record
+  /// was never started.
   void restore_placements(const std::vector<PlacementRecord>& records);
 
+  /// Marks the task as done.
   void task_done(Job& job, TaskIndex index);
+  /// Schedules a write of the progress record that covers the task.
   void progress_changed(Job& job, TaskIndex index);
+  /// Result of a `SaveProgress`; a failed write is repeated.
   void progress_saved(const SaveProgress& saved, bool ok);
+  /// A `FinishJob` was not carried out: the next try is not before `retry`.
   void finish_answered(const JobId& id, TimePoint retry);
 
-  // Writes that are due.
-  void finish_complete(TimePoint now);
-  void persist(TimePoint now);
-
-  // The task is about to be started there; returns the version of the record that must be committed
-  // first.
-  std::uint64_t record_start(Job& job, TaskIndex index, const MachineId& machine);
-  void placements_saved(const JobId& id, std::uint64_t version);
-  // Writes placements that changed. `all_accounted`: every machine has answered, so that what the
-  // tasks say of themselves is all that there is; then all of them are written, and the mark after
-  // them.
-  void persist_placements(bool all_accounted);
-
-  // Gangs that have lost a task and must end whole.
+  /// Requests the end of each job whose tasks are all done.
+  void finish_completed_jobs(TimePoint now);
+  /// Requests the progress writes that are due, once per `kPersistInterval`.
+  void persist_progress(TimePoint now);
+
+  /// Records that the task is about to be started on the machine; returns the version of the record
+  /// that must be committed before the start is sent.
+  PlacementVersion record_start(Job& job, TaskIndex index, const MachineId& machine);
+  /// Result of a `SavePlacements` that was committed.
+  void placements_saved(const JobId& id, PlacementVersion version);
+  /// Requests writes of placements that changed. `all_confirmed`: every machine has answered, so
+  /// the known assignments are all that there are; then all of them are written, and the mark
+  /// follows as soon as they are committed.
+  void persist_placements(bool all_confirmed);
+
+  /// Notes a gang that has lost a task, so that all its tasks must end.
   void note_broken(const JobId& gang) { broken_gangs_.insert(gang); }
+  /// Returns the noted gangs and forgets them.
   std::set<JobId> take_broken() { return std::exchange(broken_gangs_, {}); }
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.jobs_, s.progress_dirty_, s.complete_, s.broken_gangs_, s.last_persist_,
-      s.placements_dirty_, s.mark_);
+      s.placements_dirty_, s.placement_mark_);
   }
 
  private:
+  /// State of the mark that every start of a gang or service has its record.
+  enum class PlacementMark { absent, writing, set };
+
+  void save_dirty_chunks(Job& job);
+  void record_all_assignments();
+  void save_dirty_placements();
+  bool all_placements_committed() const;
+
   Outbox& out_;
   Table jobs_;
-  // What is due, so that an event costs what it changes and not a look at everything.
+  // Jobs with writes that are due, so that an event costs what it changes and not a pass over all
+  // jobs.
   std::set<JobId> progress_dirty_;
   std::set<JobId> complete_;
   std::set<JobId> broken_gangs_;
   TimePoint last_persist_{};
-  enum class Mark { none, writing, set };
   std::set<JobId> placements_dirty_;
-  Mark mark_ = Mark::none;
+  PlacementMark placement_mark_ = PlacementMark::absent;
   BeforeChange before_change_;
 };
 
--- a/src/core/jobs/run_time_estimator.hpp
+++ b/src/core/jobs/run_time_estimator.hpp
@@ -1,6 +1,7 @@
-// Run-time estimates. The design starts from the average past run time per job name; owners also
-// give an estimate per job, so what is averaged per name is run time over the owner's estimate
-// (docs/design.md, "Estimator").
+/// @file
+/// Run-time estimates. The design starts from the average past run time of a job class; as users
+/// also give an estimate with each job, the estimator averages the ratio of run time to the user's
+/// estimate (docs/design.md, "Estimator"). Owns these averages.
 #pragma once
 
 #include <algorithm>
@@ -11,23 +12,28 @@
 
 namespace violetpulley::core {
 
-class Estimator {
+/// Predicts the run time of a task from its job's class and the user's estimate.
+class RunTimeEstimator {
  public:
-  void finished(const JobSpec& spec, Seconds ran) {
+  /// Learns from a task that ended well after `run_time`. Services teach nothing.
+  void record_run_time(const JobSpec& spec, Seconds run_time) {
     if (spec.shape == Shape::service) return;
-    if (spec.estimate <= Seconds(0) || ran <= Seconds(0)) return;
+    if (spec.estimate <= Seconds(0) || run_time <= Seconds(0)) return;
     auto& average = averages_[spec.job_class];
-    average.count = std::min(average.count + 1, 50);
-    const double ratio = std::clamp(ran / spec.estimate, 0.05, 20.0);
+    average.count = std::min(average.count + 1, kMaxCount);
+    const double ratio = std::clamp(run_time / spec.estimate, kMinRatio, kMaxRatio);
     average.ratio += (ratio - average.ratio) / average.count;
   }
 
+  /// Whether nothing has been learned.
   bool empty() const { return averages_.empty(); }
 
+  /// Expected run time of a whole task; `kEndless` for services. The user's estimate is taken as
+  /// given until enough tasks of the class have ended.
   Seconds estimate(const JobSpec& spec) const {
     if (spec.shape == Shape::service) return kEndless;
     const auto known = averages_.find(spec.job_class);
-    const bool trusted = known != averages_.end() && known->second.count >= 5;
+    const bool trusted = known != averages_.end() && known->second.count >= kMinTrustedCount;
     return spec.estimate * (trusted ? known->second.ratio : 1.0);
   }
 
@@ -37,16 +43,22 @@
   }
 
  private:
+  static constexpr int kMinTrustedCount = 5;
+  static constexpr int kMaxCount = 50;  // beyond it the average follows the newest run times
+  static constexpr double kMinRatio = 0.05;
+  static constexpr double kMaxRatio = 20.0;
+
   struct Average {
     int count = 0;
-    double ratio = 1.0;
+    double ratio = 1.0;  // of the run time to the user's estimate
 
     template <class S, class F>
     static void fields(S& s, F&& f) {
       f(s.count, s.ratio);
     }
   };
-  std::map<std::string, Average> averages_;
+
+  std::map<std::string, Average> averages_;  // by job class
 };
 
 }  // namespace violetpulley::core
--- /dev/null
+++ b/src/core/learned_state_handover.hpp
@@ -0,0 +1,48 @@
+/// @file
+/// Collects what a leader has learned, and applies what the former leader has learned. Owns
+/// nothing; reads and writes the jobs, machines, estimates and cooldowns of the controller.
+#pragma once
+
+#include "core/autoscaling/instance_offerings.hpp"
+#include "core/jobs/jobs.hpp"
+#include "core/machines/fleet.hpp"
+#include "core/model/settings.hpp"
+
+namespace violetpulley::core {
+
+/// Passes hints from one leader to the next (docs/safety.md, "Beliefs").
+class LearnedStateHandover {
+ public:
+  LearnedStateHandover(const ControllerSettings& settings, Fleet& fleet, Jobs& jobs,
+                       RunTimeEstimator& estimator, InstanceOfferings& offerings)
+      : settings_(settings),
+        fleet_(fleet),
+        jobs_(jobs),
+        estimator_(estimator),
+        offerings_(offerings) {}
+
+  /// The hints for the next leader. `wall`: the time of day at `now`.
+  LearnedState collect(TimePoint now, WallTime wall) const;
+
+  /// Applies the hints of the former leader to the recovered jobs and machines. The scheduler then
+  /// prefers other machines, waits or requests machines later; what is on machines follows from
+  /// heartbeats alone, whatever the hints contain. Times are bounded by the job's own record, so
+  /// that a wrong time of day does no harm.
+  void apply(const LearnedState& learned_state, TimePoint now);
+
+ private:
+  std::vector<LearnedJob> collect_jobs(TimePoint now) const;
+  std::vector<LearnedMachine> collect_machines() const;
+  std::vector<OfferingCooldown> collect_cooldowns(TimePoint now) const;
+  void apply_to_job(const LearnedJob& learned, Job& job, Seconds elapsed, TimePoint now) const;
+  static void apply_to_machine(const LearnedMachine& learned, Machine& machine);
+  void apply_cooldown(const OfferingCooldown& cooldown, Seconds elapsed, TimePoint now);
+
+  const ControllerSettings& settings_;
+  Fleet& fleet_;
+  Jobs& jobs_;
+  RunTimeEstimator& estimator_;
+  InstanceOfferings& offerings_;
+};
+
+}  // namespace violetpulley::core
--- a/src/core/machines/machine_registry.cpp
+++ b/src/core/machines/machine_registry.cpp
@@ -9,7 +9,7 @@
 void MachineRegistry::save(Machine& machine) {
   MachineRecord record{machine.id, machine.endpoint, machine.type, machine.zone, machine.spot, {}};
   for (const auto& image : machine.images)
-    if (image.present) record.images.emplace_back(image.name, image.gb);
+    if (image.present) record.images.push_back({image.name, image.gb});
   fleet_.before_change(machine);
   machine.images_changed = false;
   machine.registering = machine.up();
--- a/src/core/machines/machine_watch.cpp
+++ b/src/core/machines/machine_watch.cpp
@@ -123,7 +123,7 @@
           failure_detector_.outbound_partition_expired(machine, boot_of(machine), now))
         request_release(machine, "not reporting", now);
       if (silence > silent_after) {
-        commands_.want(machine);
+        commands_.mark_due(machine);
         // After a takeover no older task starts until every machine is accounted for, so one that
         // does not answer is returned sooner.
         const auto patience =
@@ -155,12 +155,13 @@
       }
       // Starts and stops that are still open are repeated.
       for (const auto& [key, assignment] : machine.tasks)
-        if (!assignment.seen || assignment.stop) commands_.want(machine);
+        if (!assignment.seen || assignment.stop) commands_.mark_due(machine);
       // Asked until it is known that it is reached: nothing starts there before.
-      if (machine.confirmed && !reached(machine)) commands_.want(machine);
+      if (machine.confirmed && !reached(machine)) commands_.mark_due(machine);
     }
   }
-  for (const auto& id : failure_detector_.machines_to_probe(now)) commands_.want(*fleet_.find(id));
+  for (const auto& id : failure_detector_.machines_to_probe(now))
+    commands_.mark_due(*fleet_.find(id));
   release_machines(now);
   if (const auto* cause = failure_detector_.isolation_cause(now))
     out_.push_back(Resign{cause, true});
--- a/src/core/model/actions.hpp
+++ b/src/core/model/actions.hpp
@@ -1,161 +1,157 @@
-// What the core asks the shells to do. Every action on the store is conditioned on leadership by
-// the shell that carries it out.
+/// @file
+/// What the core asks the shells to do. Each shell makes every action on the store conditional on
+/// leadership.
 #pragma once
 
-#include <utility>
+#include <string>
 #include <variant>
+#include <vector>
 
-#include "core/model/types.hpp"
+#include "core/model/records.hpp"
 
 namespace violetpulley::core {
 
-using IndexRange = std::pair<TaskIndex, TaskIndex>;  // both ends included
-
-struct MachineRecord {
-  MachineId id;
-  std::string endpoint;  // empty: rented, not yet up
-  std::string type;
-  std::string zone;
-  bool spot = false;
-  std::vector<std::pair<std::string, double>> images;
-  template <class S, class F>
-  static void fields(S& s, F&& f) {
-    f(s.id, s.endpoint, s.type, s.zone, s.spot, s.images);
-  }
-};
-
-struct ProgressRecord {
-  JobId job;
-  TaskIndex chunk = 0;
-  std::vector<IndexRange> done;
-  std::vector<IndexRange> restarted;
-  template <class S, class F>
-  static void fields(S& s, F&& f) {
-    f(s.job, s.chunk, s.done, s.restarted);
-  }
-};
-
+/// Sends a command batch to a machine's agent; an empty batch is a probe.
 struct SendCommands {
   MachineId machine;
   std::string endpoint;
-  std::uint64_t epoch = 0;
+  AgentEpoch epoch = 0;
   std::vector<Command> commands;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.machine, s.endpoint, s.epoch, s.commands);
   }
 };
+
+/// Writes a machine's record.
 struct SaveMachine {
   MachineRecord record;
-  bool only_images = false;  // registered before: it only spares fetches after a takeover
+  bool only_images = false;  ///< The machine is registered already: the record only spares fetches
+                             ///< after a failover.
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.record, s.only_images);
   }
 };
+
+/// Deletes a machine's record.
 struct DeleteMachine {
   MachineId id;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.id);
   }
 };
+
+/// Writes a progress record.
 struct SaveProgress {
   ProgressRecord record;
   std::size_t tasks_in_chunk = 0;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.record, s.tasks_in_chunk);
   }
 };
-// Where the tasks of a gang or a service may be: written before a start is sent, so that a new
-// leader knows which machines to wait for (docs/safety.md, "Committed starts").
-struct PlacementRecord {
-  JobId job;
-  std::vector<MachineId> machines;  // by task; empty: was never started
-  bool known = true;                // false: too many to write down, the job may be anywhere
 
-  template <class S, class F>
-  static void fields(S& s, F&& f) {
-    f(s.job, s.machines, s.known);
-  }
-};
+/// Writes a placement record.
 struct SavePlacements {
   PlacementRecord record;
-  std::uint64_t version = 0;  // of this job's record, counted from 1 by each leader
+  PlacementVersion version = 0;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.record, s.version);
   }
 };
-// From here on every start of a gang or a service that may be anywhere has its record.
+
+/// Writes the mark that from here on every start of a gang or a service that may be anywhere has
+/// its placement record.
 struct MarkPlacements {
   template <class S, class F>
   static void fields(S&, F&& f) {
     f();
   }
 };
+
+/// Ends a job whose tasks are all done, and deletes its progress records.
 struct FinishJob {
   JobId job;
-  Revision revision = 0;
-  std::vector<TaskIndex> chunks;
+  Revision revision = 0;          ///< Of the transaction that accepted the job.
+  std::vector<TaskIndex> chunks;  ///< Progress records that may exist.
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.job, s.revision, s.chunks);
   }
 };
+
+/// Deletes progress records of a job that has ended.
 struct DeleteProgress {
   JobId job;
   std::vector<TaskIndex> chunks;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.job, s.chunks);
   }
 };
+
+/// Requests machines from the cloud.
 struct ScaleOut {
-  std::string name;
+  std::string name;  ///< Names the request: the same name never yields machines twice.
   std::string type;
   std::string zone;
   bool spot = false;
   int count = 0;
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.name, s.type, s.zone, s.spot, s.count);
   }
 };
+
+/// Returns machines to the cloud.
 struct ScaleIn {
   std::vector<MachineId> machines;
-  std::string cause;  // for the log: "3 idle, 1 silent"
+  std::string cause;  ///< For the log, as in "3 idle, 1 silent".
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.machines, s.cause);
   }
 };
+
+/// Gives up leadership.
 struct Resign {
-  std::string cause;
-  bool isolated = false;  // no machine is heard from: another controller may hear them
+  std::string cause;      ///< For the log.
+  bool isolated = false;  ///< No machine sends heartbeats here: another controller may get them.
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.cause, s.isolated);
   }
 };
 
-// For the log, once for each time the pause grows: users and operators look for the cause.
+/// Logs that all tasks of a job fail, once for each time the pause grows: users and operators look
+/// for the cause.
 struct JobSuspected {
   JobId job;
-  std::size_t machines = 0;  // on which it failed
-  Seconds pause{0};          // until it is tried again
+  std::size_t machines = 0;  ///< Machines on which the job failed.
+  Seconds pause{0};          ///< Time until the next try.
+
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.job, s.machines, s.pause);
   }
 };
 
+/// New kinds go to the end: the history names a kind by its position here.
 using Action =
     std::variant<SendCommands, SaveMachine, DeleteMachine, SaveProgress, FinishJob, DeleteProgress,
                  ScaleOut, ScaleIn, Resign, SavePlacements, MarkPlacements, JobSuspected>;
 
-inline constexpr TaskIndex kProgressChunk = 1000;
-
 }  // namespace violetpulley::core
--- a/src/core/model/catalog.hpp
+++ b/src/core/model/catalog.hpp
@@ -1,5 +1,6 @@
-// Machine types and teams, as the cloud's catalog and the platform's settings name them
-// (PROTOCOL, "GET /catalog"). It owns both and decides which kinds count as dear.
+/// @file
+/// Machine types and teams, as the cloud's catalog and the platform's settings name them
+/// (PROTOCOL, "GET /catalog"). Owns both; decides which offerings count as expensive.
 #pragma once
 
 #include <map>
@@ -10,26 +11,32 @@
 
 namespace violetpulley::core {
 
+/// Machine types and teams by name.
 class Catalog {
  public:
+  /// Takes the teams from the settings; the machine types follow with `set_types`.
   explicit Catalog(const ControllerSettings& settings) {
     for (const auto& team : settings.teams) teams_[team.name] = team;
   }
 
+  /// Replaces all machine types.
   void set_types(std::vector<MachineType> types) {
     types_.clear();
     for (auto& type : types) types_[type.name] = std::move(type);
   }
+
   const std::map<std::string, MachineType>& types() const { return types_; }
   const std::map<std::string, Team>& teams() const { return teams_; }
 
-  // Ordinary machines of this type cost much more than spot ones. The type must be known.
+  /// Whether the offering is on demand and costs much more than spot machines of the same type.
+  /// Throws std::out_of_range for unknown types.
   bool expensive(const std::string& type, bool spot) const {
     const auto& prices = types_.at(type);
     return !spot && prices.spot_price > 0 && is_expensive(prices.price, prices.spot_price);
   }
 
-  // Gives a machine what its type says, if the type is known.
+  /// Copies capacity, cache, fetch rate and price of the machine's type into the machine, if the
+  /// type is known.
   void apply(Machine& machine) const {
     const auto found = types_.find(machine.type);
     if (found == types_.end()) return;
--- a/src/core/model/learned_state.hpp
+++ b/src/core/model/learned_state.hpp
@@ -1,19 +1,33 @@
-// What a leader has learned and hands to the next one: estimates, saved run time, faulty machines,
-// refused types, how long jobs have waited. It is belief and never proof: nothing here says what is
-// on a machine, and a wrong or missing belief costs time, never a rule (docs/safety.md, "Beliefs").
+/// @file
+/// What a leader has learned and hands over to the next leader: estimates, saved run time, faulty
+/// machines, refused offerings, waiting times of jobs. These are hints and never proof: nothing
+/// here says what is on a machine, and a wrong or missing hint costs time but breaks no rule
+/// (docs/safety.md, "Beliefs").
 #pragma once
 
 #include "core/jobs/run_time_estimator.hpp"
 
 namespace violetpulley::core {
 
+/// Run time of a task that a restart need not repeat, thanks to a checkpoint.
+struct SavedRunTime {
+  TaskIndex task = 0;
+  Seconds saved{0};
+
+  template <class S, class F>
+  static void fields(S& s, F&& f) {
+    f(s.task, s.saved);
+  }
+};
+
+/// Hints on an unfinished job.
 struct LearnedJob {
   JobId id;
-  Seconds waited{0};  // since a leader first saw it
-  std::vector<std::pair<TaskIndex, Seconds>> saved;
+  Seconds waited{0};  ///< Since a leader first saw the job.
+  std::vector<SavedRunTime> saved;
   std::vector<MachineId> failed_on;
   int failures = 0;
-  Seconds pause{0};  // left of the pause after failures
+  Seconds pause{0};  ///< Rest of the pause after failures.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -21,6 +35,7 @@
   }
 };
 
+/// Hints on a machine on which tasks failed.
 struct LearnedMachine {
   MachineId id;
   int errors = 0;
@@ -33,6 +48,7 @@
   }
 };
 
+/// A refused offering that is not requested for some time.
 struct OfferingCooldown {
   OfferingKey option;
   Seconds left{0};
@@ -43,9 +59,10 @@
   }
 };
 
+/// All hints of a leader.
 struct LearnedState {
-  WallTime as_of{};
-  Estimator estimates;
+  WallTime as_of{};  ///< When the hints were written.
+  RunTimeEstimator estimates;
   std::vector<LearnedJob> jobs;
   std::vector<LearnedMachine> machines;
   std::vector<OfferingCooldown> cooldowns;
@@ -53,7 +70,8 @@
   bool empty() const {
     return estimates.empty() && jobs.empty() && machines.empty() && cooldowns.empty();
   }
-  // Since it was written; a time of day that stepped back gives none.
+
+  /// Time since the hints were written; zero if the time of day has stepped back.
   Seconds elapsed(WallTime now) const { return std::max(Seconds(0), Seconds(now - as_of)); }
 
   template <class S, class F>
--- a/src/core/model/price_rules.hpp
+++ b/src/core/model/price_rules.hpp
@@ -1,11 +1,14 @@
-// When a machine counts as dear (docs/design.md, "Dear machines last"): the one rule for the
-// packer, which fills dear machines last, and for the scaler, which rents them last.
+/// @file
+/// When a machine counts as expensive (docs/design.md, "Dear machines last"): one rule for the
+/// packer, which fills expensive machines last, and for the scaler, which requests them last.
 #pragma once
 
 namespace violetpulley::core {
 
+/// An expensive machine costs more than this multiple of the cheapest.
 inline constexpr double kExpensiveFactor = 1.8;
 
+/// Whether `price` is expensive beside the `cheapest` alternative.
 inline bool is_expensive(double price, double cheapest) {
   return price > kExpensiveFactor * cheapest;
 }
--- a/src/core/model/settings.hpp
+++ b/src/core/model/settings.hpp
@@ -1,5 +1,6 @@
-// What the core is told about its deployment: the platform's settings, the operators' aims, and
-// what a takeover reads from the state service.
+/// @file
+/// Input of a new controller: the platform's settings, the operators' objectives, and the state
+/// that a new leader reads from the state service.
 #pragma once
 
 #include "core/dispatch/socket_budget.hpp"
@@ -8,10 +9,11 @@
 
 namespace violetpulley::core {
 
-inline constexpr double kScaleOutCallShare = 0.65;  // of the cloud calls
-inline constexpr double kScaleInCallShare = 0.5;    // both rarely want all of theirs at once
+/// Shares of the allowed cloud calls. The sum exceeds 1: both rarely want all of theirs at once.
+inline constexpr double kScaleOutCallShare = 0.65;
+inline constexpr double kScaleInCallShare = 0.5;
 
-// The operators' aim for a class of jobs: done within this time after submission.
+/// Objective for a class of jobs: done within this time after the submission.
 struct CompletionObjective {
   std::string job_class;
   Seconds within{0};
@@ -22,7 +24,7 @@
   }
 };
 
-// Done within this many times the job's deadline.
+/// Objective for late jobs of a class: done within this multiple of the job's deadline.
 struct TardinessObjective {
   std::string job_class;
   double times = 1;
@@ -33,17 +35,18 @@
   }
 };
 
+/// Settings of a controller for the whole time it leads.
 struct ControllerSettings {
   std::vector<Team> teams;
   WorkerTimes workers;
   Tuning tuning;
-  double cloud_calls_per_s = 1;  // for rentals and returns
-  Seconds list_lag{10};
+  double cloud_calls_per_s = 1;  ///< For requesting and returning machines, together.
+  Seconds list_lag{10};          ///< How old the cloud's list of machines may be.
   std::vector<CompletionObjective> completion_objectives;
   std::vector<TardinessObjective> tardiness_objectives;
-  WallTime wall_at_start{};  // the time of day that belongs to the start's steady time
-  // Off for one that gave up for that lately: if the others heard nothing either, the machines are
-  // gone, and somebody has to wait until their leases have run out.
+  WallTime wall_at_start{};  ///< Time of day at the controller's start.
+  /// False after a recent resignation for isolation: if the other controllers got no heartbeats
+  /// either, the machines are gone, and one leader has to wait until their leases have run out.
   bool resigns_when_isolated = true;
   SocketBudget sockets{};
 
@@ -54,14 +57,14 @@
   }
 };
 
-// What a takeover reads from the store.
+/// What a new leader reads from the state service.
 struct RecoveredState {
   std::vector<MachineRecord> machines;
   std::vector<JobRecord> jobs;
   std::vector<ProgressRecord> progress;
   LearnedState learned_state;
   std::vector<PlacementRecord> placements;
-  bool placements_marked = false;  // the records tell of every start of gangs and services
+  bool placements_marked = false;  ///< The records cover every start of gangs and services.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
--- /dev/null
+++ b/src/core/model/tuning.hpp
@@ -0,0 +1,78 @@
+/// @file
+/// Times that the platform prescribes for agents, and the constants that operators may tune.
+#pragma once
+
+#include <cstddef>
+
+#include "core/model/identifiers.hpp"
+
+namespace violetpulley::core {
+
+/// Times of the agents, from the platform's settings file.
+struct WorkerTimes {
+  Seconds heartbeat_interval{3};
+  Seconds lease{27};      ///< An agent without an answer for this long ends its tasks.
+  Seconds cancel{47};     ///< A cancelled task has ended after this time.
+  Seconds gang_wait{35};  ///< A gang's task that waits this long for the other tasks exits.
+  Seconds gang_peer{4};   ///< The tasks of a gang notice a lost task within this time.
+
+  template <class S, class F>
+  static void fields(S& s, F&& f) {
+    f(s.heartbeat_interval, s.lease, s.cancel, s.gang_wait, s.gang_peer);
+  }
+};
+
+/// Constants that the design leaves open, with their defaults; operators may change them in YAML.
+struct Tuning {
+  /// Run-time bin i spans 2^(i-1) to 2^i of these.
+  Seconds bin_unit{1};
+  /// Longest time between scheduling rounds, shortest between scaling rounds.
+  Seconds round{2};
+  /// Shortest time between scheduling rounds after a job or capacity appeared.
+  Seconds quick_round{0.1};
+  /// Time for which a machine must stay underused before it is drained.
+  Seconds consolidation_wait{30};
+  /// A machine is underused if the used share of every resource is below this.
+  double consolidation_threshold = 0.5;
+  /// Time for which an empty machine is kept.
+  Seconds idle_wait{25};
+  /// A machine that boots for longer than this multiple of the usual boot time is returned.
+  double boot_late_factor = 2.0;
+  /// Time for which a refused offering is not requested again.
+  Seconds refused_cooldown{15};
+  /// Silence after which a machine takes no new tasks and is probed.
+  Seconds silent_after{7};
+  /// Silence after which a machine is returned, if most other machines respond.
+  Seconds lost_after{9};
+  /// The same, at most, for machines that have not answered a new leader.
+  Seconds lost_after_failover{5};
+  /// Tasks bound to a booting machine may use capacity that becomes free earlier.
+  bool bound_tasks_may_move = true;
+  /// Errors of several jobs in a row after which a machine is quarantined.
+  int quarantine_errors = 3;
+  /// Waiting time after which a job that may use spot machines gets expensive machines.
+  Seconds on_demand_patience{40};
+  /// Time for which an empty expensive machine is kept.
+  Seconds on_demand_idle_wait{10};
+  /// Starts of gangs and services are committed before they are sent.
+  bool commit_starts = false;
+  /// Command batches; 0: as the sockets allow.
+  std::size_t max_commands_in_flight = 0;
+  /// Share of the machines that may be returned early after a failover.
+  double max_declared_dead_share = 0.25;
+  /// Share assumed alive of the machines that two probes did not reach.
+  double still_alive = 0.1;
+  /// Objective for the start of every job, the largest included.
+  Seconds begin_within{240};
+
+  template <class S, class F>
+  static void fields(S& s, F&& f) {
+    f(s.bin_unit, s.round, s.quick_round, s.consolidation_wait, s.consolidation_threshold,
+      s.idle_wait, s.boot_late_factor, s.refused_cooldown, s.silent_after, s.lost_after,
+      s.lost_after_failover, s.bound_tasks_may_move, s.quarantine_errors, s.on_demand_patience,
+      s.on_demand_idle_wait, s.commit_starts, s.max_commands_in_flight, s.max_declared_dead_share,
+      s.still_alive, s.begin_within);
+  }
+};
+
+}  // namespace violetpulley::core
--- a/src/core/outbox.hpp
+++ b/src/core/outbox.hpp
@@ -1,5 +1,7 @@
-// What the parts ask for while an event is handled: actions for the shells, and a round of placing
-// because a task or room has appeared. It decides nothing.
+/// @file
+/// What the parts of the controller request while an event is handled: actions for the shells, and
+/// a scheduling round because a task or capacity has appeared. Owns these requests and the count of
+/// inspections; decides nothing.
 #pragma once
 
 #include <utility>
@@ -8,17 +10,24 @@
 
 namespace violetpulley::core {
 
+/// Collects the effects of an event.
 class Outbox {
  public:
+  /// Adds an action; the shells carry the actions out in this order.
   void push_back(Action action) { actions_.push_back(std::move(action)); }
+  /// Returns the collected actions and forgets them.
   std::vector<Action> take() { return std::exchange(actions_, {}); }
 
+  /// Requests a scheduling round soon.
   void want_placing() { placing_wanted_ = true; }
+  /// A scheduling round begins, which fulfils the request.
   void placing_begins() { placing_wanted_ = false; }
+  /// Whether a scheduling round is requested.
   bool placing_wanted() const { return placing_wanted_; }
 
-  // Machines looked at, each time counted: what events cost.
+  /// Counts machines that were examined, to bound what events cost.
   void note_inspections(std::uint64_t machines) { inspections_ += machines; }
+  /// Machines examined so far, each time counted.
   std::uint64_t inspections() const { return inspections_; }
 
   template <class S, class F>
--- a/src/core/scheduling/gang_reservations.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -8,7 +8,8 @@
 TaskIndex places_on(const Resources& free, const JobSpec& spec) {
   double places = spec.tasks;
   const auto consider = [&](double room, double need) {
-    if (need > 0) places = std::min(places, std::floor((room + Resources::kSlack) / need));
+    if (need > 0)
+      places = std::min(places, std::floor((room + Resources::kRoundingTolerance) / need));
   };
   consider(free.cpus, spec.per_task.cpus);
   consider(free.gpus, spec.per_task.gpus);
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -34,8 +34,9 @@
 bool covers(const Team& team, const Resources& use) {
   const bool cpus = team.guaranteed_cpus > 0 || team.guaranteed_gpus > 0;
   return cpus &&
-         (team.guaranteed_cpus <= 0 || use.cpus <= team.guaranteed_cpus + Resources::kSlack) &&
-         use.gpus <= team.guaranteed_gpus + Resources::kSlack;
+         (team.guaranteed_cpus <= 0 ||
+          use.cpus <= team.guaranteed_cpus + Resources::kRoundingTolerance) &&
+         use.gpus <= team.guaranteed_gpus + Resources::kRoundingTolerance;
 }
 
 }  // namespace
--- a/src/store/record_codec.cpp
+++ b/src/store/record_codec.cpp
@@ -25,10 +25,7 @@
     for (core::TaskIndex bit = 0; bit < 4; ++bit) {
       if ((value >> bit & 1U) == 0) continue;
       const auto index = first + static_cast<core::TaskIndex>(at) * 4 + bit;
-      if (!out.empty() && out.back().second + 1 == index)
-        out.back().second = index;
-      else
-        out.emplace_back(index, index);
+      core::append_index(out, index);
     }
   }
   return out;
@@ -61,7 +58,7 @@
                              value.at(3).get<int>() != 0,
                              {}};
   for (const auto& image : value.at(4))
-    record.images.emplace_back(image.at(0).get<std::string>(), image.at(1).get<double>());
+    record.images.push_back({image.at(0).get<std::string>(), image.at(1).get<double>()});
   return record;
 }
 
--- a/tests/core/dispatch/command_dispatcher_test.cpp
+++ b/tests/agent/command_sender_test.cpp
@@ -1,15 +1,17 @@
-// Orders to many machines over a bounded number of connections.
+/// @file
+/// Command batches to many machines over a bounded number of connections.
+#include "agent/command_sender.hpp"
+
 #include <gtest/gtest.h>
 
-#include "agent/command_sender.hpp"
 #include "net/http_server.hpp"
 
 namespace violetpulley::agent {
 namespace {
 
-// Machines that answer, the orders for them, and who sends those.
-struct Yard {
-  explicit Yard(asio::io_context& io)
+// Agents that answer, a command batch for each of them, and the sender of the batches.
+struct AnsweringAgents {
+  explicit AnsweringAgents(asio::io_context& io)
       : sender(io, 7, 2, [this](const core::MachineId& id, const core::Heartbeat* heartbeat) {
           ASSERT_NE(heartbeat, nullptr) << id;
           answered.insert(id);
@@ -20,7 +22,7 @@
       probe.close();
       const auto id = std::to_string(i);
       const auto endpoint = "127.0.0.1:" + std::to_string(at.port());
-      machines.push_back(std::make_unique<net::HttpServer>(
+      servers.push_back(std::make_unique<net::HttpServer>(
           io, at, net::ServerLimits{},
           [id, endpoint](net::Request&&, const net::Responder& respond) {
             respond({200,
@@ -28,53 +30,53 @@
                          R"(","bench":"small","district":"a","shift":1,"tally":1})",
                      {}});
           }));
-      batch.push_back({id, endpoint, 1, {}});
+      batches.push_back({id, endpoint, 1, {}});
     }
   }
-  std::vector<std::unique_ptr<net::HttpServer>> machines;
-  std::vector<core::SendCommands> batch;
+  std::vector<std::unique_ptr<net::HttpServer>> servers;
+  std::vector<core::SendCommands> batches;
   std::multiset<core::MachineId> answered;
-  CommandSender sender;  // with two lines
+  CommandSender sender;  // with at most two connections
 };
 
-// Reports take a socket a machine already; without the bound, orders would take as many again and a
-// controller of a large fleet would have none left for users.
-TEST(CommandDispatcher, ReachEveryMachineOverABoundedNumberOfConnections) {
+// Heartbeats take a socket for each machine already; without the bound, commands would take as many
+// again and a controller of a large fleet would have none left for users.
+TEST(CommandSender, ReachesEveryMachineOverABoundedNumberOfConnections) {
   asio::io_context io;
-  Yard yard(io);
-  auto& answered = yard.answered;
-  auto& sender = yard.sender;
+  AnsweringAgents agents(io);
+  auto& answered = agents.answered;
+  auto& sender = agents.sender;
   for (int round = 1; round <= 2; ++round)
-    for (const auto& order : yard.batch) {
+    for (const auto& batch : agents.batches) {
       const auto before = answered.size();
-      sender.send(order);
+      sender.send(batch);
       for (int i = 0; i < 200 && answered.size() == before; ++i)
         io.run_for(std::chrono::milliseconds(20));
       EXPECT_EQ(answered.size(), before + 1);
       EXPECT_LE(sender.connections(), 2U);
     }
-  for (const auto& order : yard.batch) EXPECT_EQ(answered.count(order.machine), 2U);
+  for (const auto& batch : agents.batches) EXPECT_EQ(answered.count(batch.machine), 2U);
 }
 
-// Found with half as many machines again as the users' files show: after a takeover each machine
-// had a line for ever, and no socket was left for the workers' reports.
-TEST(CommandDispatcher, ABurstLeavesNoMoreLinesThanTheBound) {
+// Found with half as many machines again as the users' files show: after a failover each machine
+// had a connection for ever, and no socket was left for the agents' heartbeats.
+TEST(CommandSender, ABurstLeavesNoMoreConnectionsThanTheBound) {
   asio::io_context io;
-  Yard yard(io);
-  auto& answered = yard.answered;
-  auto& sender = yard.sender;
+  AnsweringAgents agents(io);
+  auto& answered = agents.answered;
+  auto& sender = agents.sender;
   for (int round = 1; round <= 2; ++round) {
-    for (const auto& order : yard.batch) sender.send(order);
-    for (int i = 0; i < 200 && answered.size() < yard.batch.size() * round; ++i)
+    for (const auto& batch : agents.batches) sender.send(batch);
+    for (int i = 0; i < 200 && answered.size() < agents.batches.size() * round; ++i)
       io.run_for(std::chrono::milliseconds(20));
-    EXPECT_EQ(answered.size(), yard.batch.size() * round);
+    EXPECT_EQ(answered.size(), agents.batches.size() * round);
     EXPECT_LE(sender.connections(), 2U);
   }
 }
 
-// An endpoint may belong to another machine by now: its answer says nothing of the one that was
-// asked, which looked reached and confirmed. Nor does one that breaks off in the middle.
-TEST(CommandDispatcher, AnAnswerOfAnotherMachineOrAHalfOneIsNone) {
+// An endpoint may belong to another machine by now: its answer says nothing of the machine that was
+// asked, which was then taken for reached and confirmed. Nor does an answer that breaks off.
+TEST(CommandSender, AnAnswerOfAnotherMachineOrATruncatedAnswerCountsAsNone) {
   for (
       const std::string body :
       {R"({"rig":"m-2","endpoint":"127.0.0.1:1","bench":"small","district":"a","shift":1,"tally":1})",
--- /dev/null
+++ b/tests/core/autoscaling/scaler_test.cpp
@@ -0,0 +1,109 @@
+/// @file
+/// The choice of instance offerings and of machines to consolidate, against small worked examples
+/// from DESIGN and the paper.
+#include <gtest/gtest.h>
+
+#include "core/autoscaling/consolidation_rules.hpp"
+#include "core/controller.hpp"
+#include "support/sample_jobs.hpp"
+
+namespace violetpulley::core {
+namespace {
+
+TEST(Scaler, ScoreIsThePapersExample) {
+  MachineType type;
+  type.capacity = {8, 0, 16};
+  EXPECT_DOUBLE_EQ(offering_score({4, 0, 1}, type, 1.0, {2, 0, 4}), 2.0);
+  EXPECT_DOUBLE_EQ(offering_score({4, 0, 1}, type, 0.5, {2, 0, 4}), 4.0);
+}
+
+TEST(Scaler, ChoosesTypeAndGroupTogether) {
+  MachineType small{"small", {8, 0, 64}, 10, 1, 1.0, 0.3, Seconds(30), {"z"}};
+  MachineType large{"large", {64, 0, 512}, 10, 1, 6.0, 2.2, Seconds(30), {"z"}};
+  const std::vector<InstanceOffering> options{
+      {&small, "z", true, 0.3}, {&small, "z", false, 1.0}, {&large, "z", true, 2.2}};
+  auto spec = spec_of(1, 1, Seconds(10));
+  Scaler scaler({{&spec, Seconds(10), {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}}}, options);
+  auto choice = scaler.choose();
+  ASSERT_TRUE(choice);
+  EXPECT_EQ(scaler.option(*choice).type->name, "small");
+  EXPECT_TRUE(scaler.option(*choice).spot);
+  EXPECT_EQ(scaler.take(*choice).size(), 8U);
+  EXPECT_FALSE(scaler.repeats(*choice)) << "two tasks are left, the group has eight";
+  EXPECT_EQ(scaler.take(*scaler.choose()).size(), 2U);
+  EXPECT_FALSE(scaler.choose());
+
+  // A task of 16 CPUs fits only the large type; spot is barred, so nothing is left.
+  auto big = spec_of(16, 16, Seconds(10));
+  big.spot_allowed = false;
+  EXPECT_FALSE(Scaler({{&big, Seconds(10), {0}}}, options).choose());
+  big.spot_allowed = true;
+  Scaler for_big({{&big, Seconds(10), {0}}}, options);
+  choice = for_big.choose();
+  ASSERT_TRUE(choice);
+  EXPECT_EQ(for_big.option(*choice).type->name, "large");
+}
+
+// Found on a day with many small urgent tasks and large ones that fit the large type alone: the
+// first offering filled every round by itself, and no large machine was requested for two minutes.
+TEST(Scaler, AFullRequestLeavesTheRoundToOthersButNotToMoreExpensiveOfferings) {
+  MachineType small{"small", {8, 0, 64}, 10, 1, 1.0, 0.3, Seconds(30), {"y", "z"}};
+  MachineType large{"large", {64, 0, 512}, 10, 1, 9.0, 3.0, Seconds(30), {"z"}};
+  auto little = spec_of(1, 1, Seconds(10));
+  auto big = spec_of(16, 16, Seconds(10));
+  Scaler scaler({{&little, Seconds(20), std::vector<TaskIndex>(100)}, {&big, Seconds(10), {0, 1}}},
+                {{&small, "z", true, 0.3},
+                 {&small, "y", true, 0.3},
+                 {&small, "z", false, 1.0},
+                 {&large, "z", true, 3.0}});
+  const auto first = scaler.choose();
+  ASSERT_EQ(scaler.option(*first).type->name, "small");
+  scaler.take(*first);
+  scaler.exhaust(*first);
+  const auto second = scaler.choose();
+  EXPECT_EQ(scaler.option(*second).price, 0.3) << "the same type in another zone";
+  EXPECT_NE(scaler.option(*second).zone, scaler.option(*first).zone);
+  scaler.exhaust(*second);
+  const auto third = scaler.choose();
+  ASSERT_TRUE(third);
+  EXPECT_EQ(scaler.option(*third).type->name, "large");
+  EXPECT_EQ(scaler.take(*third).size(), 2U) << "the small tasks wait for the next round";
+  EXPECT_FALSE(scaler.choose());
+}
+
+TEST(Consolidation, RestartsOnlyTasksThatLoseLessThanTheySave) {
+  Fleet fleet;
+  auto& machine = machine_with(fleet, "m", 16, Seconds(100));
+  EXPECT_TRUE(underused(machine, 0.5));
+  EXPECT_TRUE(worth_restarting(machine, kNow, Seconds(30), Seconds(20)));
+  // After 60 s, 40 s remain: less than the 60 s that would be lost.
+  EXPECT_FALSE(
+      worth_restarting(machine, kNow + std::chrono::seconds(60), Seconds(30), Seconds(20)));
+}
+
+// Found by the simulation (seed 7): work that may not use spot machines waited for ever for a spot
+// offering, because expensive offerings were kept for work that had waited.
+TEST(Controller, WorkThatMayNotUseSpotRequestsAnExpensiveOfferingAtOnce) {
+  for (const bool spot_allowed : {false, true}) {
+    MachineType type{"small", {8, 0, 64}, 10, 1, 1.0, 0.3, Seconds(30), {"z"}};
+    JobRecord record;
+    record.spec = spec_of(4, 4, Seconds(20));
+    record.spec.spot_allowed = spot_allowed;
+    record.revision = 9;
+    ControllerSettings settings{
+        {{"t", 0, 0, 0, 0}}, WorkerTimes{}, Tuning{}, 1.0, Seconds(10), {}, {}, {}};
+    Controller controller(settings, 5, kNow, kNow, RecoveredState{});
+    controller.set_catalog({type});
+    controller.job_opened(record, kNow);
+    controller.tick(kNow, true, kNow);
+    std::vector<ScaleOut> requests;
+    for (const auto& action : controller.take_actions())
+      if (const auto* scale_out = std::get_if<ScaleOut>(&action)) requests.push_back(*scale_out);
+    ASSERT_EQ(requests.size(), 1U);
+    EXPECT_EQ(requests[0].spot, spot_allowed);
+    EXPECT_EQ(requests[0].count, 1);
+  }
+}
+
+}  // namespace
+}  // namespace violetpulley::core
--- a/tests/core/scale_test.cpp
+++ b/tests/core/scale_test.cpp
@@ -1,5 +1,6 @@
-// Several hundred machines that come up in a wave, with the budgets of a small state service. What
-// is counted is operations, never time: neither writes nor work per event may grow with the fleet.
+/// @file
+/// Several hundred machines that come up in a wave, with the budgets of a small state service. The
+/// tests count operations, never time: neither writes nor work per event may grow with the fleet.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -14,17 +15,19 @@
 using std::chrono::milliseconds;
 using store::WritePriority;
 
+/// What a run has cost.
 struct Outcome {
-  std::uint64_t events = 0;  // reports, answers to orders, jobs
+  std::uint64_t events = 0;  // heartbeats, responses to commands, jobs
   std::uint64_t inspections = 0;
   std::uint64_t changes = 0;  // of keys in the state service
   std::size_t done = 0;
   std::optional<Seconds> all_registered;
 };
 
-class Day {
+/// A controller with simulated agents and a state service that is limited to 30 changes a second.
+class FleetRun {
  public:
-  explicit Day(int machines)
+  explicit FleetRun(int machines)
       : machines_(machines),
         controller_(settings(), 7, now_, now_ + std::chrono::seconds(60), {}),
         records_("machines/", 14000, milliseconds(2000)),
@@ -40,9 +43,9 @@
       // As many arrays as the fleet can run, so that a larger fleet has more to do each second.
       if (step % 10 == 0 && step < 600)
         for (int i = 0; i < machines_ / 50; ++i) submit();
-      if (step < machines_ && workers_.size() < static_cast<std::size_t>(machines_))
+      if (step < machines_ && agents_.size() < static_cast<std::size_t>(machines_))
         for (int i = 0; i < std::max(1, machines_ / 50); ++i) boot();
-      for (auto& [id, worker] : workers_) live(worker);
+      for (auto& [id, agent] : agents_) advance(agent);
       controller_.tick(now_, true, now_);
       for (auto& action : controller_.take_actions())
         std::visit([&](auto& a) { execute(a); }, action);
@@ -55,15 +58,15 @@
   }
 
  private:
-  struct Live {
+  struct RunningTask {
     core::Attempt attempt = 0;
     core::TimePoint ends{};
   };
-  struct Worker {
+  struct Agent {
     core::MachineId id;
     std::uint64_t heartbeat_sequence = 0;
-    core::TimePoint next_report{};
-    std::map<core::TaskKey, Live> tasks;
+    core::TimePoint next_heartbeat{};
+    std::map<core::TaskKey, RunningTask> tasks;
     std::map<core::TaskKey, core::Attempt> exited;
   };
 
@@ -90,58 +93,59 @@
   }
 
   void boot() {
-    const auto id = std::to_string(1000 + workers_.size());
-    workers_[id].id = id;
-    workers_[id].next_report = now_;
+    const auto id = std::to_string(1000 + agents_.size());
+    agents_[id].id = id;
+    agents_[id].next_heartbeat = now_;
   }
 
-  core::Heartbeat heartbeat_of(Worker& worker) {
+  core::Heartbeat heartbeat_of(Agent& agent) {
     core::Heartbeat heartbeat{
-        worker.id, "10.0.0.1:1", "small", "a", true, 1, ++worker.heartbeat_sequence, 7, {}, {}};
-    for (const auto& [key, live] : worker.tasks)
+        agent.id, "10.0.0.1:1", "small", "a", true, 1, ++agent.heartbeat_sequence, 7, {}, {}};
+    for (const auto& [key, task] : agent.tasks)
       heartbeat.tasks.push_back(
-          {key, live.attempt, core::TaskState::running, core::ExitCause::none});
-    for (const auto& [key, attempt] : worker.exited)
+          {key, task.attempt, core::TaskState::running, core::ExitCause::none});
+    for (const auto& [key, attempt] : agent.exited)
       heartbeat.tasks.push_back({key, attempt, core::TaskState::exited, core::ExitCause::done});
     return heartbeat;
   }
 
-  void live(Worker& worker) {
-    for (auto task = worker.tasks.begin(); task != worker.tasks.end();) {
+  void advance(Agent& agent) {
+    for (auto task = agent.tasks.begin(); task != agent.tasks.end();) {
       if (now_ < task->second.ends) {
         ++task;
         continue;
       }
-      worker.exited[task->first] = task->second.attempt;
-      worker.next_report = now_;
-      task = worker.tasks.erase(task);
+      agent.exited[task->first] = task->second.attempt;
+      agent.next_heartbeat = now_;
+      task = agent.tasks.erase(task);
     }
-    if (now_ < worker.next_report) return;
-    worker.next_report = now_ + std::chrono::seconds(5);
+    if (now_ < agent.next_heartbeat) return;
+    agent.next_heartbeat = now_ + std::chrono::seconds(5);
     ++outcome_.events;
-    const auto heartbeat = heartbeat_of(worker);
+    const auto heartbeat = heartbeat_of(agent);
     controller_.heartbeat(heartbeat, now_);
-    for (const auto& command : controller_.response_commands(heartbeat)) execute(worker, command);
+    for (const auto& command : controller_.response_commands(heartbeat)) execute(agent, command);
   }
 
-  void execute(Worker& worker, const core::Command& command) {
-    if (command.type == core::CommandType::acknowledge) worker.exited.erase(command.task);
+  void execute(Agent& agent, const core::Command& command) {
+    if (command.type == core::CommandType::acknowledge) agent.exited.erase(command.task);
     if (command.type == core::CommandType::start)
-      worker.tasks.try_emplace(command.task, Live{command.attempt, now_ + std::chrono::seconds(9)});
+      agent.tasks.try_emplace(command.task,
+                              RunningTask{command.attempt, now_ + std::chrono::seconds(9)});
   }
 
   void execute(core::SendCommands& batch) {
-    auto& worker = workers_.at(batch.machine);
-    for (const auto& command : batch.commands) execute(worker, command);
+    auto& agent = agents_.at(batch.machine);
+    for (const auto& command : batch.commands) execute(agent, command);
     ++outcome_.events;
-    const auto heartbeat = heartbeat_of(worker);
-    controller_.commands_answered(worker.id, &heartbeat, now_);
+    const auto heartbeat = heartbeat_of(agent);
+    controller_.commands_answered(agent.id, &heartbeat, now_);
   }
   void execute(core::SaveMachine& save) {
     records_.put(save.record.id, store::Json{save.record.endpoint}, 260,
                  save.only_images ? WritePriority::deferred : WritePriority::urgent, now_,
-                 [this, id = save.record.id, again = save.only_images] {
-                   if (!again) ++registered_;
+                 [this, id = save.record.id, registered_before = save.only_images] {
+                   if (!registered_before) ++registered_;
                    controller_.machine_saved(id, true, true);
                  });
   }
@@ -155,23 +159,24 @@
     progress_.erase(finish.job, now_);
     controller_.job_closed(finish.job, now_);
   }
-  void execute(core::ScaleOut& rent) {
-    controller_.scale_out_answered(rent.name, {core::ScaleOutResult::Kind::no_capacity, {}}, now_);
+  void execute(core::ScaleOut& request) {
+    controller_.scale_out_answered(request.name, {core::ScaleOutResult::Kind::no_capacity, {}},
+                                   now_);
   }
-  template <typename Other>
-  void execute(Other&) {}
+  template <typename OtherAction>
+  void execute(OtherAction&) {}
 
   // One transaction of at most 12 changes each 400 ms: 30 changes a second.
   void write() {
     if (now_ < next_write_) return;
     next_write_ = now_ + milliseconds(400);
     std::size_t left = 12;
-    for (auto* book : {&records_, &progress_}) {
+    for (auto* table : {&records_, &progress_}) {
       store::PagedRecords::Batch batch;
-      book->take(now_, left, 52 * 1024, batch);
+      table->take(now_, left, 52 * 1024, batch);
       left -= batch.writes.size();
       outcome_.changes += batch.writes.size();
-      book->committed(batch, ++revision_);
+      table->committed(batch, ++revision_);
     }
   }
 
@@ -181,19 +186,19 @@
   core::Controller controller_;
   store::PagedRecords records_;
   store::PagedRecords progress_;
-  std::map<core::MachineId, Worker> workers_;
+  std::map<core::MachineId, Agent> agents_;
   std::size_t registered_ = 0;
   std::uint64_t revision_ = 10;
   int jobs_ = 0;
   Outcome outcome_;
 };
 
-// Found when the deployments grew: one key a machine and one progress change a second for every
-// running array kept machines unregistered for minutes; looks at the whole fleet for every waiting
-// task used up the processor.
+// Found when the deployments grew: one key for each machine and one progress change a second for
+// every running array kept machines unregistered for minutes; inspecting the whole fleet for every
+// waiting task used up the processor.
 TEST(Scale, WritesAndWorkPerEventDoNotGrowWithTheFleet) {
-  const auto few = Day(100).run();
-  const auto many = Day(600).run();
+  const auto few = FleetRun(100).run();
+  const auto many = FleetRun(600).run();
   ASSERT_GT(few.done, 50U);
   EXPECT_GT(many.done, few.done * 5);
   // All machines are registered soon after the wave (5 s of boots), however many they are.
--- /dev/null
+++ b/tests/core/scheduling/bin_packer_test.cpp
@@ -0,0 +1,62 @@
+/// @file
+/// Run-time bins and the packer against small worked examples from DESIGN and the paper.
+#include "core/scheduling/bin_packer.hpp"
+
+#include <gtest/gtest.h>
+
+#include "support/sample_jobs.hpp"
+
+namespace violetpulley::core {
+namespace {
+
+TEST(Bins, SpanPowersOfTwo) {
+  const Seconds unit{1};
+  EXPECT_EQ(bin_of(Seconds(0.9), unit), 0);
+  EXPECT_EQ(bin_of(Seconds(1), unit), 1);
+  EXPECT_EQ(bin_of(Seconds(1.99), unit), 1);
+  EXPECT_EQ(bin_of(Seconds(2), unit), 2);
+  EXPECT_EQ(bin_of(Seconds(8), unit), 4);
+  EXPECT_EQ(bin_of(Seconds(8), Seconds(4)), 2);
+}
+
+TEST(Bins, ATaskPastItsEstimateIsHalfwayDone) {
+  EXPECT_EQ(remaining_run_time(Seconds(10), Seconds(4)), Seconds(6));
+  EXPECT_EQ(remaining_run_time(Seconds(10), Seconds(25)), Seconds(25));
+}
+
+TEST(BinPacker, OwnBinByClosestThenGreaterThenLesserByRoom) {
+  Fleet fleet;
+  auto& far = machine_with(fleet, "far", 8, Seconds(15.5));  // bin of 10 s: [8, 16)
+  auto& near = machine_with(fleet, "near", 8, Seconds(9));   // the same bin, closer
+  auto& greater = machine_with(fleet, "greater", 8, Seconds(40));
+  auto& roomy = machine_with(fleet, "roomy", 16, Seconds(50));  // greater too, more room
+  auto& lesser = machine_with(fleet, "lesser", 32, Seconds(3));
+  const auto spec = spec_of(1, 1, Seconds(10));
+  BinPacker packer(Seconds(1), kNow);
+  for (auto* machine : {&far, &near, &greater, &roomy, &lesser}) packer.offer(*machine);
+  std::set<MachineId> barred;
+  const auto choose = [&] {
+    return packer
+        .choices(spec, Seconds(10), [&](const Machine& m) { return !barred.contains(m.id); })
+        .best();
+  };
+  for (auto* expected : {&near, &far, &roomy, &greater, &lesser}) {
+    ASSERT_EQ(choose(), expected);
+    barred.insert(expected->id);
+  }
+  EXPECT_EQ(choose(), nullptr);
+}
+
+TEST(BinPacker, PrefersAMachineThatHoldsTheImage) {
+  Fleet fleet;
+  auto& closest = machine_with(fleet, "closest", 8, Seconds(10), false);
+  auto& holder = machine_with(fleet, "holder", 8, Seconds(40), true);
+  const auto spec = spec_of(1, 1, Seconds(10));
+  BinPacker packer(Seconds(1), kNow);
+  packer.offer(closest);
+  packer.offer(holder);
+  EXPECT_EQ(packer.choices(spec, Seconds(10), [](const Machine&) { return true; }).best(), &holder);
+}
+
+}  // namespace
+}  // namespace violetpulley::core
--- a/tests/store/learned_state_test.cpp
+++ b/tests/store/learned_state_test.cpp
@@ -26,7 +26,7 @@
 core::LearnedState learned(int jobs) {
   core::LearnedState out;
   out.as_of = kWall;
-  for (int i = 0; i < 6; ++i) out.estimates.finished(spec("req-1"), Seconds(30));
+  for (int i = 0; i < 6; ++i) out.estimates.record_run_time(spec("req-1"), Seconds(30));
   for (int i = 0; i < jobs; ++i) {
     core::LearnedJob job;
     job.id = "req-" + std::to_string(i);
--- /dev/null
+++ b/tests/support/sample_jobs.cpp
@@ -0,0 +1,35 @@
+#include "support/sample_jobs.hpp"
+
+#include <utility>
+
+namespace violetpulley::core {
+
+JobSpec spec_of(double cpus, double memory, Seconds estimate, std::string image) {
+  JobSpec spec;
+  spec.id = JobId("req-1");
+  spec.team = std::string("t");
+  spec.tasks = 1;
+  spec.per_task = {cpus, 0, memory};
+  spec.image = std::move(image);
+  spec.estimate = estimate;
+  spec.spot_allowed = true;
+  return spec;
+}
+
+Machine& machine_with(Fleet& fleet, const MachineId& id, double cpus, Seconds remaining,
+                      bool image) {
+  auto& machine = fleet.add(id);
+  machine.capacity = {cpus, 0, cpus * 8};
+  machine.cache_gb = 100;
+  if (image) machine.images.push_back({"i", 1, true});
+  if (remaining > Seconds(0)) {
+    Assignment assignment;
+    assignment.resources = {1, 0, 1};
+    assignment.estimate = remaining;
+    assignment.running_since = kNow;
+    fleet.assign(machine, {"req-9" + id, 0}, assignment);
+  }
+  return machine;
+}
+
+}  // namespace violetpulley::core
--- /dev/null
+++ b/tests/support/sample_jobs.hpp
@@ -0,0 +1,22 @@
+/// @file
+/// Small jobs and machines for tests of the core's parts.
+#pragma once
+
+#include <string>
+
+#include "core/machines/fleet.hpp"
+
+namespace violetpulley::core {
+
+/// The present in these tests.
+inline const TimePoint kNow = TimePoint{} + std::chrono::hours(1);
+
+/// A job of one task that may use spot machines.
+JobSpec spec_of(double cpus, double memory, Seconds estimate, std::string image = "i");
+
+/// Adds a machine to the fleet; with a task if `remaining` is positive, with the image "i" if
+/// `image`.
+Machine& machine_with(Fleet& fleet, const MachineId& id, double cpus, Seconds remaining,
+                      bool image = true);
+
+}  // namespace violetpulley::core
