--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -56,9 +56,9 @@
     if (!machine.up()) continue;
     machine.registered = true;
     machine.up_since = now;
-    recovery_.expect(machine);
+    recovery_.add_unconfirmed(machine);
   }
-  reconciler_.begin();
+  reconciler_.queue_unconfirmed();
   apply_learned_state(recovered.learned_state, now);
   recovery_.check(now);
 }
@@ -137,7 +137,7 @@
 
 void Controller::tick(TimePoint now, bool may_place, TimePoint proved) {
   recovery_.check(proved);
-  reconciler_.ask(now);
+  reconciler_.query_machines(now);
   if (watch_.watch(now, may_place, proved)) consolidation_.consolidate(now);
   replica_consolidation_.consolidate(now);
   gang_scheduler_.restart_broken(now);
@@ -265,8 +265,8 @@
     text << "]";
   }
   if (recovery_.recovering())
-    text << " recovering, " << recovery_.waiting() << " machines to answer, " << unreported
-         << " of the waiting tasks may be on them";
+    text << " recovering, " << recovery_.unconfirmed_count() << " machines to answer, "
+         << unreported << " of the waiting tasks may be on them";
   return text.str();
 }
 
--- a/src/core/dispatch/task_starter.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -22,7 +22,7 @@
 bool TaskStarter::placeable(const Machine& machine, TimePoint now) const {
   if (!machine.up() || !machine.confirmed || !machine.registered || machine.releasing) return false;
   // All that starts on a mute machine ends with its lease.
-  if (!reached(machine) || machine.outbound_partition_since) return false;
+  if (!is_reachable(machine) || machine.outbound_partition_since) return false;
   if (machine.draining || machine.quarantined || machine.notice_ends) return false;
   return machine.last_heartbeat &&
          now - *machine.last_heartbeat < to_duration(settings_.tuning.silent_after);
@@ -32,14 +32,14 @@
   const auto found = catalog_.teams().find(spec.team);
   if (found == catalog_.teams().end()) return false;
   const auto more = spec.per_task * static_cast<double>(tasks);
-  return (fleet_.team_use(spec.team) + recovery_.uncertain() + more)
+  return (fleet_.team_use(spec.team) + recovery_.possible_use() + more)
       .fits_in(limit_of(found->second));
 }
 
 std::optional<Resources> TaskStarter::quota_left(const std::string& team) const {
   const auto found = catalog_.teams().find(team);
   if (found == catalog_.teams().end()) return std::nullopt;
-  return limit_of(found->second) - fleet_.team_use(team) - recovery_.uncertain();
+  return limit_of(found->second) - fleet_.team_use(team) - recovery_.possible_use();
 }
 
 // Where every task of the job possibly is, for same_zone and spread; empty for other jobs.
@@ -50,7 +50,7 @@
     const auto& task = job.tasks[i];
     // One that is held up may be where it was recorded.
     const bool held =
-        task.phase == Phase::waiting && job.placements_complete && recovery_.held(job, i);
+        task.phase == Phase::waiting && job.placements_complete && recovery_.is_blocked(job, i);
     if (task.phase != Phase::assigned && !held) continue;
     if (const auto* machine = fleet_.find(held ? job.placed[i] : task.machine))
       ++use[machine->zone];
@@ -63,7 +63,7 @@
                         TimePoint now) {
   const auto& spec = job.spec();
   const auto& task = job.tasks[index];
-  if (task.phase != Phase::waiting || recovery_.held(job, index)) return false;
+  if (task.phase != Phase::waiting || recovery_.is_blocked(job, index)) return false;
   if (!machine.reserved_for.empty() && machine.reserved_for != spec.id) return false;
   if (!placeable(machine, now) || !spec.per_task.fits_in(machine.free())) return false;
   if (!allowed_on(spec, machine.type, machine.zone, machine.spot)) return false;
--- a/src/core/dispatch/task_starter.hpp
+++ b/src/core/dispatch/task_starter.hpp
@@ -38,10 +38,10 @@
   bool start(Job& job, TaskIndex index, Machine& machine, Attempt attempt, TimePoint now);
 
   // It may still be where an older leader started it.
-  bool held(const Job& job, TaskIndex index) const { return recovery_.held(job, index); }
+  bool held(const Job& job, TaskIndex index) const { return recovery_.is_blocked(job, index); }
   // Tasks that wait and are not held up.
   TaskIndex startable(const Job& job) const {
-    return static_cast<TaskIndex>(job.waiting.size() - recovery_.held(job));
+    return static_cast<TaskIndex>(job.waiting.size() - recovery_.blocked_tasks(job));
   }
   bool placeable(const Machine& machine, TimePoint now) const;
   bool within_limit(const JobSpec& spec) const { return within_limit(spec, 1); }
--- a/src/core/failover/assignments.cpp
+++ b/src/core/failover/assignments.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Changes of jobs and machines when assignments begin or end.
 #include "core/failover/assignments.hpp"
 
 #include <algorithm>
@@ -20,31 +22,36 @@
   return assignment;
 }
 
-// The assignment ends: nothing of it is on the machine any more.
 void Assignments::drop(Machine& machine, const TaskKey& key, TimePoint now, bool stored) {
   const auto assignment = machine.tasks.find(key);
   if (assignment == machine.tasks.end()) return;
   fleet_.before_change(machine);
   const auto found = jobs_.find(key.job);
-  if (found != jobs_.end()) jobs_.before_change(found->second);
-  if (assignment->second.running_since && !assignment->second.orphaned && found != jobs_.end()) {
-    auto& job = found->second;
-    if (job.running > 0) --job.running;
-    // What a restart need not repeat. Tasks of a gang save together.
-    auto& saved = job.tasks[job.gang() ? 0 : key.index].saved;
-    const auto until = assignment->second.stop_since.value_or(now);
-    const Seconds ran =
-        assignment->second.saved + Seconds(until - *assignment->second.running_since);
-    const auto mark = job.spec().checkpoint_every;
-    if (stored)
-      saved = std::max(saved, ran);
-    else if (mark > Seconds(0))
-      saved = std::max(saved, mark * std::floor(ran / mark));
+  if (found != jobs_.end()) {
+    jobs_.before_change(found->second);
+    if (assignment->second.running_since && !assignment->second.orphaned) {
+      auto& job = found->second;
+      if (job.running > 0) --job.running;
+      record_saved_progress(job, key, assignment->second, now, stored);
+    }
   }
   fleet_.unassign(machine, key);
 }
 
-void Assignments::unseen(Machine& machine, const TaskKey& key, TimePoint now) {
+void Assignments::record_saved_progress(Job& job, const TaskKey& key, const Assignment& assignment,
+                                        TimePoint now, bool stored) {
+  // Tasks of a gang make their checkpoints together.
+  auto& saved = job.tasks[job.gang() ? 0 : key.index].saved;
+  const auto until = assignment.stop_since.value_or(now);
+  const Seconds run_time = assignment.saved + Seconds(until - *assignment.running_since);
+  const auto checkpoint_every = job.spec().checkpoint_every;
+  if (stored)
+    saved = std::max(saved, run_time);
+  else if (checkpoint_every > Seconds(0))
+    saved = std::max(saved, checkpoint_every * std::floor(run_time / checkpoint_every));
+}
+
+void Assignments::reset_to_unseen(Machine& machine, const TaskKey& key, TimePoint now) {
   auto assignment = machine.tasks.at(key);
   drop(machine, key, now);
   assignment.seen = false;
@@ -54,7 +61,7 @@
   fleet_.assign(machine, key, std::move(assignment));
 }
 
-void Assignments::lost(const TaskKey& key) {
+void Assignments::requeue(const TaskKey& key) {
   const auto found = jobs_.find(key.job);
   if (found == jobs_.end() || key.index >= found->second.tasks.size()) return;
   jobs_.before_change(found->second);
@@ -68,7 +75,7 @@
     const auto key = machine.tasks.begin()->first;
     const bool orphaned = machine.tasks.begin()->second.orphaned;
     drop(machine, key, now);
-    if (!orphaned) lost(key);
+    if (!orphaned) requeue(key);
   }
   fleet_.before_change(machine);
   machine.task_statuses.clear();
--- a/src/core/failover/assignments.hpp
+++ b/src/core/failover/assignments.hpp
@@ -1,5 +1,7 @@
-// Tasks that end on a machine: what that makes of the job, and what a restart need not repeat
-// (PROTOCOL, "Gangs", for what saves are worth). Owns nothing; joins jobs and machines.
+/// @file
+/// Ends assignments: what the end of a task on a machine changes in its job, and how much of its
+/// run time a restart need not repeat (PROTOCOL, "Gangs", for what checkpoints are worth). Owns no
+/// state; connects jobs and machines.
 #pragma once
 
 #include "core/failover/recovery.hpp"
@@ -7,25 +9,34 @@
 
 namespace violetpulley::core {
 
-// What a job's task is on a machine from `now` on; its estimate is of what is left.
+/// The assignment of an attempt that is placed at `now`. `estimate`: expected run time from its
+/// last checkpoint on.
 Assignment assignment_of(const JobSpec& spec, Attempt attempt, Seconds estimate, TimePoint now);
 
+/// Keeps the assignments of machines and the tasks of jobs consistent.
 class Assignments {
  public:
   Assignments(Outbox& out, Fleet& fleet, Jobs& jobs, Recovery& recovery)
       : out_(out), fleet_(fleet), jobs_(jobs), recovery_(recovery) {}
 
-  // `job`: null if it has ended.
+  /// Marks the task as running since `now`. `job`: null if it has ended.
   void mark_running(Assignment& assignment, Job* job, TimePoint now);
-  // `stored`: its progress was saved when it was stopped.
+  /// Removes the assignment: nothing of it is on the machine any more. The task of the job keeps
+  /// its phase. `stored`: its progress was saved when it was stopped.
   void drop(Machine& machine, const TaskKey& key, TimePoint now, bool stored = false);
-  // It is not there any more, and a start that was held may bring it back under this attempt.
-  void unseen(Machine& machine, const TaskKey& key, TimePoint now);
-  // The task is proven gone and must run again.
-  void lost(const TaskKey& key);
+  /// Makes a running task one whose start is unanswered: the machine has lost the task, and a
+  /// delayed start command may bring it back under the same attempt.
+  void reset_to_unseen(Machine& machine, const TaskKey& key, TimePoint now);
+  /// Makes the task wait for another start. Its former attempt is proven to have ended.
+  void requeue(const TaskKey& key);
+  /// Removes all assignments of a machine that has lost its tasks and requeues those that are
+  /// still needed.
   void lose_all(Machine& machine, TimePoint now);
 
  private:
+  void record_saved_progress(Job& job, const TaskKey& key, const Assignment& assignment,
+                             TimePoint now, bool stored);
+
   Outbox& out_;
   Fleet& fleet_;
   Jobs& jobs_;
--- a/src/core/failover/heartbeat_handler.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Applies heartbeats and command responses of agents to the fleet and to the jobs.
 #include "core/failover/heartbeat_handler.hpp"
 
 #include <algorithm>
@@ -7,214 +9,273 @@
 using std::chrono::milliseconds;
 
 namespace {
-constexpr milliseconds kCommandRetry{1000};
-constexpr milliseconds kAskRetry{100};
-constexpr Seconds kFirstPause{2};
+constexpr milliseconds kCommandRetry{1000};        // after commands without a response
+constexpr milliseconds kQueryRetry{100};           // after the first query without a response
+constexpr milliseconds kUnconfirmedRetry{50};      // after a response without our token
+constexpr milliseconds kPendingCommandRetry{500};  // commands that the response did not settle
+constexpr std::chrono::seconds kRestartDelay{1};   // of a task that ended without a failure
+constexpr Seconds kFirstPause{2};                  // of a suspected job
+constexpr std::size_t kMachinesOfFaultyJob = 3;    // failures on so many: the job is at fault
+constexpr int kMaxBackoffDoublings = 6;            // of one second
 }  // namespace
 
-void HeartbeatHandler::handle(const Heartbeat& heartbeat, HeartbeatSource said, TimePoint now) {
+void HeartbeatHandler::handle(const Heartbeat& heartbeat, HeartbeatSource source, TimePoint now) {
   if (heartbeat.token > token_) {
     out_.push_back(Resign{"worker " + heartbeat.machine + " has seen a higher token", false});
     return;
   }
-  auto* known = fleet_.find(heartbeat.machine);
-  if (known == nullptr) {
-    // A machine that was released may still have a report on its way, or a copy of one.
-    if (registry_.was_released(heartbeat.machine)) return;
-    known = &fleet_.add(heartbeat.machine);
-    known->since = now;
-    reconciler_.count(&ReconciliationStats::unregistered);
-  }
+  auto* known = find_or_add(heartbeat.machine, now);
+  if (known == nullptr) return;
   auto& machine = *known;
-  if (std::pair(heartbeat.epoch, heartbeat.heartbeat_sequence) <=
-      std::pair(machine.epoch, machine.heartbeat_sequence))
-    return reconciler_.count(&ReconciliationStats::late);
+  if (is_stale(heartbeat, machine))
+    return reconciler_.count(&ReconciliationStats::stale_heartbeats);
+  update_epoch(machine, heartbeat, now);
+  failure_detector_.record_heartbeat(machine, source, now);
+  update_identity(machine, heartbeat, now);
+  if (heartbeat.token == token_ && !machine.confirmed) confirm(machine, now);
+  // A machine that is neither expected nor confirmed may be known only from a late copy of a
+  // heartbeat, sent before an older leader returned the machine. Nothing may start there, the next
+  // leader must not wait for it, and the tasks it lists count as running nowhere. Until it answers,
+  // only the ends of tasks are accepted.
+  const bool is_list_trusted = machine.confirmed || recovery_.is_unconfirmed(machine.id);
+  if (machine.confirmed && !machine.registered && !machine.registering) registry_.save(machine);
+  if (heartbeat.notice && !machine.notice_ends)
+    accept_reclaim_notice(machine, *heartbeat.notice, now);
+  machine.task_statuses = heartbeat.tasks;
+  remove_missing_tasks(machine, heartbeat.tasks, now);
+  for (const auto& status : heartbeat.tasks)
+    if (is_list_trusted || status.state == TaskState::exited)
+      update_assignment(machine, status, now);
+  if (is_list_trusted) recovery_.update_unknown_tasks(machine, now);
+}
+
+Machine* HeartbeatHandler::find_or_add(const MachineId& id, TimePoint now) {
+  if (auto* machine = fleet_.find(id)) return machine;
+  // A heartbeat of a returned machine, or a copy of one, may still arrive.
+  if (registry_.was_released(id)) return nullptr;
+  auto& machine = fleet_.add(id);
+  machine.since = now;
+  reconciler_.count(&ReconciliationStats::unregistered);
+  return &machine;
+}
+
+bool HeartbeatHandler::is_stale(const Heartbeat& heartbeat, const Machine& machine) {
+  return std::pair(heartbeat.epoch, heartbeat.heartbeat_sequence) <=
+         std::pair(machine.epoch, machine.heartbeat_sequence);
+}
+
+void HeartbeatHandler::update_epoch(Machine& machine, const Heartbeat& heartbeat, TimePoint now) {
   if (machine.epoch != 0 && heartbeat.epoch > machine.epoch) {
-    reconciler_.count(&ReconciliationStats::new_sessions);
+    reconciler_.count(&ReconciliationStats::new_epochs);
     assignments_.lose_all(machine, now);
     failure_detector_.agent_restarted(machine);
   }
   fleet_.before_change(machine);
   if (heartbeat.epoch > machine.epoch) machine.in_doubt_attempts.clear();
-  const bool first = !machine.up();
   machine.epoch = heartbeat.epoch;
   machine.heartbeat_sequence = heartbeat.heartbeat_sequence;
-  failure_detector_.record_heartbeat(machine, said, now);
-  const bool moved = machine.type != heartbeat.type || machine.zone != heartbeat.zone ||
-                     machine.spot != heartbeat.spot;
+}
+
+void HeartbeatHandler::update_identity(Machine& machine, const Heartbeat& heartbeat,
+                                       TimePoint now) {
+  const bool is_first_heartbeat = !machine.up();
+  const bool offering_changed = machine.type != heartbeat.type || machine.zone != heartbeat.zone ||
+                                machine.spot != heartbeat.spot;
   if (machine.registered && machine.endpoint != heartbeat.endpoint) machine.registered = false;
   machine.endpoint = heartbeat.endpoint;
-  if (first || moved) {
+  if (is_first_heartbeat || offering_changed) {
     machine.type = heartbeat.type;
     machine.zone = heartbeat.zone;
     machine.spot = heartbeat.spot;
     catalog_.apply(machine);
   }
-  if (first) {
+  if (is_first_heartbeat) {
     machine.up_since = now;
     commands_.want(machine);
   }
-  if (heartbeat.token == token_ && !machine.confirmed) {
-    machine.confirmed = true;
-    failure_detector_.record_acknowledgement(machine, now);  // our token did
-    recovery_.confirm(machine.id);
-    out_.want_placing();
-  }
-  // One that nobody waits for and that does not know us may be the copy of a report of a machine
-  // that an older leader returned: neither a place for work, nor one that the next leader should
-  // wait for, nor one that what it lists is on. Until it answers, only what ended is believed.
-  const bool known_truth = machine.confirmed || recovery_.is_unconfirmed(machine.id);
-  if (machine.confirmed && !machine.registered && !machine.registering) registry_.save(machine);
-  if (heartbeat.notice && !machine.notice_ends) {
-    machine.notice_ends = now + to_duration(*heartbeat.notice);
-    for (auto& [key, assignment] : machine.tasks)
-      if (now + to_duration(remaining_of(assignment, now)) > *machine.notice_ends)
-        commands_.stop_with_checkpoint(machine, key, assignment, *heartbeat.notice, now);
-    out_.want_placing();
-  }
+}
 
-  machine.task_statuses = heartbeat.tasks;
-  std::vector<Attempt> listed;  // an attempt's number belongs to one task only
-  for (const auto& entry : heartbeat.tasks) listed.push_back(entry.attempt);
+void HeartbeatHandler::confirm(Machine& machine, TimePoint now) {
+  machine.confirmed = true;
+  // The agent knows our fencing token, so something that we sent has arrived.
+  failure_detector_.record_acknowledgement(machine, now);
+  recovery_.confirm(machine.id);
+  out_.want_placing();
+}
+
+void HeartbeatHandler::accept_reclaim_notice(Machine& machine, Seconds notice, TimePoint now) {
+  machine.notice_ends = now + to_duration(notice);
+  for (auto& [key, assignment] : machine.tasks)
+    if (now + to_duration(remaining_of(assignment, now)) > *machine.notice_ends)
+      commands_.stop_with_checkpoint(machine, key, assignment, notice, now);
+  out_.want_placing();
+}
+
+// A task that was seen and is listed no more has ended. A task that was never seen may still be
+// started by a command on its way (docs/safety.md, "One copy of a task", 5). Missing tasks are
+// removed before the list is applied: a task may be here under a later attempt, which a delayed
+// heartbeat that came first after a failover could not list (found by seed 400 of Committing:
+// ran_twice).
+void HeartbeatHandler::remove_missing_tasks(Machine& machine,
+                                            const std::vector<TaskStatus>& statuses,
+                                            TimePoint now) {
+  std::vector<Attempt> listed;  // an attempt is of one task, or of one gang
+  for (const auto& status : statuses) listed.push_back(status.attempt);
   std::sort(listed.begin(), listed.end());
-  // What was seen and is listed no more is gone. What was never seen may still be started by a
-  // command on its way (docs/safety.md, "One copy of a task", 5). It goes before the list is taken
-  // in: a task may be here under a later attempt, of which a report that was held on its way and
-  // came first after a takeover could not know (found by seed 400 of Committing: ran_twice).
-  std::vector<TaskKey> gone;
+  std::vector<TaskKey> missing;
   for (const auto& [key, assignment] : machine.tasks)
     if (assignment.seen && !std::binary_search(listed.begin(), listed.end(), assignment.attempt))
-      gone.push_back(key);
-  for (const auto& key : gone) {
-    // A machine that came back without its tasks may yet be sent a start that was held on its way,
-    // and would run it anew. So it is started there again, where that start has no effect then.
-    if (machine.in_doubt_attempts.contains(machine.tasks.at(key).attempt)) {
-      assignments_.unseen(machine, key, now);
-      continue;
-    }
-    const bool orphaned = machine.tasks.at(key).orphaned;
-    assignments_.drop(machine, key, now);
-    if (!orphaned) assignments_.lost(key);
-    out_.want_placing();
+      missing.push_back(key);
+  for (const auto& key : missing) remove_missing_task(machine, key, now);
+}
+
+void HeartbeatHandler::remove_missing_task(Machine& machine, const TaskKey& key, TimePoint now) {
+  // A delayed start command may still reach a machine that has lost its tasks and run this one
+  // anew. So the same attempt is started there again, after which the delayed command has no
+  // effect.
+  if (machine.in_doubt_attempts.contains(machine.tasks.at(key).attempt)) {
+    assignments_.reset_to_unseen(machine, key, now);
+    return;
   }
-  for (const auto& entry : heartbeat.tasks)
-    if (known_truth || entry.state == TaskState::exited) update_assignment(machine, entry, now);
-  if (known_truth) recovery_.update_unknown_tasks(machine, now);
+  const bool orphaned = machine.tasks.at(key).orphaned;
+  assignments_.drop(machine, key, now);
+  if (!orphaned) assignments_.requeue(key);
+  out_.want_placing();
 }
 
-void HeartbeatHandler::update_assignment(Machine& machine, const TaskStatus& entry, TimePoint now) {
-  const auto found = machine.tasks.find(entry.task);
-  if (found == machine.tasks.end() || found->second.attempt != entry.attempt)
-    return adopt(machine, entry, now);
+void HeartbeatHandler::update_assignment(Machine& machine, const TaskStatus& status,
+                                         TimePoint now) {
+  const auto found = machine.tasks.find(status.task);
+  if (found == machine.tasks.end() || found->second.attempt != status.attempt)
+    return reconcile_unassigned_task(machine, status, now);
   auto& assignment = found->second;
-  if (!assignment.seen) failure_detector_.record_acknowledgement(machine, now);  // its start did
+  // The start command has arrived.
+  if (!assignment.seen) failure_detector_.record_acknowledgement(machine, now);
   assignment.seen = true;
-  if (entry.state == TaskState::exited) return handle_task_exit(machine, entry, now);
-  assignment.state = entry.state;
-  if (entry.state == TaskState::running && !assignment.running_since) {
-    const auto found_job = jobs_.find(entry.task.job);
+  if (status.state == TaskState::exited) return handle_task_exit(machine, status, now);
+  assignment.state = status.state;
+  if (status.state == TaskState::running && !assignment.running_since) {
+    const auto found_job = jobs_.find(status.task.job);
     auto* job = found_job == jobs_.end() ? nullptr : &found_job->second;
     assignments_.mark_running(assignment, job, now);
     if (job != nullptr) fleet_.touch_image(machine, assignment.image, job->spec().image_gb, true);
   }
 }
 
-void HeartbeatHandler::adopt(Machine& machine, const TaskStatus& entry, TimePoint now) {
-  const auto found = jobs_.find(entry.task.job);
-  if (found == jobs_.end() || entry.task.index >= found->second.tasks.size())
-    return reconciler_.count(&ReconciliationStats::of_no_job);
+void HeartbeatHandler::reconcile_unassigned_task(Machine& machine, const TaskStatus& status,
+                                                 TimePoint now) {
+  const auto found = jobs_.find(status.task.job);
+  if (found == jobs_.end() || status.task.index >= found->second.tasks.size())
+    return reconciler_.count(&ReconciliationStats::unknown_job);
   auto& job = found->second;
   jobs_.before_change(job);
-  auto& task = job.tasks[entry.task.index];
-  if (entry.state == TaskState::exited) {
-    if (entry.cause == ExitCause::done && task.phase == Phase::waiting && !job.service()) {
-      reconciler_.count(&ReconciliationStats::ended);
-      if (job.gang()) return gang_scheduler_.done(job);
-      jobs_.task_done(job, entry.task.index);
-      jobs_.progress_changed(job, entry.task.index);
+  const auto phase = job.tasks[status.task.index].phase;
+  if (status.state == TaskState::exited) {
+    if (status.cause == ExitCause::done && phase == Phase::waiting && !job.service()) {
+      reconciler_.count(&ReconciliationStats::done_unrecorded);
+      record_task_done(job, status.task.index);
     }
     return;
   }
-  // A second copy: commands_for stops it.
-  if (task.phase != Phase::waiting)
-    return reconciler_.count(task.phase == Phase::done ? &ReconciliationStats::stored_done
-                                                       : &ReconciliationStats::second_copies);
+  // CommandDispatcher::commands_for stops a copy that has no assignment.
+  if (phase != Phase::waiting)
+    return reconciler_.count(phase == Phase::done ? &ReconciliationStats::stored_done
+                                                  : &ReconciliationStats::duplicate_copies);
   reconciler_.count(&ReconciliationStats::adopted);
-  auto assignment = assignment_of(job.spec(), entry.attempt,
-                                  forecaster_.estimate_left(job, entry.task.index), now);
-  assignment.state = entry.state;
+  adopt_task(machine, job, status, now);
+}
+
+void HeartbeatHandler::adopt_task(Machine& machine, Job& job, const TaskStatus& status,
+                                  TimePoint now) {
+  auto assignment = assignment_of(job.spec(), status.attempt,
+                                  forecaster_.estimate_left(job, status.task.index), now);
+  assignment.state = status.state;
   assignment.seen = true;
-  if (entry.state == TaskState::running) {
+  if (status.state == TaskState::running) {
     assignments_.mark_running(assignment, &job, now);
     fleet_.touch_image(machine, assignment.image, job.spec().image_gb, true);
   }
-  fleet_.assign(machine, entry.task, std::move(assignment));
-  job.set_assigned(entry.task.index, machine.id);
-  // Two attempts of one gang: both end, then it starts anew.
-  if (job.gang() && job.attempt != 0 && job.attempt != entry.attempt) {
-    jobs_.note_broken(entry.task.job);
-    job.attempt = std::max(job.attempt, entry.attempt);
-  } else if (job.gang()) {
-    job.attempt = entry.attempt;
-    if (!recovery_.recovering()) jobs_.note_broken(entry.task.job);  // it was held to be gone
+  fleet_.assign(machine, status.task, std::move(assignment));
+  job.set_assigned(status.task.index, machine.id);
+  if (!job.gang()) return;
+  if (job.attempt != 0 && job.attempt != status.attempt) {
+    // Two attempts of one gang: both are stopped, then the gang starts anew.
+    jobs_.note_broken(status.task.job);
+    job.attempt = std::max(job.attempt, status.attempt);
+    return;
   }
+  job.attempt = status.attempt;
+  // After the recovery the gang counted as ended, so the rest of it is not running.
+  if (!recovery_.recovering()) jobs_.note_broken(status.task.job);
 }
 
-void HeartbeatHandler::handle_task_exit(Machine& machine, const TaskStatus& entry, TimePoint now) {
-  const auto assignment = machine.tasks.at(entry.task);
-  assignments_.drop(machine, entry.task, now, entry.stored);
+void HeartbeatHandler::handle_task_exit(Machine& machine, const TaskStatus& status, TimePoint now) {
+  const auto assignment = machine.tasks.at(status.task);
+  assignments_.drop(machine, status.task, now, status.stored);
   out_.want_placing();
-  const auto found = jobs_.find(entry.task.job);
+  const auto found = jobs_.find(status.task.job);
   if (found == jobs_.end()) return;
   auto& job = found->second;
   jobs_.before_change(job);
-  const auto index = entry.task.index;
-  if (entry.cause == ExitCause::done && job.service()) {
-    // A replica runs until its job is cancelled; one that ends by itself is replaced, with a pause.
-    job.set_waiting(index);
-    job.backoff_until = std::max(job.backoff_until, now + std::chrono::seconds(1));
-    return;
-  }
-  if (entry.cause == ExitCause::done) {
-    if (assignment.running_since && !assignment.stop)
-      estimator_.finished(job.spec(), assignment.saved + Seconds(now - *assignment.running_since));
-    fleet_.touch_image(machine, assignment.image, job.spec().image_gb, true);
-    machine.errors = 0;
-    machine.error_jobs.clear();
-    if (job.gang()) return gang_scheduler_.done(job);
-    jobs_.task_done(job, index);
-    jobs_.progress_changed(job, index);
+  if (status.cause == ExitCause::done && !job.service())
+    return handle_completion(machine, assignment, job, status.task.index, now);
+  job.set_waiting(status.task.index);
+  if (status.cause == ExitCause::done) {
+    // A replica runs until its job is cancelled; a replica that ends by itself is replaced after a
+    // pause.
+    delay_restart(job, now);
     return;
   }
-  job.set_waiting(index);
-  if (job.gang()) jobs_.note_broken(entry.task.job);
-  if (entry.cause == ExitCause::error) task_failed(machine, job, now);
-  if (entry.cause == ExitCause::unknown || entry.cause == ExitCause::no_capacity ||
-      entry.cause == ExitCause::busy)
-    job.backoff_until = std::max(job.backoff_until, now + std::chrono::seconds(1));
+  if (job.gang()) jobs_.note_broken(status.task.job);
+  if (status.cause == ExitCause::error) handle_task_failure(machine, job, now);
+  if (status.cause == ExitCause::unknown || status.cause == ExitCause::no_capacity ||
+      status.cause == ExitCause::busy)
+    delay_restart(job, now);
+}
+
+void HeartbeatHandler::handle_completion(Machine& machine, const Assignment& assignment, Job& job,
+                                         TaskIndex index, TimePoint now) {
+  if (assignment.running_since && !assignment.stop)
+    estimator_.finished(job.spec(), assignment.saved + Seconds(now - *assignment.running_since));
+  fleet_.touch_image(machine, assignment.image, job.spec().image_gb, true);
+  machine.errors = 0;
+  machine.error_jobs.clear();
+  record_task_done(job, index);
 }
 
-void HeartbeatHandler::task_failed(Machine& machine, Job& job, TimePoint now) {
+void HeartbeatHandler::record_task_done(Job& job, TaskIndex index) {
+  if (job.gang()) return gang_scheduler_.done(job);
+  jobs_.task_done(job, index);
+  jobs_.progress_changed(job, index);
+}
+
+void HeartbeatHandler::delay_restart(Job& job, TimePoint now) {
+  job.backoff_until = std::max(job.backoff_until, now + kRestartDelay);
+}
+
+void HeartbeatHandler::handle_task_failure(Machine& machine, Job& job, TimePoint now) {
   ++job.failures;
   job.failed_on.insert(machine.id);
   job.last_failure = now;
   // A job that fails on machine after machine was submitted with a mistake: it must neither be
-  // tried without pause nor bring healthy machines into quarantine.
-  if (job.done == 0 && job.failed_on.size() >= 3) {
-    if (job.waiting.size() == job.tasks.size()) return all_failed(job, now);
-    const int doublings = std::min(static_cast<int>(job.failed_on.size()) - 2, 6);
+  // retried without a pause nor put healthy machines into quarantine.
+  if (job.done == 0 && job.failed_on.size() >= kMachinesOfFaultyJob) {
+    if (job.waiting.size() == job.tasks.size()) return suspect_job(job, now);
+    const int doublings =
+        std::min(static_cast<int>(job.failed_on.size()) - 2, kMaxBackoffDoublings);
     job.backoff_until = now + std::chrono::seconds(1L << doublings);
     return;
   }
   ++machine.errors;
   machine.error_jobs.insert(job.spec().id);
-  const bool several = machine.errors >= settings_.tuning.quarantine_errors;
-  if (several && (machine.error_jobs.size() >= 2 || job.done > 0)) machine.quarantined = true;
+  const bool has_many_errors = machine.errors >= settings_.tuning.quarantine_errors;
+  if (has_many_errors && (machine.error_jobs.size() >= 2 || job.done > 0))
+    machine.quarantined = true;
 }
 
-// The pause grows with each try, of one task by then: with all of them each try cost as much as the
-// first.
-void HeartbeatHandler::all_failed(Job& job, TimePoint now) {
+// The pause grows with each retry. By then each retry starts a single task: a retry of all tasks
+// would cost as much as the first start.
+void HeartbeatHandler::suspect_job(Job& job, TimePoint now) {
   const auto pause = std::clamp(job.pause * 2, kFirstPause, kLongestPause);
   if (pause > job.pause) out_.push_back(JobSuspected{job.spec().id, job.failed_on.size(), pause});
   job.suspected = true;
@@ -222,43 +283,48 @@
   job.backoff_until = now + to_duration(pause);
 }
 
-void HeartbeatHandler::commands_answered(const MachineId& id, const Heartbeat* answer,
+void HeartbeatHandler::commands_answered(const MachineId& id, const Heartbeat* response,
                                          TimePoint now) {
   auto* machine = fleet_.find(id);
   if (machine == nullptr) return;
-  commands_.answered(*machine, answer != nullptr, now);
-  if (answer == nullptr) {
-    failure_detector_.record_missed_response(*machine, machine->commands_sent_at);
-    machine->in_doubt_attempts.insert(machine->starts_in_flight.begin(),
-                                      machine->starts_in_flight.end());
-    // One that is waited for is asked once more at once, so that a lost packet is told from a dead
-    // machine.
-    const bool first = machine->unanswered_commands == 1 && recovery_.is_unconfirmed(id);
-    machine->next_commands_at = now + (first ? kAskRetry : kCommandRetry);
-    commands_.want(*machine);
-    return;
-  }
+  commands_.answered(*machine, response != nullptr, now);
+  if (response == nullptr) return handle_missed_response(*machine, now);
   const bool was_confirmed = machine->confirmed;
-  handle(*answer, HeartbeatSource::answer, now);
+  handle(*response, HeartbeatSource::command_response, now);
   machine = fleet_.find(id);
   if (machine == nullptr) return;
-  // It came back on the connection that we opened. An answer that a later report has overtaken
-  // shows the same.
+  // The response came back on the connection that we opened. A response that is older than the
+  // newest heartbeat shows the same.
   failure_detector_.record_acknowledgement(*machine, now);
   out_.want_placing();
-  if (!machine->confirmed) {
-    machine->next_commands_at = now + milliseconds(50);
-    commands_.want(*machine);
+  schedule_next_commands(*machine, was_confirmed, now);
+}
+
+void HeartbeatHandler::handle_missed_response(Machine& machine, TimePoint now) {
+  failure_detector_.record_missed_response(machine, machine.commands_sent_at);
+  machine.in_doubt_attempts.insert(machine.starts_in_flight.begin(),
+                                   machine.starts_in_flight.end());
+  // An unconfirmed machine is queried a second time at once, to tell a lost packet from a dead
+  // machine.
+  const bool is_first_query =
+      machine.unanswered_commands == 1 && recovery_.is_unconfirmed(machine.id);
+  machine.next_commands_at = now + (is_first_query ? kQueryRetry : kCommandRetry);
+  commands_.want(machine);
+}
+
+void HeartbeatHandler::schedule_next_commands(Machine& machine, bool was_confirmed, TimePoint now) {
+  if (!machine.confirmed) {
+    machine.next_commands_at = now + kUnconfirmedRetry;
+    commands_.want(machine);
     return;
   }
-  const auto left = commands_.commands_for(*machine, true);
-  const bool urgent = std::any_of(left.begin(), left.end(), [](const Command& c) {
-    return c.type != CommandType::acknowledge;
+  const auto pending = commands_.commands_for(machine, true);
+  const bool is_urgent = std::any_of(pending.begin(), pending.end(), [](const Command& command) {
+    return command.type != CommandType::acknowledge;
   });
-  if (urgent) {
-    commands_.want(*machine);
-    machine->next_commands_at = was_confirmed ? now + milliseconds(500) : now;
-  }
+  if (!is_urgent) return;
+  commands_.want(machine);
+  machine.next_commands_at = was_confirmed ? now + kPendingCommandRetry : now;
 }
 
 }  // namespace violetpulley::core
--- a/src/core/failover/heartbeat_handler.hpp
+++ b/src/core/failover/heartbeat_handler.hpp
@@ -1,5 +1,7 @@
-// What workers report, and what that makes of tasks and machines (PROTOCOL, "POST /agent/beat",
-// "Delayed messages"; DESIGN: rebuild from reports). Owns nothing: joins the parts it changes.
+/// @file
+/// Applies what agents report to machines, tasks and jobs: periodic heartbeats and the responses to
+/// commands (PROTOCOL, "POST /agent/beat", "Delayed messages"; docs/design.md: a new leader
+/// rebuilds its state from heartbeats). Owns no state; connects the parts that a heartbeat changes.
 #pragma once
 
 #include "core/failover/assignments.hpp"
@@ -10,18 +12,20 @@
 
 namespace violetpulley::core {
 
+/// Single entry point for heartbeats. Every effect of a heartbeat on the core happens here, in a
+/// fixed order that recorded histories depend on.
 class HeartbeatHandler {
  public:
   HeartbeatHandler(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
-                   Fleet& fleet, FailureDetector& contact, Jobs& jobs, Estimator& estimator,
-                   const DeadlineForecaster& forecaster, Recovery& recovery, Reconciler& reconciler,
-                   MachineRegistry& registry, CommandDispatcher& commands, Assignments& assignments,
-                   GangScheduler& gangs, FencingToken token)
+                   Fleet& fleet, FailureDetector& failure_detector, Jobs& jobs,
+                   Estimator& estimator, const DeadlineForecaster& forecaster, Recovery& recovery,
+                   Reconciler& reconciler, MachineRegistry& registry, CommandDispatcher& commands,
+                   Assignments& assignments, GangScheduler& gangs, FencingToken token)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
         fleet_(fleet),
-        failure_detector_(contact),
+        failure_detector_(failure_detector),
         jobs_(jobs),
         estimator_(estimator),
         forecaster_(forecaster),
@@ -33,20 +37,53 @@
         gang_scheduler_(gangs),
         token_(token) {}
 
-  // A report of the worker's own.
+  /// Applies a periodic heartbeat. A heartbeat with a higher fencing token than ours ends this
+  /// leader; a heartbeat that is not newer than the newest one of its machine changes nothing.
   void heartbeat(const Heartbeat& heartbeat, TimePoint now) {
-    handle(heartbeat, HeartbeatSource::heartbeat, now);
+    handle(heartbeat, HeartbeatSource::periodic, now);
   }
-  // `answer`: null if none came.
-  void commands_answered(const MachineId& id, const Heartbeat* answer, TimePoint now);
+  /// Applies the end of a command batch sent to the machine `id`. `response`: null if none came.
+  void commands_answered(const MachineId& id, const Heartbeat* response, TimePoint now);
 
  private:
-  void handle(const Heartbeat& heartbeat, HeartbeatSource said, TimePoint now);
-  void update_assignment(Machine& machine, const TaskStatus& entry, TimePoint now);
-  void handle_task_exit(Machine& machine, const TaskStatus& entry, TimePoint now);
-  void adopt(Machine& machine, const TaskStatus& entry, TimePoint now);
-  void task_failed(Machine& machine, Job& job, TimePoint now);
-  void all_failed(Job& job, TimePoint now);
+  void handle(const Heartbeat& heartbeat, HeartbeatSource source, TimePoint now);
+
+  /// The machine with this id, added if it is unknown; null if it has been returned.
+  Machine* find_or_add(const MachineId& id, TimePoint now);
+  /// Whether a heartbeat that is as new or newer has been applied already.
+  static bool is_stale(const Heartbeat& heartbeat, const Machine& machine);
+  /// Takes over epoch and sequence; a grown epoch proves that all earlier tasks have ended.
+  void update_epoch(Machine& machine, const Heartbeat& heartbeat, TimePoint now);
+  /// Takes over endpoint, type, zone and spot, and marks a machine as up at its first heartbeat.
+  void update_identity(Machine& machine, const Heartbeat& heartbeat, TimePoint now);
+  /// The agent has answered under our fencing token, so its task list is complete.
+  void confirm(Machine& machine, TimePoint now);
+  /// The cloud reclaims the machine after `notice`: tasks that end later are stopped.
+  void accept_reclaim_notice(Machine& machine, Seconds notice, TimePoint now);
+  void remove_missing_tasks(Machine& machine, const std::vector<TaskStatus>& statuses,
+                            TimePoint now);
+  void remove_missing_task(Machine& machine, const TaskKey& key, TimePoint now);
+
+  /// Applies one task status to its assignment.
+  void update_assignment(Machine& machine, const TaskStatus& status, TimePoint now);
+  /// A listed attempt without an assignment: adopted, recorded as done, or counted and left for a
+  /// stop command.
+  void reconcile_unassigned_task(Machine& machine, const TaskStatus& status, TimePoint now);
+  /// Makes a task that an older leader started an assignment of this machine.
+  void adopt_task(Machine& machine, Job& job, const TaskStatus& status, TimePoint now);
+  void handle_task_exit(Machine& machine, const TaskStatus& status, TimePoint now);
+  void handle_completion(Machine& machine, const Assignment& assignment, Job& job, TaskIndex index,
+                         TimePoint now);
+  void record_task_done(Job& job, TaskIndex index);
+  static void delay_restart(Job& job, TimePoint now);
+  /// Attributes a failure to the job or to the machine, and backs off or quarantines accordingly.
+  void handle_task_failure(Machine& machine, Job& job, TimePoint now);
+  /// All tasks of the job have failed on several machines: it is retried after growing pauses.
+  void suspect_job(Job& job, TimePoint now);
+
+  void handle_missed_response(Machine& machine, TimePoint now);
+  /// Decides whether and when commands that the response has not settled are sent.
+  void schedule_next_commands(Machine& machine, bool was_confirmed, TimePoint now);
 
   const ControllerSettings& settings_;
   Outbox& out_;
--- a/src/core/failover/leadership.hpp
+++ b/src/core/failover/leadership.hpp
@@ -1,78 +1,89 @@
-// What a node may conclude about its own leadership. Pure bookkeeping: the store shell reports
-// what it sent and what came back. Owns two times, each counted from the sending of its request:
-// up to when this node is known to have led, and up to when it is known to have heard of every
-// cancellation that any node has confirmed (docs/safety.md, "Leading is not being informed").
+/// @file
+/// What a node may conclude about its own leadership. Does no input or output: the store client
+/// reports its requests and their results. Owns two times, each counted from the sending of its
+/// request: up to when this node is proven to have led, and up to when every cancellation confirmed
+/// by any node is known here (docs/safety.md, "Leading is not being informed").
 #pragma once
 
 #include "core/model/types.hpp"
 
 namespace violetpulley::core {
 
+/// The leader key as this node knows it, and the time limits that follow from it.
 class Leadership {
  public:
   Leadership(WorkerTimes times, std::chrono::milliseconds clock_skew)
       : times_(times), margin_(margin(times, clock_skew)) {}
 
-  // Clocks that differ, and what a worker takes to end its tasks.
+  /// Safety margin of the serving time: clock differences between nodes, and the time an agent
+  /// takes to end its tasks.
   static Seconds margin(const WorkerTimes& times, std::chrono::milliseconds clock_skew) {
-    return Seconds(0.5) + 2 * Seconds(clock_skew) + times.cancel * 0.001;
+    return kBaseMargin + 2 * Seconds(clock_skew) + times.cancel * kCancelTimeShare;
   }
-  // The smallest `cancel_s` that leaves a leader time to serve: news are asked for every 0.8 s, and
-  // one answer may stay away.
+  /// The smallest `cancel_s` that leaves a leader time to serve. A read barrier is requested every
+  /// 0.8 s, and a single response may be lost.
   static Seconds min_cancel_time(const WorkerTimes& times, std::chrono::milliseconds clock_skew) {
-    auto bare = times;
-    bare.cancel = Seconds(0);
-    return (times.lease + margin(bare, clock_skew) + kMinServingTime) / 0.999;
+    auto without_cancel = times;
+    without_cancel.cancel = Seconds(0);
+    // The margin contains a share of the cancel time itself.
+    return (times.lease + margin(without_cancel, clock_skew) + kMinServingTime) /
+           (1 - kCancelTimeShare);
   }
 
-  // The key was created by a transaction sent at `sent`; its revision is the token. What others
-  // have confirmed meanwhile is another matter.
+  /// The leader key was created by a transaction sent at `sent`; its revision is the fencing token.
+  /// Does not prove that the cancellations confirmed by other nodes are known here.
   void won(FencingToken token, std::uint64_t store_lease, TimePoint sent) {
     token_ = token;
     store_lease_ = store_lease;
     last_proven_ = sent;
     fresh_until_.reset();
   }
-  // A request sent at `sent` proved that the key is still ours, and nothing else.
+  /// A request sent at `sent` proved that the leader key is still ours, and nothing else.
   void record_proof(TimePoint sent) {
     if (leading() && sent > last_proven_) last_proven_ = sent;
   }
-  // A read barrier over the jobs, sent at `sent`, was answered, and what it closed has reached the
-  // core: no cancellation confirmed before `sent` is unknown here.
+  /// A read barrier over the jobs, sent at `sent`, was answered, and the jobs it closed have been
+  /// passed to the core: every cancellation confirmed before `sent` is known here.
   void record_read_barrier(TimePoint sent) {
     if (leading() && (!fresh_until_ || sent > *fresh_until_)) fresh_until_ = sent;
   }
+  /// The leader key is gone or belongs to another node.
   void lost() {
     token_ = 0;
     fresh_until_.reset();
   }
 
   bool leading() const { return token_ != 0; }
+  /// Fencing token; 0 while not leading.
   FencingToken token() const { return token_; }
   std::uint64_t store_lease() const { return store_lease_; }
-  // Led until: expiry of leases, takeovers and new jobs are judged by it.
+  /// Latest time at which this node is proven to have led. The expiry of leases is judged by it.
   TimePoint last_proven() const { return last_proven_; }
-  // Informed until; none: not since the key was won.
+  /// Every cancellation confirmed before this time is known here; none until the first read barrier
+  /// of this leadership.
   const std::optional<TimePoint>& fresh_until() const { return fresh_until_; }
 
-  // docs/safety.md, "Serving limit": informed + serving + lease + margin < informed + cancel.
+  /// How long after `fresh_until` and `last_proven` this leader may serve. docs/safety.md, "Serving
+  /// limit": fresh_until + serving_time + lease + margin < fresh_until + cancel.
   Seconds serving_time() const {
     return std::max(Seconds(0), times_.cancel - times_.lease - margin_);
   }
-  // Whether a report may be answered with 200, which renews a lease, and whether tasks may start.
-  // A renewed key alone must not do: a leader that was refused alone, while another node confirmed
-  // cancellations, renewed its key at the end of an outage and started those tasks once more.
+  /// Whether a heartbeat may be answered with 200, which renews a lease, and whether tasks may
+  /// start. A renewed key alone is not sufficient: after an outage a leader renewed its key, had
+  /// missed the cancellations that another node confirmed meanwhile, and started those tasks anew.
   bool may_serve(TimePoint now) const {
     return leading() && fresh_until_ && now - *fresh_until_ < to_duration(serving_time()) &&
            now - last_proven_ < to_duration(serving_time());
   }
-  // Earliest time at which an unconfirmed machine's lease has run out under any older leader.
+  /// Earliest time at which the lease of an unconfirmed machine has run out under any older leader.
   TimePoint former_leases_end(TimePoint elected_at) const {
     return elected_at + to_duration(serving_time() + times_.lease + 2 * margin_);
   }
 
  private:
   static constexpr Seconds kMinServingTime{2};
+  static constexpr Seconds kBaseMargin{0.5};         // what an agent takes to end its tasks
+  static constexpr double kCancelTimeShare = 0.001;  // error of a clock over the cancel time
 
   WorkerTimes times_;
   Seconds margin_;
--- a/src/core/failover/reconciler.hpp
+++ b/src/core/failover/reconciler.hpp
@@ -1,7 +1,10 @@
-// How a new leader squares what is stored with what the machines tell (docs/reconciliation.md; DESIGN: a
-// new leader rebuilds from reports before placing). Owns who is still to be asked, what the wait
-// has cost and what was found; decides the order of the asking, how long a silent machine is waited
-// for and when the fleet is known well enough to rent. Which tasks are held up is Recovery's.
+/// @file
+/// Reconciliation: a new leader compares the stored state with the heartbeats of the machines
+/// (docs/reconciliation.md; docs/design.md: a new leader rebuilds its state from heartbeats before
+/// it places tasks). Owns the machines still to be queried, the cost of waiting so far and the
+/// counts of differences. Decides the order of the queries, how long a silent machine is waited for
+/// and when the fleet is known well enough to scale out. Which tasks are blocked is decided by
+/// Recovery.
 #pragma once
 
 #include <deque>
@@ -10,12 +13,13 @@
 
 namespace violetpulley::core {
 
-// What the wait has cost so far: time in which held-up tasks had room beside them, by shape.
+/// Cost of waiting for unconfirmed machines, by shape: task-seconds in which blocked tasks could
+/// have run on free resources.
 struct ReconciliationCost {
   Seconds arrays{0};
   Seconds gangs{0};
   Seconds replicas{0};
-  Seconds unseen{0};  // of these, of jobs none of whose tasks was seen or stored as done
+  Seconds unseen{0};  ///< part of the above: jobs without any task seen or stored as done
 
   Seconds total() const { return arrays + gangs + replicas; }
   template <class S, class F>
@@ -24,26 +28,27 @@
   }
 };
 
-// What differed between the state service and the reports, counted until the reckoning ends: a row
-// of the table in docs/reconciliation.md each.
+/// Differences between the state service and the heartbeats, counted until the recovery ends. Each
+/// count is a row of the table in docs/reconciliation.md.
 struct ReconciliationStats {
-  std::size_t adopted = 0;        // tasks found on machines
-  std::size_t ended = 0;          // reported done and not stored as done
-  std::size_t second_copies = 0;  // of a task that is known elsewhere or under another attempt
-  std::size_t stored_done = 0;    // stored as done and still on a machine
-  std::size_t of_no_job = 0;      // tasks of jobs that have ended or were never known
-  std::size_t unregistered = 0;   // machines that reported and were not stored
-  std::size_t new_sessions = 0;   // machines whose lease had run out
-  std::size_t late = 0;           // reports older than one that is known
-  std::size_t returned = 0;       // machines given up as silent
+  std::size_t adopted = 0;           ///< tasks found on machines
+  std::size_t done_unrecorded = 0;   ///< reported done and not stored as done
+  std::size_t duplicate_copies = 0;  ///< of a task known elsewhere or under another attempt
+  std::size_t stored_done = 0;       ///< stored as done and still on a machine
+  std::size_t unknown_job = 0;       ///< tasks of jobs that have ended or were never known
+  std::size_t unregistered = 0;      ///< machines that sent a heartbeat and were not stored
+  std::size_t new_epochs = 0;        ///< agents that had lost their tasks
+  std::size_t stale_heartbeats = 0;  ///< older than a heartbeat that was applied before
+  std::size_t declared_dead = 0;     ///< unconfirmed machines that were silent for too long
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.adopted, s.ended, s.second_copies, s.stored_done, s.of_no_job, s.unregistered,
-      s.new_sessions, s.late, s.returned);
+    f(s.adopted, s.done_unrecorded, s.duplicate_copies, s.stored_done, s.unknown_job,
+      s.unregistered, s.new_epochs, s.stale_heartbeats, s.declared_dead);
   }
 };
 
+/// Paces the queries to unconfirmed machines and weighs waiting for them against returning them.
 class Reconciler {
  public:
   Reconciler(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet,
@@ -58,47 +63,67 @@
         task_starter_(starts),
         elected_at_(elected_at) {}
 
-  // Puts the machines that Recovery waits for in the order in which they are asked: those first
-  // that most tasks may be on.
-  void begin();
-  // Asks as many as the window of orders has room for. Who has reported by itself under our token
-  // is not asked; who reported under an older one has ours from the answer and says so by itself,
-  // which it is given time for: asking would double the work of a leader that has most of it now.
-  void ask(TimePoint now);
-
-  // Looks at who is silent. Afterwards `unresponsive_too_long` tells whether such a machine is
-  // waited for no longer: as soon as the wait has cost as much as returning all of them would, so
-  // that it never costs more than twice what the better of the two would have (ski rental).
-  void judge(TimePoint now);
-  // It was asked more than once, and no answer came, while others' did. One that was not asked yet
-  // is not silent, however long the takeover is ago.
+  /// Queues the unconfirmed machines; those that the most tasks may be on come first.
+  void queue_unconfirmed();
+  /// Queries as many machines as the in-flight window admits. A machine that has sent a heartbeat
+  /// under our fencing token is not queried. A machine that sent it under an older token learns
+  /// ours from the answer and sends another heartbeat; a query before that would double the work of
+  /// the leader when it has the most of it.
+  void query_machines(TimePoint now);
+
+  /// Determines the silent machines and whether waiting for them still pays. Afterwards
+  /// `unresponsive_too_long` is true for silent machines once the wait has cost as much as
+  /// returning all of them would: the total never exceeds twice the cost of the better choice (ski
+  /// rental).
+  void judge_silent_machines(TimePoint now);
+  /// Whether an unconfirmed machine was queried more than once without an answer. A machine that
+  /// was not queried yet is not silent, however long ago the election was.
   bool silent(const Machine& machine) const {
-    return recovery_.is_unconfirmed(machine.id) && machine.unanswered_commands >= 2;
+    return recovery_.is_unconfirmed(machine.id) &&
+           machine.unanswered_commands >= kUnansweredQueriesOfSilentMachine;
   }
+  /// Whether a silent machine is not waited for any longer.
   bool unresponsive_too_long(const Machine& machine) const {
     return patience_exhausted_ && silent(machine) && responsive_zones_.contains(machine.zone);
   }
-  // Every machine has answered or is silent: what is lacking now is lacking indeed.
+  /// Whether every machine has answered or missed a query, so that resources that are lacking now
+  /// are really lacking.
   bool fleet_known(TimePoint now) const;
 
-  // Adds to the cost what is held up now, when that is due.
+  /// Adds the cost of the tasks that are blocked now, once per interval.
   void note_cost(TimePoint now);
   const ReconciliationCost& cost() const { return cost_; }
 
-  void count(std::size_t ReconciliationStats::*what) {
-    if (recovery_.recovering()) ++(stats_.*what);
+  /// Increments one of the counts while the recovery lasts.
+  void count(std::size_t ReconciliationStats::*counter) {
+    if (recovery_.recovering()) ++(stats_.*counter);
   }
   const ReconciliationStats& stats() const { return stats_; }
-  std::size_t asked() const { return asked_; }
+  /// Number of queries sent.
+  std::size_t queries_sent() const { return queries_sent_; }
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.queue_, s.awaiting_second_heartbeat_, s.asked_, s.cost_, s.cost_noted_,
+    f(s.queue_, s.awaiting_second_heartbeat_, s.queries_sent_, s.cost_, s.cost_noted_,
       s.mean_blocked_resources_, s.mean_blocked_run_time_, s.patience_exhausted_,
       s.responsive_zones_, s.stats_);
   }
 
  private:
+  static constexpr int kUnansweredQueriesOfSilentMachine = 2;
+
+  /// Blocked tasks of all jobs, and what keeping them waiting costs since the last time.
+  struct BlockedWork {
+    double tasks = 0;
+    Resources resources;  ///< sum over the tasks
+    Seconds run_time{0};  ///< sum over the tasks
+    ReconciliationCost cost;
+  };
+
+  /// Number of tasks that may be running on a machine of this offering.
+  std::size_t tasks_possibly_on(const OfferingKey& kind) const;
+  std::vector<const Machine*> machines_with_room(TimePoint now) const;
+  BlockedWork blocked_work(const std::vector<const Machine*>& machines, Seconds elapsed) const;
   Seconds cost_of_declaring_dead(const Machine& machine) const;
 
   const ControllerSettings& settings_;
@@ -109,16 +134,16 @@
   CommandDispatcher& commands_;
   const TaskStarter& task_starter_;
   TimePoint elected_at_;
-  std::deque<MachineId> queue_;
-  std::deque<std::pair<TimePoint, MachineId>>
-      awaiting_second_heartbeat_;  // reported under an older token, and when to ask
-  std::size_t asked_ = 0;
+  std::deque<MachineId> queue_;  ///< to be queried, in this order
+  /// Machines that sent a heartbeat under an older token, and when to query them.
+  std::deque<std::pair<TimePoint, MachineId>> awaiting_second_heartbeat_;
+  std::size_t queries_sent_ = 0;
   ReconciliationCost cost_;
   std::optional<TimePoint> cost_noted_;
-  Resources mean_blocked_resources_;  // of a held-up task, in the mean
+  Resources mean_blocked_resources_;  ///< of a blocked task
   Seconds mean_blocked_run_time_{0};
   bool patience_exhausted_ = false;
-  std::set<std::string> responsive_zones_;
+  std::set<std::string> responsive_zones_;  ///< zones without a mass event
   ReconciliationStats stats_;
 };
 
--- a/src/core/failover/recovery.cpp
+++ b/src/core/failover/recovery.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// End of the recovery, and which tasks are blocked until then.
 #include "core/failover/recovery.hpp"
 
 #include <algorithm>
@@ -6,17 +8,18 @@
 
 namespace violetpulley::core {
 
-// Until every machine registered at the takeover is accounted for, tasks of older jobs that were
-// seen nowhere may be on any of the others (docs/safety.md, "One copy of a task", 3).
-void Recovery::check(TimePoint proved) {
+// Until every machine registered at the election is confirmed or gone, tasks of older jobs that
+// were seen nowhere may be on any other machine (docs/safety.md, "One copy of a task", 3).
+void Recovery::check(TimePoint last_proven) {
   if (!recovering_) return;
-  // One that we have answered since, without knowing all that it runs, has its lease from us: its
-  // report may have been answered unread, or an older order may have come after it.
-  if (proved >= former_leases_end_)
+  // A machine that we have answered since, without knowing all its tasks, has its lease from us:
+  // its heartbeat may have been answered unread, or a command of an older leader may have come
+  // after it.
+  if (last_proven >= former_leases_end_)
     std::erase_if(unconfirmed_, [&](const MachineId& id) {
       const auto* machine = fleet_.find(id);
       return machine == nullptr || !machine->last_heartbeat ||
-             proved - *machine->last_heartbeat > to_duration(full_lease());
+             last_proven - *machine->last_heartbeat > to_duration(full_lease());
     });
   if (!unconfirmed_.empty()) return;
   recovering_ = false;
@@ -27,13 +30,13 @@
   former_leases_end_ = std::min(former_leases_end_, now + to_duration(full_lease()));
 }
 
-// A task of an older job that was seen nowhere may be on an unconfirmed machine, if its job may run
-// there at all: no leader ever starts a task where its job does not allow it.
+// A task of an older job that was seen nowhere may be on an unconfirmed machine if its job may run
+// there at all: no leader starts a task where its job does not allow it.
 bool Recovery::blocked_on_reconciliation(const Job& job) const {
   if (!recovering_ || !job.from_former_leader) return false;
   if (job.placements_complete) {
     return std::any_of(job.waiting.begin(), job.waiting.end(),
-                       [&](TaskIndex i) { return recorded_in_doubt(job, i); });
+                       [&](TaskIndex index) { return is_recorded_on_unconfirmed(job, index); });
   }
   return std::any_of(unconfirmed_kinds_.begin(), unconfirmed_kinds_.end(),
                      [&](const OfferingKey& kind) {
@@ -41,29 +44,30 @@
                      });
 }
 
-// With records of all starts only those machines matter that the records name (docs/safety.md,
-// "Committed starts").
-bool Recovery::recorded_in_doubt(const Job& job, TaskIndex index) const {
+// If all starts are recorded, only the machines of the records matter (docs/safety.md, "Committed
+// starts").
+bool Recovery::is_recorded_on_unconfirmed(const Job& job, TaskIndex index) const {
   return index < job.placed.size() && unconfirmed_.contains(job.placed[index]);
 }
 
-bool Recovery::held(const Job& job, TaskIndex index) const {
+bool Recovery::is_blocked(const Job& job, TaskIndex index) const {
   if (!recovering_ || !job.from_former_leader) return false;
-  if (job.placements_complete && !job.gang()) return recorded_in_doubt(job, index);
+  if (job.placements_complete && !job.gang()) return is_recorded_on_unconfirmed(job, index);
   return blocked_on_reconciliation(job);
 }
 
-std::size_t Recovery::held(const Job& job) const {
+std::size_t Recovery::blocked_tasks(const Job& job) const {
   if (!recovering_ || !job.from_former_leader) return 0;
   if (!job.placements_complete || job.gang())
     return blocked_on_reconciliation(job) ? job.waiting.size() : 0;
-  return static_cast<std::size_t>(std::count_if(job.waiting.begin(), job.waiting.end(),
-                                                [&](TaskIndex i) { return held(job, i); }));
+  return static_cast<std::size_t>(
+      std::count_if(job.waiting.begin(), job.waiting.end(),
+                    [&](TaskIndex index) { return is_blocked(job, index); }));
 }
 
-// What may be on machines beyond what is known: on a machine that has not answered yet, as much as
-// it holds; the same while one lists tasks whose job has ended and whose team is unknown.
-Resources Recovery::uncertain_use() const {
+// The whole capacity of a machine that has not answered yet, and of a machine that lists tasks of
+// an unknown job, whose team is unknown too.
+Resources Recovery::compute_possible_use() const {
   Resources total;
   for (const auto& [id, since] : unknown_tasks_since_)
     if (const auto* machine = fleet_.find(id)) total += machine->capacity;
@@ -74,20 +78,19 @@
   return total;
 }
 
-// Live tasks of jobs that are unknown here take room and count for a team that is unknown.
 void Recovery::update_unknown_tasks(Machine& machine, TimePoint now) {
-  const bool foreign = std::any_of(
-      machine.task_statuses.begin(), machine.task_statuses.end(), [&](const TaskStatus& entry) {
-        return entry.state != TaskState::exited && !machine.tasks.contains(entry.task);
+  const bool has_unknown_task = std::any_of(
+      machine.task_statuses.begin(), machine.task_statuses.end(), [&](const TaskStatus& status) {
+        return status.state != TaskState::exited && !machine.tasks.contains(status.task);
       });
-  if (foreign)
+  if (has_unknown_task)
     unknown_tasks_since_.emplace(machine.id, now);
   else
     unknown_tasks_since_.erase(machine.id);
 }
 
 void Recovery::refresh() {
-  uncertain_ = uncertain_use();
+  possible_use_ = compute_possible_use();
   unconfirmed_kinds_.clear();
   for (const auto& id : unconfirmed_)
     if (const auto* machine = fleet_.find(id))
--- a/src/core/failover/recovery.hpp
+++ b/src/core/failover/recovery.hpp
@@ -1,7 +1,9 @@
-// What a new leader does not know yet: machines registered before its takeover that have not
-// answered, and machines that list tasks of unknown jobs (docs/safety.md, "One copy of a task", 3
-// and "Limits and places"; DESIGN: a new leader rebuilds from reports before placing). Owns both
-// sets; decides which jobs are held up and how much room counts as possibly used.
+/// @file
+/// What a new leader does not know yet: machines registered before its election that have not
+/// answered, and machines that list tasks of unknown jobs (docs/safety.md, "One copy of a task", 3,
+/// and "Limits and places"; docs/design.md: a new leader rebuilds its state from heartbeats before
+/// it places tasks). Owns both sets. Decides which tasks are blocked on reconciliation and how many
+/// resources count as possibly in use.
 #pragma once
 
 #include <algorithm>
@@ -13,63 +15,74 @@
 
 namespace violetpulley::core {
 
+/// Tracks the unconfirmed machines from the election until all of them have answered or ended.
 class Recovery {
  public:
-  // `former_leases_end`: when the leases that older leaders may have renewed have run out. `lease`:
-  // of a worker.
+  /// `former_leases_end`: when the last lease that an older leader may have renewed has run out.
+  /// `lease`: lease time of an agent.
   Recovery(Outbox& out, Fleet& fleet, TimePoint former_leases_end, Seconds lease)
       : out_(out), fleet_(fleet), former_leases_end_(former_leases_end), lease_(lease) {}
 
-  // No older leader answers reports any more: every other controller has said, after it saw our
-  // key, that it does not lead. So what they may have renewed runs out a lease from now.
+  /// No older leader answers heartbeats any more: every other controller has seen our leader key
+  /// and said that it does not lead. So the last lease that they may have renewed ends a full lease
+  /// from `now` at the latest.
   void former_leaders_gone(TimePoint now);
 
-  // After so long without an answer of anybody a worker has ended its tasks: its lease, what a
-  // clock may go wrong by, and the way of the last answer.
-  Seconds full_lease() const { return lease_ * 1.001 + Seconds(1); }
+  /// Time without any answer after which an agent has ended its tasks: the lease, the error of a
+  /// clock, and the travel time of the last answer.
+  Seconds full_lease() const { return lease_ * kClockErrorFactor + kAnswerTravelTime; }
 
-  // A machine on which an older leader may have started tasks.
-  void expect(const Machine& machine) {
+  /// Adds a machine on which an older leader may have started tasks.
+  void add_unconfirmed(const Machine& machine) {
     unconfirmed_.insert(machine.id);
     unconfirmed_kinds_.insert({machine.type, machine.zone, machine.spot});
   }
-  // It has answered under our token, or is gone.
+  /// The machine has answered under our fencing token, or is gone.
   void confirm(const MachineId& id) { unconfirmed_.erase(id); }
   bool is_unconfirmed(const MachineId& id) const { return unconfirmed_.contains(id); }
-  std::size_t waiting() const { return unconfirmed_.size(); }
+  std::size_t unconfirmed_count() const { return unconfirmed_.size(); }
   const std::set<MachineId>& unconfirmed() const { return unconfirmed_; }
 
-  // `proved`: nobody else led by then. A newer leader may renew leases that ran out under older
-  // ones.
-  void check(TimePoint proved);
+  /// Drops machines whose tasks have ended with their lease, and ends the recovery when no machine
+  /// is unconfirmed. `last_proven`: latest time by which no other node led; a newer leader may
+  /// renew leases that ran out under older ones.
+  void check(TimePoint last_proven);
   bool recovering() const { return recovering_; }
-  // Whether any task of this job that was seen nowhere may be on a machine that has not answered.
+  /// Whether any waiting task of this job may be running on an unconfirmed machine.
   bool blocked_on_reconciliation(const Job& job) const;
-  // Whether this task may. Of a gang with records, each if one may: it starts whole.
-  bool held(const Job& job, TaskIndex index) const;
-  std::size_t held(const Job& job) const;
+  /// Whether this waiting task may be running on an unconfirmed machine. A gang starts whole, so
+  /// each of its tasks is blocked if one is.
+  bool is_blocked(const Job& job, TaskIndex index) const;
+  /// Number of waiting tasks of the job that are blocked on reconciliation.
+  std::size_t blocked_tasks(const Job& job) const;
 
+  /// Records whether the machine lists running tasks without an assignment.
   void update_unknown_tasks(Machine& machine, TimePoint now);
-  // Since when the machine has listed live tasks of jobs that are unknown here: they have ended, or
-  // were cancelled under an older leader.
+  /// Since when the machine has listed running tasks of jobs that are unknown here (ended, or
+  /// cancelled under an older leader); none if it lists no such task.
   std::optional<TimePoint> unknown_tasks_since(const MachineId& id) const {
     const auto found = unknown_tasks_since_.find(id);
     return found == unknown_tasks_since_.end() ? std::nullopt : std::optional(found->second);
   }
 
-  // Counts what is uncertain anew; `uncertain` holds until the next round.
+  /// Recomputes `possible_use` and the types of unconfirmed machines for a scheduling round.
   void refresh();
-  const Resources& uncertain() const { return uncertain_; }
+  /// Resources that may be in use beyond the known assignments, as of the last `refresh`. Their
+  /// team is unknown, so they count against the limit of every team.
+  const Resources& possible_use() const { return possible_use_; }
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.former_leases_end_, s.recovering_, s.unconfirmed_, s.unconfirmed_kinds_,
-      s.unknown_tasks_since_, s.uncertain_);
+      s.unknown_tasks_since_, s.possible_use_);
   }
 
  private:
-  bool recorded_in_doubt(const Job& job, TaskIndex index) const;
-  Resources uncertain_use() const;
+  static constexpr double kClockErrorFactor = 1.001;
+  static constexpr Seconds kAnswerTravelTime{1};
+
+  bool is_recorded_on_unconfirmed(const Job& job, TaskIndex index) const;
+  Resources compute_possible_use() const;
 
   Outbox& out_;
   Fleet& fleet_;
@@ -77,10 +90,10 @@
   Seconds lease_;
   bool recovering_ = true;
   std::set<MachineId> unconfirmed_;
-  std::set<OfferingKey> unconfirmed_kinds_;  // type, zone and kind of those; may tell of too many
-  // Machines that list tasks of jobs that are unknown here, and since when.
+  /// Type, zone and spot of the unconfirmed machines; a superset between two calls of `refresh`.
+  std::set<OfferingKey> unconfirmed_kinds_;
   std::map<MachineId, TimePoint> unknown_tasks_since_;
-  Resources uncertain_;
+  Resources possible_use_;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/machines/failure_detector.hpp
+++ b/src/core/machines/failure_detector.hpp
@@ -1,11 +1,12 @@
-// Whom this leader hears, whom it reaches and whose lease it renews. These are three facts: a
-// report proves what a machine was when it was sent, an answer to an order (or a report that shows
-// the effect of one) that what we say arrives there, and only the answer to a report of the
-// machine's own renews its lease (PROTOCOL, "Leases", "Delayed messages", "Outages and cuts";
-// docs/safety.md, "Reports that prove less than they seem to", "Renewed is a third fact"). Owns the
-// facts of every machine, and since when this leader could have heard anything; decides which
-// machines are reached, which are out of reach or mute for so long that they are given up, and when
-// the leader itself is the one that is cut off.
+/// @file
+/// Failure detection between this leader and its machines. Three facts about a machine are kept
+/// apart: a heartbeat proves its state when the heartbeat was sent; an acknowledgement (a response
+/// to commands, or a heartbeat that shows their effect) proves that what we send arrives; and only
+/// our answer to a periodic heartbeat renews the lease of the machine (PROTOCOL, "Leases", "Delayed
+/// messages", "Outages and cuts"; docs/safety.md, "Reports that prove less than they seem to",
+/// "Renewed is a third fact"). Owns these times of every machine, and since when this leader could
+/// have received anything. Decides which machines are responsive, which are unacknowledged or in an
+/// outbound partition for so long that they are returned, and when the leader itself is isolated.
 #pragma once
 
 #include "core/machines/fleet.hpp"
@@ -13,15 +14,29 @@
 
 namespace violetpulley::core {
 
-// Our word arrives there, as far as is known. A session that has grown proves that the tasks before
-// it are gone, not that we reach the machine: that waits for proof.
-inline bool reached(const Machine& machine) {
+/// Whether our commands arrive at the machine, as far as is known. A grown epoch proves that the
+/// earlier tasks have ended, not that commands arrive: that waits for an acknowledgement.
+inline bool is_reachable(const Machine& machine) {
   return machine.last_acknowledged && !machine.unacknowledged_since;
 }
 
-// What a worker says: in a report of its own, or in the answer to an order.
-enum class HeartbeatSource : std::uint8_t { heartbeat, answer };
+/// How a heartbeat reached this leader.
+enum class HeartbeatSource : std::uint8_t {
+  periodic,          ///< sent by the agent on its own; our answer renews the lease
+  command_response,  ///< returned on the connection of a command batch; renews nothing
+};
+
+/// Why this leader considers itself cut off from its machines.
+enum class IsolationCause : std::uint8_t {
+  no_heartbeats,        ///< nothing is received from any machine
+  no_acknowledgements,  ///< heartbeats arrive, and no command is answered
+  no_lease_renewals,    ///< commands are answered, and periodic heartbeats go to other controllers
+};
 
+/// Text of the cause for the log and for the stored Resign action; its bytes enter the histories.
+const char* text_of(IsolationCause cause);
+
+/// Records signs of life of the machines and judges silence, partitions and isolation by them.
 class FailureDetector {
  public:
   FailureDetector(const ControllerSettings& settings, Fleet& fleet, TimePoint elected_at)
@@ -30,43 +45,46 @@
         heartbeats_expected_since_(elected_at),
         renewals_expected_since_(elected_at) {}
 
-  // A report or an answer newer than all seen of this machine.
-  void record_heartbeat(Machine& machine, HeartbeatSource said, TimePoint now);
-  // Something that we sent has arrived.
+  /// Records a heartbeat or a response newer than all earlier ones of this machine.
+  void record_heartbeat(Machine& machine, HeartbeatSource source, TimePoint now);
+  /// Records that something we sent has arrived at the machine.
   void record_acknowledgement(Machine& machine, TimePoint now);
-  // Orders that were sent then were not answered.
+  /// Records that the commands sent at `sent` were not answered.
   void record_missed_response(Machine& machine, TimePoint sent);
-  // Nothing is known of the machine's new session yet but that it exists.
+  /// The machine has a new epoch, in which nothing of ours has arrived yet.
   void agent_restarted(Machine& machine);
 
-  // Workers come to another controller: if this one hears none, it is this one that is cut off.
+  /// A peer receives heartbeats of agents: if this leader receives none, it is isolated.
   void note_peer_receives_heartbeats(TimePoint now) { peer_heartbeats_at_ = now; }
+  /// Whether no heartbeat has come for as long as several are expected to take.
   bool no_heartbeats(TimePoint now) const;
-  // No report of a machine's own has come for longer than an unanswered one may delay the next.
+  /// Whether no periodic heartbeat has come for longer than an unanswered one may delay the next.
   bool no_lease_renewals(TimePoint now) const;
 
-  // Looks at the fleet. `serving`: reports are taken in. Time in which they are not, or in which
-  // this process stood still, is nobody's silence.
+  /// Counts the responsive, unacknowledged and partitioned machines; called at a fixed interval.
+  /// `serving`: whether heartbeats are accepted. Time in which they are not, or in which this
+  /// process was suspended, counts as silence of no machine.
   void observe_fleet(TimePoint now, bool serving);
 
-  // How long it has said nothing that could have been heard.
+  /// Time without a heartbeat of the machine in which this leader could have received one.
   Seconds silence(const Machine& machine, TimePoint now) const;
-  // Machines that fall silent while others are heard are likely dead. With half of the fleet
-  // silent, or with nobody heard for as long as many reports should have come, it is rather this
-  // leader: in the first seconds of a cut the machines that had reported longest ago look dead, one
-  // by one (docs/incidents/inc-c2d3.md).
+  /// Whether a silent machine is likely dead. With half of the fleet silent, or without any
+  /// heartbeat for as long as several are expected to take, this leader is more likely cut off: in
+  /// the first seconds of a network partition the machines with the oldest heartbeats appear dead,
+  /// one by one (docs/incidents/inc-c2d3.md).
   bool most_machines_responsive(TimePoint now) const;
-  // It is heard, cannot be told anything, and is to be returned: tasks are stuck there and nothing
-  // that runs there can end within its lease, or waiting has cost as much as another boot would.
-  bool inbound_partition_expired(const Machine& machine, Seconds boot, TimePoint now) const;
-  // It answers orders, reports to nobody, so that all that starts there ends with each lease, and
-  // is to be returned: nothing that runs there can end within its lease, and waiting has cost as
-  // much as another boot would.
-  bool outbound_partition_expired(const Machine& machine, Seconds boot, TimePoint now) const;
-
-  // This leader hears or reaches none of its machines, though it should: the cause, or null.
-  const char* isolation_cause(TimePoint now) const;
-  // Machines that are asked only to learn whether anybody is reached.
+  /// Whether a machine that sends heartbeats and acknowledges nothing is to be returned: tasks are
+  /// stuck there and no running task can end within its lease, or waiting has cost as much as
+  /// another boot would.
+  bool inbound_partition_expired(const Machine& machine, Seconds boot_time, TimePoint now) const;
+  /// Whether a machine that answers commands and sends no periodic heartbeats is to be returned.
+  /// All that starts there ends with each lease. True if no running task can end within its lease
+  /// and waiting has cost as much as another boot would.
+  bool outbound_partition_expired(const Machine& machine, Seconds boot_time, TimePoint now) const;
+
+  /// Why this leader is isolated from its machines; none if it is not.
+  std::optional<IsolationCause> isolation_cause(TimePoint now) const;
+  /// Machines that are sent an empty command batch to learn whether any machine acknowledges.
   std::vector<MachineId> machines_to_probe(TimePoint now) const;
 
   template <class S, class F>
@@ -77,30 +95,40 @@
   }
 
  private:
-  // Since `last`, as far as anything could have been noticed; without it since we listen.
-  Duration since(const std::optional<TimePoint>& last, TimePoint now) const;
-  Duration since_renewed(const std::optional<TimePoint>& last, TimePoint now) const;
-  Duration gap(double heartbeats, Seconds least, Seconds most) const;
+  void observe_machine(Machine& machine, TimePoint now);
+  bool can_probe(const Machine& machine, TimePoint now) const;
+  /// Time since `last` in which a heartbeat could have been received; without `last`, since
+  /// heartbeats are expected.
+  Duration time_since_heartbeat(const std::optional<TimePoint>& last, TimePoint now) const;
+  /// The same for periodic heartbeats.
+  Duration time_since_renewal(const std::optional<TimePoint>& last, TimePoint now) const;
+  /// Time in which so many heartbeats of the fleet are expected, within [min, max].
+  Duration expected_time_of(double heartbeats, Seconds min, Seconds max) const;
+  /// Longest time that a healthy machine without news may be silent.
   Duration isolated_after() const;
+  /// Longest time between two periodic heartbeats of a healthy machine.
   Seconds outbound_partition_after() const;
-  bool many(std::size_t machines) const;
+  /// Whether so many machines are affected at once that this leader or the network is at fault.
+  bool is_mass_event(std::size_t machines) const;
 
   const ControllerSettings& settings_;
   Fleet& fleet_;
-  TimePoint heartbeats_expected_since_;  // the takeover at the earliest
-  // The same for reports of the machines' own: where all are mute, they are heard only when asked,
-  // which is no end of a cut each time.
+  /// Start of the current time of listening; the election at the earliest.
+  TimePoint heartbeats_expected_since_;
+  /// The same for periodic heartbeats. Kept apart: in an outbound partition of all machines only
+  /// responses to commands arrive, which must not count as the end of a partition each time.
   TimePoint renewals_expected_since_;
   TimePoint last_observation_{};
-  std::optional<TimePoint> last_heartbeat_;      // any machine
-  std::optional<TimePoint> last_lease_renewal_;  // any machine
-  std::optional<TimePoint> last_acknowledged_;   // any machine
-  std::size_t up_ = 0;                           // at the last look, as the next two
-  std::size_t responsive_ = 0;
-  std::size_t unacknowledged_ = 0;        // heard lately and not reached
-  std::size_t outbound_partitioned_ = 0;  // heard lately, and not by reports
-  std::optional<TimePoint>
-      mass_outbound_partition_at_;  // when so many last were that it was rather a cut
+  std::optional<TimePoint> last_heartbeat_;      ///< of any machine
+  std::optional<TimePoint> last_lease_renewal_;  ///< of any machine
+  std::optional<TimePoint> last_acknowledged_;   ///< of any machine
+  std::size_t up_ = 0;                           ///< machines, at the last observation
+  std::size_t responsive_ = 0;                   ///< of these, not silent
+  std::size_t unacknowledged_ = 0;               ///< of the responsive ones
+  std::size_t outbound_partitioned_ = 0;         ///< of the responsive ones
+  /// When an outbound partition last was a mass event.
+  std::optional<TimePoint> mass_outbound_partition_at_;
+  /// When a peer last said that it receives heartbeats.
   std::optional<TimePoint> peer_heartbeats_at_;
 };
 
--- a/src/core/machines/fleet.cpp
+++ b/src/core/machines/fleet.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Run time estimates of assignments, and the bookkeeping of assignments and images.
 #include "core/machines/fleet.hpp"
 
 #include <algorithm>
@@ -5,18 +7,31 @@
 
 namespace violetpulley::core {
 
+namespace {
+void evict_images(Machine& machine) {
+  auto& images = machine.images;
+  double total_gb = 0;
+  for (const auto& cached : images) total_gb += cached.gb;
+  while (images.size() > 1 && total_gb > machine.cache_gb && machine.cache_gb > 0) {
+    total_gb -= images.front().gb;
+    images.erase(images.begin());
+    machine.images_changed = true;
+  }
+}
+}  // namespace
+
 Seconds remaining_of(const Assignment& assignment, TimePoint now) {
   if (assignment.running_since)
     return remaining_run_time(assignment.estimate, now - *assignment.running_since);
-  const Seconds fetched = now - assignment.placed;
-  return assignment.estimate + std::max(Seconds(0), assignment.fetch - fetched);
+  const Seconds since_placed = now - assignment.placed;
+  return assignment.estimate + std::max(Seconds(0), assignment.fetch - since_placed);
 }
 
 Seconds unsaved(const Assignment& assignment, TimePoint now) {
   if (!assignment.running_since) return Seconds(0);
-  const Seconds ran = assignment.saved + Seconds(now - *assignment.running_since);
-  if (assignment.checkpoint_every <= Seconds(0)) return ran;
-  return Seconds(std::fmod(ran.count(), assignment.checkpoint_every.count()));
+  const Seconds run_time = assignment.saved + Seconds(now - *assignment.running_since);
+  if (assignment.checkpoint_every <= Seconds(0)) return run_time;
+  return Seconds(std::fmod(run_time.count(), assignment.checkpoint_every.count()));
 }
 
 bool worth_checkpointing(const Assignment& assignment, TimePoint now) {
@@ -30,10 +45,10 @@
 }
 
 Resources Machine::free_after_stops() const {
-  auto room = free();
+  auto resources = free();
   for (const auto& [key, assignment] : tasks)
-    if (assignment.stop) room += assignment.resources;
-  return room;
+    if (assignment.stop) resources += assignment.resources;
+  return resources;
 }
 
 Seconds Machine::remaining(TimePoint now) const {
@@ -91,7 +106,7 @@
   before_change(machine);
   auto& images = machine.images;
   const auto found = std::find_if(images.begin(), images.end(),
-                                  [&](const CachedImage& c) { return c.name == image; });
+                                  [&](const CachedImage& cached) { return cached.name == image; });
   CachedImage entry{image, gb, present};
   if (found != images.end()) {
     entry.present = entry.present || found->present;
@@ -101,13 +116,7 @@
     machine.images_changed = true;
   }
   images.push_back(entry);
-  double total = 0;
-  for (const auto& cached : images) total += cached.gb;
-  while (images.size() > 1 && total > machine.cache_gb && machine.cache_gb > 0) {
-    total -= images.front().gb;
-    images.erase(images.begin());
-    machine.images_changed = true;
-  }
+  evict_images(machine);
 }
 
 }  // namespace violetpulley::core
--- a/src/core/machines/machine_registry.cpp
+++ b/src/core/machines/machine_registry.cpp
@@ -1,9 +1,11 @@
+/// @file
+/// Requests and results of writes of machine records.
 #include "core/machines/machine_registry.hpp"
 
 namespace violetpulley::core {
 
 namespace {
-constexpr std::size_t kRemembered = 20'000;  // names: about two megabytes
+constexpr std::size_t kMaxReleasedMachines = 20'000;  // ids, about two megabytes
 }  // namespace
 
 void MachineRegistry::save(Machine& machine) {
@@ -24,8 +26,8 @@
   }
   fleet_.before_change(*machine);
   if (with_endpoint) machine->registering = false;
-  // A leader starts tasks only on machines whose record is committed with its endpoint: the
-  // next leader must know every machine that it has to confirm.
+  // A leader starts tasks only on machines whose record is committed with the endpoint: the next
+  // leader must know every machine that it has to wait for.
   if (ok && with_endpoint) machine->registered = true;
   out_.want_placing();
 }
@@ -34,7 +36,7 @@
   out_.push_back(DeleteMachine{id});
   if (!released_.insert(id).second) return;
   released_order_.push_back(id);
-  if (released_order_.size() <= kRemembered) return;
+  if (released_order_.size() <= kMaxReleasedMachines) return;
   released_.erase(released_order_.front());
   released_order_.pop_front();
 }
--- a/src/core/machines/machine_watch.hpp
+++ b/src/core/machines/machine_watch.hpp
@@ -1,5 +1,7 @@
-// Which machines are late, silent or sick, and when machines are returned (PROTOCOL, "Leases",
-// "Controller nodes -> cloud"; DESIGN, "Expected trouble"). Owns when it last looked.
+/// @file
+/// Periodic check of all machines: which are late to boot, silent, cut off or quarantined, and when
+/// machines are returned to the cloud (PROTOCOL, "Leases", "Controller nodes -> cloud";
+/// docs/design.md, "Expected trouble"). Owns the times of the last check and the last request.
 #pragma once
 
 #include "core/dispatch/command_dispatcher.hpp"
@@ -10,17 +12,18 @@
 
 namespace violetpulley::core {
 
+/// Applies the judgements of the failure detector and of the reconciler to the machines.
 class MachineWatch {
  public:
   MachineWatch(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
-               Fleet& fleet, FailureDetector& contact, CommandDispatcher& commands,
+               Fleet& fleet, FailureDetector& failure_detector, CommandDispatcher& commands,
                Recovery& recovery, Reconciler& reconciler, Assignments& assignments,
                MachineRegistry& registry, TimePoint elected_at)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
         fleet_(fleet),
-        failure_detector_(contact),
+        failure_detector_(failure_detector),
         commands_(commands),
         recovery_(recovery),
         reconciler_(reconciler),
@@ -28,11 +31,13 @@
         registry_(registry),
         elected_at_(elected_at) {}
 
-  // Looks at all machines when that is due, and tells whether it was.
-  // `serving`: reports are taken in. `proved`: nobody else led by then.
-  bool watch(TimePoint now, bool serving, TimePoint proved);
+  /// Checks all machines if that is due; returns whether it was. `serving`: heartbeats are
+  /// accepted. `last_proven`: latest time by which no other node led.
+  bool watch(TimePoint now, bool serving, TimePoint last_proven);
+  /// Marks a machine to be returned. `cause` enters the log and the ScaleIn action. Without effect
+  /// on a machine that is being returned already.
   void request_release(Machine& machine, const std::string& cause, TimePoint now);
-  // The cloud did not answer: it is asked again.
+  /// The cloud did not confirm the return: it is requested again after a pause.
   void return_failed(Machine& machine, TimePoint now);
 
   template <class S, class F>
@@ -41,18 +46,45 @@
   }
 
  private:
+  /// Boots of a machine type, as of the last check.
   struct TypeBoots {
-    std::optional<TimePoint> youngest_up;  // when the youngest machine that is up was rented
-    std::size_t late = 0;
+    std::optional<TimePoint> youngest_up;  ///< when the youngest machine that is up was requested
+    std::size_t late = 0;                  ///< machines past the usual boot patience
   };
-  Seconds boot_of(const Machine& machine) const;
-  Seconds boot_patience(const Machine& machine, double times) const;
-  bool late_to_boot(const Machine& machine, TimePoint now) const;
-  void note_boots(TimePoint now);
+  /// What the checks of all machines in one call of `watch` share.
+  struct Pass {
+    TimePoint now;
+    TimePoint last_proven;
+    bool fleet_responsive = false;  ///< false: this leader may be cut off, nothing is declared dead
+    int images_saved = 0;
+  };
+
+  void check_booting_machine(Machine& machine, TimePoint now);
+  void check_machine(Machine& machine, Pass& pass);
+  void release_if_cut_off(Machine& machine, TimePoint now);
+  void check_silence(Machine& machine, const Pass& pass);
+  /// Silence after which the machine is declared dead.
+  Seconds silence_limit(const Machine& machine) const;
+  bool is_lease_expired(const Machine& machine, TimePoint last_proven) const;
+  void remove_expired_tasks(Machine& machine, TimePoint now);
+  void save_images(Machine& machine, Pass& pass);
+  /// Starts and stops without an effect yet are sent again.
+  void repeat_commands(const Machine& machine);
+
+  Seconds boot_time_of(const Machine& machine) const;
+  /// Time after the request of a machine at which it counts as late, times `factor`.
+  Seconds boot_patience(const Machine& machine, double factor) const;
+  bool is_late_to_boot(const Machine& machine, TimePoint now) const;
+  void count_boots(TimePoint now);
+
   bool holds_unconfirmed_cancellation(const Machine& machine, TimePoint now) const;
   bool may_hold_cancelled(const Machine& machine, TimePoint now) const;
   void declare_dead(Machine& machine, TimePoint now);
+
   void release_machines(TimePoint now);
+  /// Machines whose return is to be requested now; their next retry is scheduled.
+  std::vector<MachineId> take_due_releases(TimePoint now);
+  void push_scale_in(std::vector<MachineId> machines);
 
   const ControllerSettings& settings_;
   Outbox& out_;
@@ -67,7 +99,7 @@
   TimePoint elected_at_;
   TimePoint last_watch_{};
   TimePoint last_release_{};
-  std::map<std::string, TypeBoots> boots_;  // by type, at the last look
+  std::map<std::string, TypeBoots> boots_;  ///< by machine type
 };
 
 }  // namespace violetpulley::core
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -155,7 +155,7 @@
     for (auto next = job.waiting.begin(); next != job.waiting.end() && !(zoned && started);) {
       const auto index = *next++;  // a start takes it out of the set
       if (!job.tasks[index].bound.empty() && !settings_.tuning.bound_tasks_may_move) continue;
-      if (recovery_.held(job, index)) continue;
+      if (recovery_.is_blocked(job, index)) continue;
       auto* machine = choices.best();
       if (machine == nullptr ||
           !task_starter_.start(job, index, *machine, task_starter_.next_attempt(), now))
--- a/src/diagnostics/placement_explanation.cpp
+++ b/src/diagnostics/placement_explanation.cpp
@@ -23,7 +23,7 @@
   if (machine.notice_ends) return "taken_back";
   if (!machine.confirmed) return "unconfirmed";
   if (machine.outbound_partition_since) return "not_reporting";
-  if (!core::reached(machine)) return "out_of_reach";
+  if (!core::is_reachable(machine)) return "out_of_reach";
   if (machine.draining) return "clearing";
   if (!machine.reserved_for.empty() && machine.reserved_for != job) return "reserved_for_a_gang";
   return nullptr;
--- a/src/leader.cpp
+++ b/src/leader.cpp
@@ -252,9 +252,9 @@
   spdlog::info(
       "squared: asked={} most_at_once={} adopted={} done_unstored={} stored_done={} "
       "second_copies={} of_no_job={} unregistered={} new_sessions={} late={} returned={}",
-      reconciler.asked(), controller_->commands().window().peak(), s.adopted, s.ended,
-      s.stored_done, s.second_copies, s.of_no_job, s.unregistered, s.new_sessions, s.late,
-      s.returned);
+      reconciler.queries_sent(), controller_->commands().window().peak(), s.adopted,
+      s.done_unrecorded, s.stored_done, s.duplicate_copies, s.unknown_job, s.unregistered,
+      s.new_epochs, s.stale_heartbeats, s.declared_dead);
 }
 
 void Leader::job_opened(const core::JobRecord& record) {
--- a/tests/core/failover/reconciliation_test.cpp
+++ b/tests/core/failover/reconciliation_test.cpp
@@ -1,5 +1,7 @@
-// Squaring what is stored with what the machines tell: a test for each row of the table in
-// docs/reconciliation.md, and the parts that pace the asking. The storm (storm_test.cpp) has the fleet.
+/// @file
+/// Tests of the reconciliation after a failover: a test for each row of the table in
+/// docs/reconciliation.md, and the parts that pace the queries. Tests with a whole fleet are in
+/// tests/simulation/fleet_simulation_test.cpp.
 #include <gtest/gtest.h>
 
 #include "core/controller.hpp"
@@ -11,7 +13,7 @@
 
 constexpr FencingToken kToken = 7;
 
-TEST(Sockets, ReportsComeFirstAndNobodyIsLeftWithout) {
+TEST(SocketBudget, HeartbeatsComeFirstAndNoShareIsLeftWithout) {
   for (const std::size_t sockets : {100, 1000, 3494, 20'000})
     for (const std::size_t machines : {0, 50, 2112, 7000, 40'000}) {
       SCOPED_TRACE(std::to_string(sockets) + " sockets, " + std::to_string(machines));
@@ -22,7 +24,7 @@
       EXPECT_GE(shares.heartbeats, std::min(machines, sockets / 3));
       EXPECT_EQ(shares.accepted(sockets), sockets - shares.own - shares.commands);
     }
-  // The users' larger fleet, half as many machines again: a tenth is left over.
+  // The users' larger fleet with half as many machines again: a tenth of the sockets is left.
   const auto shares = share_sockets({3494, 5}, 2112);
   EXPECT_GE(shares.heartbeats, 2112U);
   EXPECT_LT(shares.own + 2112 + shares.commands + shares.users, 3494U * 9 / 10);
@@ -52,7 +54,7 @@
       window.lost(now);
     }
   };
-  // Some are always dead.
+  // Some machines are always dead.
   now += milliseconds(600);
   exchange(20, Seconds(0.01));
   lose(1);
@@ -67,8 +69,8 @@
   EXPECT_EQ(window.in_flight(), 0U);
 }
 
-// A leader with what it inherits, and reports given to it one by one.
-class Takeover : public ::testing::Test {
+/// A leader with its recovered state, and heartbeats given to it one by one.
+class Reconciliation : public ::testing::Test {
  protected:
   static JobRecord job(const JobId& id, TaskIndex tasks, Shape shape = Shape::array) {
     JobRecord record;
@@ -110,16 +112,17 @@
     controller_->heartbeat(heartbeat, now_);
     for (const auto& command : controller_->response_commands(heartbeat))
       commands_.push_back(command);
-    if (token <= kToken) last_[id] = std::move(heartbeat);
+    if (token <= kToken) last_heartbeats_[id] = std::move(heartbeat);
   }
-  // A machine that is neither idle nor full.
+  /// Tasks of a machine that is neither idle nor full.
   static std::vector<TaskStatus> busy() {
     return {task("req-2", 0, 3), task("req-2", 1, 4), task("req-2", 2, 5)};
   }
-  // Machines that have reported answer orders with the same once more, under the leader's token.
+  /// Machines that have sent a heartbeat respond to commands with the same task list, under the
+  /// leader's token.
   void answer(const MachineId& id) {
-    const auto found = last_.find(id);
-    if (found == last_.end()) {
+    const auto found = last_heartbeats_.find(id);
+    if (found == last_heartbeats_.end()) {
       if (unreachable_) controller_->commands_answered(id, nullptr, now_);
       return;
     }
@@ -128,17 +131,17 @@
     heartbeat.token = kToken;
     controller_->commands_answered(id, &heartbeat, now_);
   }
-  // Passes time and collects what the leader orders.
+  /// Passes time and collects the actions of the leader.
   void run(Seconds length) {
     for (const auto end = now_ + to_duration(length); now_ < end; now_ += milliseconds(100)) {
       controller_->tick(now_, true, now_);
       for (auto& action : controller_->take_actions()) {
         if (auto* batch = std::get_if<SendCommands>(&action)) {
-          asked_.push_back(batch->machine);
+          queried_.push_back(batch->machine);
           for (const auto& command : batch->commands) commands_.push_back(command);
           answer(batch->machine);
         } else if (const auto* rent = std::get_if<ScaleOut>(&action)) {
-          ++rents_;
+          ++scale_outs_;
           controller_->scale_out_answered(rent->name, {ScaleOutResult::Kind::no_capacity, {}},
                                           now_);
         } else if (auto* release = std::get_if<ScaleIn>(&action)) {
@@ -149,14 +152,14 @@
       }
     }
   }
-  // Tasks, however often they were told.
+  /// Number of tasks with a command of this type, however often it was sent.
   std::size_t count(CommandType type) const {
-    std::set<std::pair<TaskKey, Attempt>> told;
+    std::set<std::pair<TaskKey, Attempt>> attempts;
     for (const auto& command : commands_)
-      if (command.type == type) told.emplace(command.task, command.attempt);
-    return told.size();
+      if (command.type == type) attempts.emplace(command.task, command.attempt);
+    return attempts.size();
   }
-  std::size_t saves_of_progress() const {
+  std::size_t progress_saves() const {
     return static_cast<std::size_t>(
         std::count_if(actions_.begin(), actions_.end(), [](const Action& action) {
           return std::holds_alternative<SaveProgress>(action) ||
@@ -169,16 +172,16 @@
   std::unique_ptr<Controller> controller_;
   std::uint64_t sequence_ = 0;
   Tuning tuning_;
-  bool unreachable_ = false;  // who has not reported gives no answer, at once
-  std::map<MachineId, Heartbeat> last_;
-  std::vector<MachineId> asked_;
+  bool unreachable_ = false;  ///< commands to machines without a heartbeat fail at once
+  std::map<MachineId, Heartbeat> last_heartbeats_;
+  std::vector<MachineId> queried_;
   std::vector<MachineId> returned_;
   std::vector<Command> commands_;
   std::vector<Action> actions_;
-  std::size_t rents_ = 0;
+  std::size_t scale_outs_ = 0;
 };
 
-TEST_F(Takeover, WhatRunsIsAdoptedAndTheRestStartsWhenAllHaveAnswered) {
+TEST_F(Reconciliation, RunningTasksAreAdoptedAndTheRestStartsWhenAllHaveAnswered) {
   stored({"m1", "m2"}, {job("req-1", 3)});
   heartbeat("m1", {task("req-1", 0)});
   run(Seconds(0.5));
@@ -189,62 +192,61 @@
   EXPECT_EQ(count(CommandType::start), 2U);
 }
 
-TEST_F(Takeover, OperatorsMayNarrowTheWaves) {
+TEST_F(Reconciliation, OperatorsMayLimitTheCommandsInFlight) {
   std::vector<MachineId> machines;
   for (int i = 0; i < 60; ++i) machines.push_back(std::to_string(1000 + i));
   for (const std::size_t most : {8, 0}) {
     tuning_.max_commands_in_flight = most;
-    asked_.clear();
+    queried_.clear();
     stored(machines, {job("req-1", 1)});
     run(Seconds(0.1));
-    EXPECT_EQ(asked_.size(), most > 0 ? most : 32U);
+    EXPECT_EQ(queried_.size(), most > 0 ? most : 32U);
   }
 }
 
-// Machines that do not answer are asked again, and must not keep the others from being asked at
-// all.
-TEST_F(Takeover, TheSilentDoNotStandInTheWayOfTheOthers) {
+// Machines that do not answer are queried again, which must not keep others from being queried.
+TEST_F(Reconciliation, SilentMachinesDoNotBlockTheQueriesToOthers) {
   std::vector<MachineId> machines;
   for (int i = 0; i < 60; ++i) machines.push_back(std::to_string(1000 + i));
   tuning_.max_commands_in_flight = 8;
   unreachable_ = true;
   stored(machines, {job("req-1", 1)});
   run(Seconds(3));
-  EXPECT_EQ(std::set<MachineId>(asked_.begin(), asked_.end()).size(), machines.size());
+  EXPECT_EQ(std::set<MachineId>(queried_.begin(), queried_.end()).size(), machines.size());
 }
 
-// Found on the bench: right after a start 200 machines were asked for while the whole fleet stood
-// idle and had not been heard yet.
-TEST_F(Takeover, NothingIsRentedForYoungerWorkBeforeTheFleetIsKnown) {
+// Found on the bench: right after a start 200 machines were requested while the whole fleet was
+// idle and had not sent heartbeats yet.
+TEST_F(Reconciliation, NothingIsScaledOutForYoungerJobsBeforeTheFleetIsKnown) {
   stored({"m1", "m2"}, {});
   auto younger = job("req-9", 4);
   younger.revision = kToken + 1;
   controller_->job_opened(younger, now_);
   run(Seconds(2.5));
-  EXPECT_EQ(rents_, 0U);
+  EXPECT_EQ(scale_outs_, 0U);
   controller_->commands_answered("m1", nullptr, now_);
   controller_->commands_answered("m2", nullptr, now_);
   run(Seconds(2.5));
-  EXPECT_GT(rents_, 0U) << "they are gone: now it is lacking";
+  EXPECT_GT(scale_outs_, 0U) << "they are gone: now it is lacking";
 }
 
-TEST_F(Takeover, WhoReportsUnderOurTokenIsNotAsked) {
+TEST_F(Reconciliation, AMachineWithAHeartbeatUnderOurTokenIsNotQueried) {
   stored({"m1", "m2"}, {job("req-1", 3)});
   heartbeat("m1", {});
   run(Seconds(0.3));
-  EXPECT_EQ(asked_, std::vector<MachineId>{"m2"});
+  EXPECT_EQ(queried_, std::vector<MachineId>{"m2"});
 }
 
-TEST_F(Takeover, WhoReportsUnderAnOlderTokenIsGivenTimeToSayMore) {
+TEST_F(Reconciliation, AMachineWithAHeartbeatUnderAnOlderTokenGetsTimeForAnother) {
   stored({"m1", "m2"}, {job("req-1", 3)});
   heartbeat("m1", {}, kToken - 1);
   run(Seconds(0.9));
-  EXPECT_EQ(asked_, std::vector<MachineId>{"m2"});
+  EXPECT_EQ(queried_, std::vector<MachineId>{"m2"});
   run(Seconds(0.6));
-  EXPECT_EQ(asked_, (std::vector<MachineId>{"m2", "m1"}));
+  EXPECT_EQ(queried_, (std::vector<MachineId>{"m2", "m1"}));
 }
 
-TEST_F(Takeover, StoredAsDoneButStillRunningIsStopped) {
+TEST_F(Reconciliation, ATaskStoredAsDoneButStillRunningIsStopped) {
   stored({"m1"}, {job("req-1", 2)}, {{"req-1", 0, {{0, 0}}, {}}});
   heartbeat("m1", {task("req-1", 0)});
   run(Seconds(1));
@@ -252,35 +254,35 @@
   EXPECT_EQ(count(CommandType::stop), 1U);
 }
 
-TEST_F(Takeover, ReportedDoneAndNotStoredIsStoredBeforeItIsForgotten) {
+TEST_F(Reconciliation, ATaskReportedDoneIsStoredBeforeItIsAcknowledged) {
   stored({"m1"}, {job("req-1", 2)});
   heartbeat("m1", {task("req-1", 0, 3, TaskState::exited, ExitCause::done)});
   run(Seconds(3));
-  EXPECT_EQ(stats().ended, 1U);
-  EXPECT_GT(saves_of_progress(), 0U);
+  EXPECT_EQ(stats().done_unrecorded, 1U);
+  EXPECT_GT(progress_saves(), 0U);
   EXPECT_EQ(count(CommandType::acknowledge), 0U);
   for (const auto& command : commands_)
     EXPECT_FALSE(command.type == CommandType::start && command.task.index == 0) << "it is done";
 }
 
-TEST_F(Takeover, TasksOfJobsThatEndedMeanwhileAreStopped) {
+TEST_F(Reconciliation, TasksOfJobsThatEndedMeanwhileAreStopped) {
   stored({"m1"}, {});
   heartbeat("m1", {task("req-9", 0)});
-  EXPECT_EQ(stats().of_no_job, 1U);
+  EXPECT_EQ(stats().unknown_job, 1U);
   EXPECT_EQ(count(CommandType::stop), 1U);
 }
 
-TEST_F(Takeover, OfTwoCopiesTheSecondIsStopped) {
+TEST_F(Reconciliation, OfTwoCopiesTheSecondIsStopped) {
   stored({"m1", "m2"}, {job("req-1", 1)});
   heartbeat("m1", {task("req-1", 0, 3)});
   heartbeat("m2", {task("req-1", 0, 4)});
   run(Seconds(1));
-  EXPECT_EQ(stats().second_copies, 1U);
+  EXPECT_EQ(stats().duplicate_copies, 1U);
   ASSERT_EQ(count(CommandType::stop), 1U);
   EXPECT_EQ(commands_.back().attempt, 4U);
 }
 
-TEST_F(Takeover, HalfAGangIsStoppedWholeBeforeItStartsAnew) {
+TEST_F(Reconciliation, AnIncompleteGangIsStoppedWholeBeforeItStartsAnew) {
   stored({"m1", "m2"}, {job("req-1", 2, Shape::gang)});
   heartbeat("m1", {task("req-1", 0)});
   heartbeat("m2", {});
@@ -292,7 +294,7 @@
   EXPECT_EQ(count(CommandType::start), 2U);
 }
 
-TEST_F(Takeover, AReplicaTooManyIsNotStartedAgain) {
+TEST_F(Reconciliation, ASurplusReplicaIsNotStartedAgain) {
   stored({"m1", "m2"}, {job("req-1", 1, Shape::service)});
   heartbeat("m1", {task("req-1", 0, 3)});
   heartbeat("m2", {task("req-1", 0, 4)});
@@ -301,27 +303,27 @@
   EXPECT_EQ(count(CommandType::start), 0U);
 }
 
-TEST_F(Takeover, ALaterSessionLosesWhatTheEarlierOneHad) {
+TEST_F(Reconciliation, ALaterEpochLosesTheTasksOfTheEarlierOne) {
   stored({"m1"}, {job("req-1", 1)});
   heartbeat("m1", {task("req-1", 0)}, kToken - 1, 1, 5);
   heartbeat("m1", {}, kToken, 2, 6);
   run(Seconds(0.5));
-  EXPECT_EQ(stats().new_sessions, 1U);
+  EXPECT_EQ(stats().new_epochs, 1U);
   EXPECT_EQ(count(CommandType::start), 1U);
 }
 
-TEST_F(Takeover, AnOlderReportIsPassedOver) {
+TEST_F(Reconciliation, AStaleHeartbeatIsIgnored) {
   stored({"m1", "m2"}, {job("req-1", 1)});
   heartbeat("m1", {}, kToken, 2, 6);
-  heartbeat("m1", {task("req-1", 0)}, kToken - 1, 1, 9);  // a former session's, held on its way
+  heartbeat("m1", {task("req-1", 0)}, kToken - 1, 1, 9);  // delayed, of a former epoch
   heartbeat("m1", {task("req-1", 0)}, kToken, 2, 5);
-  EXPECT_EQ(stats().late, 2U);
+  EXPECT_EQ(stats().stale_heartbeats, 2U);
   EXPECT_EQ(stats().adopted, 0U);
 }
 
-// Found by seed 400 of Committing (ran_twice): the first report after the takeover was an old one,
-// held on its way; the task had since been started on the same machine under another attempt.
-TEST_F(Takeover, ALaterAttemptOnTheSameMachineIsNotLostWithTheEarlierOne) {
+// Found by seed 400 of Committing (ran_twice): the first heartbeat after the failover was delayed;
+// the task had since been started on the same machine under another attempt.
+TEST_F(Reconciliation, ALaterAttemptOnTheSameMachineIsNotLostWithTheEarlierOne) {
   stored({"m1", "m2"}, {job("req-1", 1)});
   heartbeat("m2", {});
   heartbeat("m1", {task("req-1", 0, 3)}, kToken - 1, 1, 27);
@@ -331,7 +333,7 @@
   EXPECT_EQ(count(CommandType::stop), 0U);
 }
 
-TEST_F(Takeover, AMachineThatIsNotStoredIsRegisteredBeforeAnythingStartsThere) {
+TEST_F(Reconciliation, AMachineThatIsNotStoredIsRegisteredBeforeAnythingStartsThere) {
   stored({}, {job("req-1", 1)});
   heartbeat("new", {});
   run(Seconds(0.5));
@@ -341,7 +343,7 @@
   EXPECT_EQ(count(CommandType::start), 1U);
 }
 
-TEST_F(Takeover, AMovedEndpointIsWhatOrdersGoTo) {
+TEST_F(Reconciliation, CommandsGoToAMovedEndpoint) {
   stored({"m1"}, {job("req-1", 1)});
   Heartbeat moved{"m1", "10.0.0.9:9", "bench", "a", true, 1, 1, kToken, {}, {}};
   controller_->heartbeat(moved, now_);
@@ -350,7 +352,7 @@
   for (auto& action : controller_->take_actions())
     if (const auto* save = std::get_if<SaveMachine>(&action))
       stored_endpoint = save->record.endpoint;
-  // The next leader has to find it there, too: nothing starts before that is stored.
+  // The next leader needs the endpoint too: nothing starts before the record is committed.
   EXPECT_EQ(stored_endpoint, "10.0.0.9:9");
   controller_->machine_saved("m1", true, true);
   controller_->tick(now_ + milliseconds(200), true, now_);
@@ -360,7 +362,7 @@
   EXPECT_EQ(endpoint, "10.0.0.9:9");
 }
 
-TEST_F(Takeover, AWorkerThatHasSeenAHigherTokenEndsTheLeader) {
+TEST_F(Reconciliation, AnAgentThatHasSeenAHigherTokenEndsTheLeader) {
   stored({"m1"}, {job("req-1", 1)});
   heartbeat("m1", {}, kToken + 1);
   run(Seconds(0.2));
@@ -370,9 +372,9 @@
   EXPECT_EQ(count(CommandType::start), 0U);
 }
 
-// Found on the bench: choosing machines for six thousand tasks in one go took a leader three
-// seconds of its share of a processor, in which it answered no report.
-TEST_F(Takeover, ARoundStartsNoMoreThanOrdersCanFollow) {
+// Found on the bench: choosing machines for six thousand tasks in one round took a leader three
+// seconds of its share of a processor, in which it answered no heartbeat.
+TEST_F(Reconciliation, ARoundStartsNoMoreThanCommandsCanFollow) {
   stored({}, {job("req-1", 2000)});
   for (int i = 0; i < 400; ++i) {
     const auto id = std::to_string(1000 + i);
@@ -391,7 +393,7 @@
     most = std::max(most, placed() - before);
     before = placed();
     if (before < 1600) {
-      EXPECT_EQ(rents_, 0U) << "the rest is not lacking room";
+      EXPECT_EQ(scale_outs_, 0U) << "the rest is not lacking room";
     }
   }
   EXPECT_EQ(before, 1600U);
@@ -399,16 +401,16 @@
   EXPECT_LT(most, 1000U);
 }
 
-// A report under an older token was answered, which renewed the machine's lease; an older leader's
-// order that was held on its way may have come after the report.
-TEST_F(Takeover, AMachineThatWasAnsweredIsWaitedForUntilItsLeaseHasRunOut) {
+// A heartbeat under an older token was answered, which renewed the lease of the machine; a delayed
+// command of an older leader may have arrived after that heartbeat.
+TEST_F(Reconciliation, AMachineThatWasAnsweredIsWaitedForUntilItsLeaseHasRunOut) {
   stored({"m1", "m2"}, {job("req-1", 1), job("req-2", 3)});
   for (int second = 0; second < 50; ++second) {
     heartbeat("m2", busy());
     run(Seconds(1));
   }
   heartbeat("m1", {}, kToken - 1);
-  last_.erase("m1");
+  last_heartbeats_.erase("m1");
   const auto lease = WorkerTimes{}.lease;
   for (int second = 0; second < 60; ++second) {
     heartbeat("m2", busy());
@@ -420,10 +422,10 @@
   EXPECT_EQ(count(CommandType::start), 1U);
 }
 
-// Found by seed 1379 of Hunted: the 200 to its first report renewed the lease of a machine that ran
-// a task which an older leader had seen cancelled; its stop was to follow, and the machine was cut
-// off.
-TEST_F(Takeover, TheAnswerThatRenewsALeaseStopsWhatHasEnded) {
+// Found by seed 1379 of Hunted: the answer to its first heartbeat renewed the lease of a machine
+// with a task that had been cancelled under an older leader. The stop was to follow, but the
+// machine was cut off.
+TEST_F(Reconciliation, TheAnswerThatRenewsALeaseStopsTasksOfEndedJobs) {
   stored({"m1"}, {job("req-1", 1)});
   heartbeat("m1", {task("req-1", 0), task("req-9", 0, 4)}, kToken - 1);
   ASSERT_EQ(commands_.size(), 1U) << "with that very answer";
@@ -431,9 +433,9 @@
   EXPECT_EQ(commands_[0].task.job, "req-9");
 }
 
-// A job that was cancelled under the older leader has no record, and its task may be on any machine
-// that says nothing, hung ones among them, which do not run their lease out.
-TEST_F(Takeover, WhoMayHoldCancelledWorkIsReturnedInTimeHoweverManyAreSilent) {
+// A job that was cancelled under the older leader has no record, and its task may be on any silent
+// machine. Machines that hang do not end their tasks with their lease.
+TEST_F(Reconciliation, AMachineThatMayRunCancelledTasksIsReturnedInTimeHoweverManyAreSilent) {
   const std::vector<MachineId> all{"m1", "m2", "m3", "m4", "m5", "m6"};
   stored(all, {job("req-2", 3)});
   unreachable_ = true;
@@ -449,21 +451,21 @@
   wait(5, 2);
   EXPECT_EQ(std::set<MachineId>(returned_.begin(), returned_.end()),
             std::set<MachineId>(all.begin() + 2, all.end()));
-  // One that hears nobody is cut off itself.
-  last_.clear();
+  // A leader without any heartbeats is cut off itself.
+  last_heartbeats_.clear();
   returned_.clear();
   stored(all, {job("req-2", 3)});
   wait(40, 0);
   EXPECT_TRUE(returned_.empty());
 }
 
-// It listed a task of a job that has ended, was told to stop it, and says nothing since.
-TEST_F(Takeover, WhoListedEndedWorkAndFellSilentIsReturnedInTimeHoweverManyAre) {
+// The machine listed a task of a job that has ended, got the stop, and is silent since.
+TEST_F(Reconciliation, ASilentMachineThatListedEndedTasksIsReturnedInTimeHoweverManyAreSilent) {
   stored({"m1", "m2", "m3", "m4"}, {job("req-2", 3)});
   heartbeat("m1", {task("req-9", 0)});
   heartbeat("m2", busy());
   for (const auto* id : {"m3", "m4"}) heartbeat(id, {});
-  last_.clear();
+  last_heartbeats_.clear();
   unreachable_ = true;
   const auto lease = WorkerTimes{}.lease;
   for (int second = 0; Seconds(second) < lease / 2 + Seconds(2); ++second) {
@@ -473,11 +475,11 @@
   EXPECT_EQ(std::set<MachineId>(returned_.begin(), returned_.end()), (std::set<MachineId>{"m1"}));
 }
 
-// Once every other controller has said that it follows, nobody else can have renewed a lease.
-TEST_F(Takeover, OlderLeadersThatAreKnownToBeGoneShortenTheWait) {
+// Once every peer has said that it does not lead, no other node can have renewed a lease.
+TEST_F(Reconciliation, FormerLeadersThatAreKnownToBeGoneShortenTheWait) {
   for (const bool gone : {false, true}) {
     commands_.clear();
-    last_.clear();
+    last_heartbeats_.clear();
     stored({"m1", "m2"}, {job("req-1", 1), job("req-2", 3)});
     const auto start = now_;
     std::optional<Seconds> started;
@@ -495,13 +497,13 @@
   }
 }
 
-// A machine that was never asked is not silent: found on the bench, where a leader short of
-// processor returned a quarter of a healthy fleet five seconds after its takeover.
-TEST_F(Takeover, AMachineThatWasNotAskedTwiceIsNotReturned) {
+// A machine that was not queried is not silent: found on the bench, where a leader short of
+// processor time returned a quarter of a healthy fleet five seconds after its election.
+TEST_F(Reconciliation, AMachineThatWasNotQueriedTwiceIsNotReturned) {
   stored({"m1", "m2", "m3"}, {job("req-1", 30)});
   heartbeat("m1", {});
   heartbeat("m2", {});
-  run(Seconds(7));  // m3 is asked once, and the answer is still awaited
+  run(Seconds(7));  // m3 is queried once, and the response is still awaited
   EXPECT_TRUE(returned_.empty());
   controller_->commands_answered("m3", nullptr, now_);
   heartbeat("m1", {});
--- a/tests/core/scheduling/starvation_guard_test.cpp
+++ b/tests/core/scheduling/starvation_guard_test.cpp
@@ -198,12 +198,12 @@
 // All machines that fit were sick for a while: the job avoided each of them for ever.
 TEST_F(HeldBack, FailuresOnAMachineAreForgotten) {
   begin(2, 0);
-  for (int i = 0; i < 2; ++i) workers_[name(i)].sick = true;
+  for (int i = 0; i < 2; ++i) agents_[name(i)].faulty = true;
   run(Seconds(2));
   controller_->job_opened(sized("req-1", 1, 4, Seconds(10)), now_);
   run(Seconds(8));
-  ASSERT_EQ(failures_, 2);
-  for (int i = 0; i < 2; ++i) workers_[name(i)].sick = false;
+  ASSERT_EQ(task_failures_, 2);
+  for (int i = 0; i < 2; ++i) agents_[name(i)].faulty = false;
   run(Seconds(30));
   EXPECT_FALSE(done_.contains("req-1")) << "others would go first";
   run(Seconds(55));
@@ -218,15 +218,15 @@
   controller_->job_opened(sized("req-1", 1, 16), now_);
   run(Seconds(2));
   store_answers_ = false;
-  for_rent_.emplace_back("m900");
+  available_machines_.emplace_back("m900");
   controller_->job_opened(sized("req-2", 1, 16), now_);
   run(Seconds(10));
-  workers_["m900"].renewed = now_;
+  agents_["m900"].lease_renewed_at = now_;
   run(Seconds(45));
   ASSERT_FALSE(began_.contains("req-2"));
   controller_->machine_saved("m900", true, true);
   run(Seconds(5));
-  EXPECT_TRUE(began_.contains("req-2")) << causes_;
+  EXPECT_TRUE(began_.contains("req-2")) << release_causes_;
 }
 
 // Its first task alone would not bring it to an end: small work of its class passed the others.
--- a/tests/simulation/fleet_simulation_test.cpp
+++ b/tests/simulation/fleet_simulation_test.cpp
@@ -101,7 +101,7 @@
 // after five.
 TEST(FleetSimulation, SilentMachinesAreReturnedOnceTheWaitCostsMore) {
   const auto outcome = with_dead(20, false);
-  EXPECT_GE(outcome.stats.returned, 20U);
+  EXPECT_GE(outcome.stats.declared_dead, 20U);
   EXPECT_LT(outcome.recovered, Seconds(3));
 }
 
