--- a/tests/core/machines/failure_detector_test.cpp
+++ b/tests/core/machines/failure_detector_test.cpp
@@ -9,6 +9,7 @@
 namespace violetpulley::core {
 namespace {
 
+/// Machines that send heartbeats and acknowledge nothing, and isolated leaders.
 class FailureDetectorTest : public LeaderWithAgents {
  protected:
   void fill_eight_machines() {
@@ -20,7 +21,7 @@
   }
   // Machine 3 receives no commands for three seconds: its starts are not answered, and their job
   // ends.
-  void cancelled_while_a_start_is_held() {
+  void cancel_while_a_start_is_delayed() {
     begin(8, 0);
     run(Seconds(2));
     agents_[name(3)].receives_commands = false;
@@ -100,7 +101,7 @@
 
 // The start was lost or is delayed; the stop that overtook it proves nothing.
 TEST_F(FailureDetectorTest, ADelayedStartOfACancelledTaskIsSettledInTime) {
-  cancelled_while_a_start_is_held();
+  cancel_while_a_start_is_delayed();
   // The cancellation may have been confirmed a serving time (cancel - lease) before it was known
   // here.
   run(times_.lease * 0.6);
@@ -110,13 +111,13 @@
 
 // While the cloud does not answer, stops for the cancelled tasks are sent to the machine.
 TEST_F(FailureDetectorTest, AMachineThatIsBeingReturnedStillGetsStopsForCancelledTasks) {
-  cancelled_while_a_start_is_held();
+  cancel_while_a_start_is_delayed();
   cloud_answers_ = false;
   run(times_.lease);
   ASSERT_NE(release_causes_.find("with cancelled work"), std::string::npos) << release_causes_;
-  const auto told = stops_sent_[name(3)];
+  const auto stops_before = stops_sent_[name(3)];
   run(Seconds(10));
-  EXPECT_GT(stops_sent_[name(3)], told + 5);
+  EXPECT_GT(stops_sent_[name(3)], stops_before + 5);
 }
 
 // Tasks that end before the lease are worth more than an earlier return of the machine.
--- a/tests/support/leader_with_agents.hpp
+++ b/tests/support/leader_with_agents.hpp
@@ -25,6 +25,7 @@
     TimePoint ends{};
     bool fails = false;
   };
+  /// A machine and its agent.
   struct Agent {
     std::uint64_t epoch = 1;
     std::uint64_t heartbeat_sequence = 0;
@@ -94,13 +95,14 @@
       const TaskStatus stopped{command.task, command.attempt, TaskState::exited, ExitCause::stopped,
                                false};
       if (command.type == CommandType::start && agent.tasks.try_emplace(command.task).second)
-        started(agent, command);
+        start_task(agent, command);
       if (command.type == CommandType::stop && agent.tasks.erase(command.task) > 0)
         agent.ended[command.task] = stopped;
       if (command.type == CommandType::acknowledge) agent.ended.erase(command.task);
     }
   }
-  void started(Agent& agent, const Command& command) {
+  /// Runs a task for its estimate, or for a second if it fails.
+  void start_task(Agent& agent, const Command& command) {
     const auto& job = controller_->jobs().at(command.task.job);
     const auto run_time = job.service() ? kEndless : job.spec().estimate;
     const bool fails = agent.faulty || faulty_jobs_.contains(command.task.job);
@@ -144,44 +146,34 @@
   /// Passes time: heartbeats, missed responses and the actions of the leader.
   void run(Seconds length) {
     for (const auto end = now_ + to_duration(length); now_ < end; now_ += milliseconds(100)) {
-      std::size_t i = 0;
-      for (auto& [id, agent] : agents_) {
-        const auto every = to_duration(heartbeat_interval_);
-        const auto phase =
-            milliseconds(100) * static_cast<int>(i++ * 7 % (every / milliseconds(100)));
-        if (!agent.returned && (now_ - heartbeats_start_ + phase) % every == Duration::zero())
-          send_heartbeat(id);
-      }
-      while (!missed_responses_.empty() && missed_responses_.begin()->first <= now_) {
-        const auto id = missed_responses_.begin()->second;
-        missed_responses_.erase(missed_responses_.begin());
-        controller_->commands_answered(id, nullptr, now_);
-      }
+      send_due_heartbeats();
+      report_missed_responses();
       controller_->tick(now_, serving_, now_);
       for (auto& action : controller_->take_actions()) execute(action);
     }
   }
+  /// Heartbeats of the agents are spread over the heartbeat interval.
+  void send_due_heartbeats() {
+    std::size_t i = 0;
+    for (auto& [id, agent] : agents_) {
+      const auto every = to_duration(heartbeat_interval_);
+      const auto phase =
+          milliseconds(100) * static_cast<int>(i++ * 7 % (every / milliseconds(100)));
+      if (!agent.returned && (now_ - heartbeats_start_ + phase) % every == Duration::zero())
+        send_heartbeat(id);
+    }
+  }
+  void report_missed_responses() {
+    while (!missed_responses_.empty() && missed_responses_.begin()->first <= now_) {
+      const auto id = missed_responses_.begin()->second;
+      missed_responses_.erase(missed_responses_.begin());
+      controller_->commands_answered(id, nullptr, now_);
+    }
+  }
+  /// Carries out an action of the leader as the agents, the store and the cloud do.
   void execute(const Action& action) {
     if (const auto* batch = std::get_if<SendCommands>(&action)) {
-      for (const auto& command : batch->commands)
-        ++(command.type == CommandType::start ? starts_sent_ : stops_sent_)[batch->machine];
-      const auto found = agents_.find(batch->machine);
-      if (found == agents_.end() || found->second.returned || !found->second.receives_commands ||
-          !found->second.sends_heartbeats) {
-        missed_responses_.emplace(now_ + milliseconds(700), batch->machine);
-        return;
-      }
-      auto& agent = found->second;
-      if (batch->epoch == agent.epoch) {
-        agent.token = kToken;
-        execute(agent, batch->commands);
-      }
-      if (!agent.answers_commands) {
-        missed_responses_.emplace(now_ + milliseconds(700), batch->machine);
-        return;
-      }
-      const auto heartbeat = heartbeat_of(batch->machine);
-      controller_->commands_answered(batch->machine, &heartbeat, now_);
+      deliver(*batch);
     } else if (const auto* save = std::get_if<SaveMachine>(&action)) {
       saved_machines_.insert(save->record.id);
       if (store_answers_ && !save->record.endpoint.empty())
@@ -191,25 +183,54 @@
     } else if (const auto* finish = std::get_if<FinishJob>(&action)) {
       done_.insert(finish->job);
       controller_->job_closed(finish->job, now_);
-    } else if (const auto* release = std::get_if<ScaleIn>(&action)) {
-      release_causes_ += release->cause + "; ";
-      if (!cloud_answers_) return controller_->scale_in_answered(release->machines, false, now_);
-      for (const auto& id : release->machines) {
-        returned_.insert(id);
-        agents_[id].returned = true;
-      }
-      controller_->scale_in_answered(release->machines, true, now_);
+    } else if (const auto* scale_in = std::get_if<ScaleIn>(&action)) {
+      return_machines(*scale_in);
     } else if (const auto* resign = std::get_if<Resign>(&action)) {
       if (!resigned_) resigned_ = {now_, resign->cause};
     } else if (std::holds_alternative<JobSuspected>(action)) {
       ++suspicions_;
-    } else if (const auto* rent = std::get_if<ScaleOut>(&action)) {
-      ++scale_outs_;
-      const bool any = !available_machines_.empty();
-      const auto kind = any ? ScaleOutResult::Kind::granted : ScaleOutResult::Kind::no_capacity;
-      controller_->scale_out_answered(rent->name, {kind, std::exchange(available_machines_, {})},
-                                      now_);
+    } else if (const auto* scale_out = std::get_if<ScaleOut>(&action)) {
+      grant_machines(*scale_out);
+    }
+  }
+  /// Delivers a command batch to its agent, and the response to the leader unless one is lost.
+  void deliver(const SendCommands& batch) {
+    for (const auto& command : batch.commands)
+      ++(command.type == CommandType::start ? starts_sent_ : stops_sent_)[batch.machine];
+    const auto found = agents_.find(batch.machine);
+    if (found == agents_.end() || found->second.returned || !found->second.receives_commands ||
+        !found->second.sends_heartbeats) {
+      missed_responses_.emplace(now_ + milliseconds(700), batch.machine);
+      return;
+    }
+    auto& agent = found->second;
+    if (batch.epoch == agent.epoch) {
+      agent.token = kToken;
+      execute(agent, batch.commands);
     }
+    if (!agent.answers_commands) {
+      missed_responses_.emplace(now_ + milliseconds(700), batch.machine);
+      return;
+    }
+    const auto heartbeat = heartbeat_of(batch.machine);
+    controller_->commands_answered(batch.machine, &heartbeat, now_);
+  }
+  void return_machines(const ScaleIn& request) {
+    release_causes_ += request.cause + "; ";
+    if (!cloud_answers_) return controller_->scale_in_answered(request.machines, false, now_);
+    for (const auto& id : request.machines) {
+      returned_.insert(id);
+      agents_[id].returned = true;
+    }
+    controller_->scale_in_answered(request.machines, true, now_);
+  }
+  void grant_machines(const ScaleOut& request) {
+    ++scale_outs_;
+    const bool is_granted = !available_machines_.empty();
+    const auto kind =
+        is_granted ? ScaleOutResult::Kind::granted : ScaleOutResult::Kind::no_capacity;
+    controller_->scale_out_answered(request.name, {kind, std::exchange(available_machines_, {})},
+                                    now_);
   }
   /// Tasks that run on machines that are not returned.
   std::size_t running() const {
@@ -233,17 +254,17 @@
   std::map<MachineId, int> stops_sent_;  ///< and acknowledgements
   bool cloud_answers_ = true;
   std::map<JobId, TimePoint> began_;  ///< first start of a job
-  std::set<JobId> done_;
-  std::set<JobId> faulty_jobs_;  ///< every task fails
+  std::set<JobId> done_;              ///< finished jobs
+  std::set<JobId> faulty_jobs_;       ///< every task fails
   int task_failures_ = 0;
-  std::size_t suspicions_ = 0;
+  std::size_t suspicions_ = 0;  ///< JobSuspected actions
   std::size_t scale_outs_ = 0;
   std::vector<MachineId> available_machines_;  ///< granted to the next request; none: sold out
   bool store_answers_ = true;                  ///< to registrations of machines
   std::set<MachineId> saved_machines_;
-  std::set<MachineId> returned_;
-  std::string release_causes_;
-  std::optional<std::pair<TimePoint, std::string>> resigned_;
+  std::set<MachineId> returned_;                               ///< to the cloud
+  std::string release_causes_;                                 ///< of all ScaleIn actions
+  std::optional<std::pair<TimePoint, std::string>> resigned_;  ///< first time, and the cause
 };
 
 }  // namespace violetpulley::core
