--- a/src/core/failover/heartbeat_handler.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -13,10 +13,6 @@
 constexpr milliseconds kQueryRetry{100};           // after the first query without a response
 constexpr milliseconds kUnconfirmedRetry{50};      // after a response without our token
 constexpr milliseconds kPendingCommandRetry{500};  // commands that the response did not settle
-constexpr std::chrono::seconds kRestartDelay{1};   // of a task that ended without a failure
-constexpr Seconds kFirstPause{2};                  // of a suspected job
-constexpr std::size_t kMachinesOfFaultyJob = 3;    // failures on so many: the job is at fault
-constexpr int kMaxBackoffDoublings = 6;            // of one second
 }  // namespace
 
 void HeartbeatHandler::handle(const Heartbeat& heartbeat, HeartbeatSource source, TimePoint now) {
@@ -152,7 +148,7 @@
   // The start command has arrived.
   if (!assignment.seen) failure_detector_.record_acknowledgement(machine, now);
   assignment.seen = true;
-  if (status.state == TaskState::exited) return handle_task_exit(machine, status, now);
+  if (status.state == TaskState::exited) return task_exits_.handle(machine, status, now);
   assignment.state = status.state;
   if (status.state == TaskState::running && !assignment.running_since) {
     const auto found_job = jobs_.find(status.task.job);
@@ -173,7 +169,7 @@
   if (status.state == TaskState::exited) {
     if (status.cause == ExitCause::done && phase == Phase::waiting && !job.service()) {
       reconciler_.count(&ReconciliationStats::done_unrecorded);
-      record_task_done(job, status.task.index);
+      task_exits_.record_done(job, status.task.index);
     }
     return;
   }
@@ -209,80 +205,6 @@
   if (!recovery_.recovering()) jobs_.note_broken(status.task.job);
 }
 
-void HeartbeatHandler::handle_task_exit(Machine& machine, const TaskStatus& status, TimePoint now) {
-  const auto assignment = machine.tasks.at(status.task);
-  assignments_.drop(machine, status.task, now, status.stored);
-  out_.want_placing();
-  const auto found = jobs_.find(status.task.job);
-  if (found == jobs_.end()) return;
-  auto& job = found->second;
-  jobs_.before_change(job);
-  if (status.cause == ExitCause::done && !job.service())
-    return handle_completion(machine, assignment, job, status.task.index, now);
-  job.set_waiting(status.task.index);
-  if (status.cause == ExitCause::done) {
-    // A replica runs until its job is cancelled; a replica that ends by itself is replaced after a
-    // pause.
-    delay_restart(job, now);
-    return;
-  }
-  if (job.gang()) jobs_.note_broken(status.task.job);
-  if (status.cause == ExitCause::error) handle_task_failure(machine, job, now);
-  if (status.cause == ExitCause::unknown || status.cause == ExitCause::no_capacity ||
-      status.cause == ExitCause::busy)
-    delay_restart(job, now);
-}
-
-void HeartbeatHandler::handle_completion(Machine& machine, const Assignment& assignment, Job& job,
-                                         TaskIndex index, TimePoint now) {
-  if (assignment.running_since && !assignment.stop)
-    estimator_.finished(job.spec(), assignment.saved + Seconds(now - *assignment.running_since));
-  fleet_.touch_image(machine, assignment.image, job.spec().image_gb, true);
-  machine.errors = 0;
-  machine.error_jobs.clear();
-  record_task_done(job, index);
-}
-
-void HeartbeatHandler::record_task_done(Job& job, TaskIndex index) {
-  if (job.gang()) return gang_scheduler_.done(job);
-  jobs_.task_done(job, index);
-  jobs_.progress_changed(job, index);
-}
-
-void HeartbeatHandler::delay_restart(Job& job, TimePoint now) {
-  job.backoff_until = std::max(job.backoff_until, now + kRestartDelay);
-}
-
-void HeartbeatHandler::handle_task_failure(Machine& machine, Job& job, TimePoint now) {
-  ++job.failures;
-  job.failed_on.insert(machine.id);
-  job.last_failure = now;
-  // A job that fails on machine after machine was submitted with a mistake: it must neither be
-  // retried without a pause nor put healthy machines into quarantine.
-  if (job.done == 0 && job.failed_on.size() >= kMachinesOfFaultyJob) {
-    if (job.waiting.size() == job.tasks.size()) return suspect_job(job, now);
-    const int doublings =
-        std::min(static_cast<int>(job.failed_on.size()) - 2, kMaxBackoffDoublings);
-    job.backoff_until = now + std::chrono::seconds(1L << doublings);
-    return;
-  }
-  ++machine.errors;
-  machine.error_jobs.insert(job.spec().id);
-  const bool has_many_errors = machine.errors >= settings_.tuning.quarantine_errors;
-  if (has_many_errors && (machine.error_jobs.size() >= 2 || job.done > 0))
-    machine.quarantined = true;
-}
-
-// The pause grows with each retry. By then each retry starts a single task: a retry of all tasks
-// would cost as much as the first start.
-void HeartbeatHandler::suspect_job(Job& job, TimePoint now) {
-  const auto pause = std::clamp(job.pause * 2, kFirstPause, kLongestPause);
-  if (pause > job.pause) out_.push_back(JobSuspected{job.spec().id, job.failed_on.size(), pause});
-  job.suspected = true;
-  job.pause = pause;
-  job.backoff_until = now + to_duration(pause);
-}
-
 void HeartbeatHandler::commands_answered(const MachineId& id, const Heartbeat* response,
                                          TimePoint now) {
   auto* machine = fleet_.find(id);
--- a/src/core/failover/heartbeat_handler.hpp
+++ b/src/core/failover/heartbeat_handler.hpp
@@ -6,9 +6,9 @@
 
 #include "core/failover/assignments.hpp"
 #include "core/failover/reconciler.hpp"
+#include "core/failover/task_exit_handler.hpp"
 #include "core/machines/failure_detector.hpp"
 #include "core/machines/machine_registry.hpp"
-#include "core/scheduling/gang_scheduler.hpp"
 
 namespace violetpulley::core {
 
@@ -21,20 +21,18 @@
                    Estimator& estimator, const DeadlineForecaster& forecaster, Recovery& recovery,
                    Reconciler& reconciler, MachineRegistry& registry, CommandDispatcher& commands,
                    Assignments& assignments, GangScheduler& gangs, FencingToken token)
-      : settings_(settings),
-        out_(out),
+      : out_(out),
         catalog_(catalog),
         fleet_(fleet),
         failure_detector_(failure_detector),
         jobs_(jobs),
-        estimator_(estimator),
         forecaster_(forecaster),
         recovery_(recovery),
         reconciler_(reconciler),
         registry_(registry),
         commands_(commands),
         assignments_(assignments),
-        gang_scheduler_(gangs),
+        task_exits_(settings, out, fleet, jobs, estimator, assignments, gangs),
         token_(token) {}
 
   /// Applies a periodic heartbeat. A heartbeat with a higher fencing token than ours ends this
@@ -71,34 +69,23 @@
   void reconcile_unassigned_task(Machine& machine, const TaskStatus& status, TimePoint now);
   /// Makes a task that an older leader started an assignment of this machine.
   void adopt_task(Machine& machine, Job& job, const TaskStatus& status, TimePoint now);
-  void handle_task_exit(Machine& machine, const TaskStatus& status, TimePoint now);
-  void handle_completion(Machine& machine, const Assignment& assignment, Job& job, TaskIndex index,
-                         TimePoint now);
-  void record_task_done(Job& job, TaskIndex index);
-  static void delay_restart(Job& job, TimePoint now);
-  /// Attributes a failure to the job or to the machine, and backs off or quarantines accordingly.
-  void handle_task_failure(Machine& machine, Job& job, TimePoint now);
-  /// All tasks of the job have failed on several machines: it is retried after growing pauses.
-  void suspect_job(Job& job, TimePoint now);
 
   void handle_missed_response(Machine& machine, TimePoint now);
   /// Decides whether and when commands that the response has not settled are sent.
   void schedule_next_commands(Machine& machine, bool was_confirmed, TimePoint now);
 
-  const ControllerSettings& settings_;
   Outbox& out_;
   const Catalog& catalog_;
   Fleet& fleet_;
   FailureDetector& failure_detector_;
   Jobs& jobs_;
-  Estimator& estimator_;
   const DeadlineForecaster& forecaster_;
   Recovery& recovery_;
   Reconciler& reconciler_;
   MachineRegistry& registry_;
   CommandDispatcher& commands_;
   Assignments& assignments_;
-  GangScheduler& gang_scheduler_;
+  TaskExitHandler task_exits_;
   FencingToken token_;
 };
 
--- /dev/null
+++ b/src/core/failover/task_exit_handler.cpp
@@ -0,0 +1,90 @@
+/// @file
+/// What the end of a task means for its job and its machine.
+#include "core/failover/task_exit_handler.hpp"
+
+#include <algorithm>
+
+namespace violetpulley::core {
+
+namespace {
+constexpr std::chrono::seconds kRestartDelay{1};  // of a task that ended without a failure
+constexpr Seconds kFirstPause{2};                 // of a suspected job
+constexpr std::size_t kMachinesOfFaultyJob = 3;   // failures on so many: the job is at fault
+constexpr int kMaxBackoffDoublings = 6;           // of one second
+}  // namespace
+
+void TaskExitHandler::handle(Machine& machine, const TaskStatus& status, TimePoint now) {
+  const auto assignment = machine.tasks.at(status.task);
+  assignments_.drop(machine, status.task, now, status.stored);
+  out_.want_placing();
+  const auto found = jobs_.find(status.task.job);
+  if (found == jobs_.end()) return;
+  auto& job = found->second;
+  jobs_.before_change(job);
+  if (status.cause == ExitCause::done && !job.service())
+    return handle_completion(machine, assignment, job, status.task.index, now);
+  job.set_waiting(status.task.index);
+  if (status.cause == ExitCause::done) {
+    // A replica runs until its job is cancelled; a replica that ends by itself is replaced after a
+    // pause.
+    delay_restart(job, now);
+    return;
+  }
+  if (job.gang()) jobs_.note_broken(status.task.job);
+  if (status.cause == ExitCause::error) handle_failure(machine, job, now);
+  if (status.cause == ExitCause::unknown || status.cause == ExitCause::no_capacity ||
+      status.cause == ExitCause::busy)
+    delay_restart(job, now);
+}
+
+void TaskExitHandler::handle_completion(Machine& machine, const Assignment& assignment, Job& job,
+                                        TaskIndex index, TimePoint now) {
+  if (assignment.running_since && !assignment.stop)
+    estimator_.finished(job.spec(), assignment.saved + Seconds(now - *assignment.running_since));
+  fleet_.touch_image(machine, assignment.image, job.spec().image_gb, true);
+  machine.errors = 0;
+  machine.error_jobs.clear();
+  record_done(job, index);
+}
+
+void TaskExitHandler::record_done(Job& job, TaskIndex index) {
+  if (job.gang()) return gang_scheduler_.done(job);
+  jobs_.task_done(job, index);
+  jobs_.progress_changed(job, index);
+}
+
+void TaskExitHandler::delay_restart(Job& job, TimePoint now) {
+  job.backoff_until = std::max(job.backoff_until, now + kRestartDelay);
+}
+
+void TaskExitHandler::handle_failure(Machine& machine, Job& job, TimePoint now) {
+  ++job.failures;
+  job.failed_on.insert(machine.id);
+  job.last_failure = now;
+  // A job that fails on machine after machine was submitted with a mistake: it must neither be
+  // retried without a pause nor put healthy machines into quarantine.
+  if (job.done == 0 && job.failed_on.size() >= kMachinesOfFaultyJob) {
+    if (job.waiting.size() == job.tasks.size()) return suspect_job(job, now);
+    const int doublings =
+        std::min(static_cast<int>(job.failed_on.size()) - 2, kMaxBackoffDoublings);
+    job.backoff_until = now + std::chrono::seconds(1L << doublings);
+    return;
+  }
+  ++machine.errors;
+  machine.error_jobs.insert(job.spec().id);
+  const bool has_many_errors = machine.errors >= settings_.tuning.quarantine_errors;
+  if (has_many_errors && (machine.error_jobs.size() >= 2 || job.done > 0))
+    machine.quarantined = true;
+}
+
+// The pause grows with each retry. By then each retry starts a single task: a retry of all tasks
+// would cost as much as the first start.
+void TaskExitHandler::suspect_job(Job& job, TimePoint now) {
+  const auto pause = std::clamp(job.pause * 2, kFirstPause, kLongestPause);
+  if (pause > job.pause) out_.push_back(JobSuspected{job.spec().id, job.failed_on.size(), pause});
+  job.suspected = true;
+  job.pause = pause;
+  job.backoff_until = now + to_duration(pause);
+}
+
+}  // namespace violetpulley::core
--- /dev/null
+++ b/src/core/failover/task_exit_handler.hpp
@@ -0,0 +1,47 @@
+/// @file
+/// Handles tasks that an agent reports as ended: done, to be restarted, or failed. Attributes a
+/// failure to the job or to the machine. Owns no state; changes jobs and machines.
+#pragma once
+
+#include "core/failover/assignments.hpp"
+#include "core/scheduling/gang_scheduler.hpp"
+
+namespace violetpulley::core {
+
+/// Applies the exit cause of a task to its assignment, its job and its machine.
+class TaskExitHandler {
+ public:
+  TaskExitHandler(const ControllerSettings& settings, Outbox& out, Fleet& fleet, Jobs& jobs,
+                  Estimator& estimator, Assignments& assignments, GangScheduler& gangs)
+      : settings_(settings),
+        out_(out),
+        fleet_(fleet),
+        jobs_(jobs),
+        estimator_(estimator),
+        assignments_(assignments),
+        gang_scheduler_(gangs) {}
+
+  /// Ends the assignment of a task that has exited on this machine; there must be one.
+  void handle(Machine& machine, const TaskStatus& status, TimePoint now);
+  /// Records a task as done; a gang is done with its first task.
+  void record_done(Job& job, TaskIndex index);
+
+ private:
+  void handle_completion(Machine& machine, const Assignment& assignment, Job& job, TaskIndex index,
+                         TimePoint now);
+  static void delay_restart(Job& job, TimePoint now);
+  /// Attributes a failure to the job or to the machine, and backs off or quarantines accordingly.
+  void handle_failure(Machine& machine, Job& job, TimePoint now);
+  /// All tasks of the job have failed on several machines: it is retried after growing pauses.
+  void suspect_job(Job& job, TimePoint now);
+
+  const ControllerSettings& settings_;
+  Outbox& out_;
+  Fleet& fleet_;
+  Jobs& jobs_;
+  Estimator& estimator_;
+  Assignments& assignments_;
+  GangScheduler& gang_scheduler_;
+};
+
+}  // namespace violetpulley::core
