--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -40,7 +40,7 @@
                  scale_out_, starvation_guard_) {
   recover_jobs(recovered, token, now);
   for (const auto& record : recovered.machines) recover_machine(record, now);
-  reconciler_.begin();
+  reconciler_.queue_unconfirmed();
   learned_state_handover_.apply(recovered.learned_state, now);
   recovery_.check(now);
 }
@@ -65,7 +65,7 @@
   if (!machine.up()) return;
   machine.registered = true;
   machine.up_since = now;
-  recovery_.expect(machine);
+  recovery_.add_unconfirmed(machine);
 }
 
 void Controller::set_catalog(std::vector<MachineType> types) {
@@ -149,7 +149,7 @@
 
 void Controller::tick(TimePoint now, bool may_place, TimePoint last_proven) {
   recovery_.check(last_proven);
-  reconciler_.ask(now);
+  reconciler_.query_machines(now);
   if (watch_.watch(now, may_place, last_proven)) consolidation_.consolidate(now);
   replica_consolidation_.consolidate(now);
   gang_scheduler_.restart_broken(now);
--- a/src/core/dispatch/task_starter.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -22,7 +22,7 @@
 bool TaskStarter::placeable(const Machine& machine, TimePoint now) const {
   if (!machine.up() || !machine.confirmed || !machine.registered || machine.releasing) return false;
   // All tasks that start behind an outbound partition end with the machine's lease.
-  if (!reached(machine) || machine.outbound_partition_since) return false;
+  if (!is_reachable(machine) || machine.outbound_partition_since) return false;
   if (machine.draining || machine.quarantined || machine.notice_ends) return false;
   return machine.last_heartbeat &&
          now - *machine.last_heartbeat < to_duration(settings_.tuning.silent_after);
@@ -32,14 +32,14 @@
   const auto found = catalog_.teams().find(spec.team);
   if (found == catalog_.teams().end()) return false;
   const auto added = spec.per_task * static_cast<double>(tasks);
-  return (fleet_.team_use(spec.team) + recovery_.uncertain() + added)
+  return (fleet_.team_use(spec.team) + recovery_.possible_use() + added)
       .fits_in(limit_of(found->second));
 }
 
 std::optional<Resources> TaskStarter::quota_left(const std::string& team) const {
   const auto found = catalog_.teams().find(team);
   if (found == catalog_.teams().end()) return std::nullopt;
-  return limit_of(found->second) - fleet_.team_use(team) - recovery_.uncertain();
+  return limit_of(found->second) - fleet_.team_use(team) - recovery_.possible_use();
 }
 
 ZoneUse TaskStarter::zone_use(const Job& job) const {
--- a/src/core/dispatch/task_starter.hpp
+++ b/src/core/dispatch/task_starter.hpp
@@ -47,12 +47,12 @@
 
   /// Whether the task may still be running where a former leader started it.
   bool blocked_on_reconciliation(const Job& job, TaskIndex index) const {
-    return recovery_.held(job, index);
+    return recovery_.is_blocked(job, index);
   }
 
   /// Number of tasks that wait and are not blocked on reconciliation.
   TaskIndex startable(const Job& job) const {
-    return static_cast<TaskIndex>(job.waiting.size() - recovery_.held(job));
+    return static_cast<TaskIndex>(job.waiting.size() - recovery_.blocked_tasks(job));
   }
 
   /// Whether the machine takes new tasks at all: up, confirmed, responsive and staying.
