--- a/src/core/autoscaling/consolidation.hpp
+++ b/src/core/autoscaling/consolidation.hpp
@@ -1,5 +1,6 @@
-// Returning idle machines and clearing underused ones whole (paper 3.4, DESIGN). Owns nothing: the
-// times are the machines' own.
+/// @file
+/// Returns idle machines and drains underused ones whole (paper 3.4, DESIGN). Owns nothing: the
+/// times are kept in the machines.
 #pragma once
 
 #include "core/autoscaling/scarcity.hpp"
@@ -8,6 +9,7 @@
 
 namespace violetpulley::core {
 
+/// Scales in: idle machines are returned, tasks of underused machines restart elsewhere.
 class Consolidation {
  public:
   Consolidation(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet,
@@ -22,9 +24,20 @@
         scarcity_(scarcity),
         watch_(watch) {}
 
+  /// Examines all machines.
   void consolidate(TimePoint now);
 
  private:
+  void consolidate(Machine& machine, TimePoint now);
+  /// Whether the machine's use has to be ignored, since its tasks wait for it or cannot start.
+  bool is_kept(const Machine& machine) const;
+  /// Whether nothing can run on the machine but starts that were never answered.
+  bool is_idle(const Machine& machine, TimePoint now) const;
+  void review_idle(Machine& machine, TimePoint now);
+  void review_use(Machine& machine, TimePoint now);
+  bool may_restart_tasks(const Machine& machine, TimePoint now) const;
+  void restart_tasks(Machine& machine, TimePoint now);
+
   const ControllerSettings& settings_;
   const Catalog& catalog_;
   Fleet& fleet_;
--- a/src/core/autoscaling/consolidation_rules.hpp
+++ b/src/core/autoscaling/consolidation_rules.hpp
@@ -1,27 +1,31 @@
-// When an underused machine is cleared (paper 3.4, heuristic 2; DESIGN).
+/// @file
+/// When an underused machine is drained and its tasks restarted (paper 3.4, heuristic 2; DESIGN).
 #pragma once
 
 #include "core/machines/fleet.hpp"
 
 namespace violetpulley::core {
 
-inline bool underused(const Machine& machine, double below) {
-  const auto part = [](double used, double capacity) { return capacity > 0 ? used / capacity : 0; };
-  return part(machine.used.cpus, machine.capacity.cpus) < below &&
-         part(machine.used.gpus, machine.capacity.gpus) < below &&
-         part(machine.used.memory_gb, machine.capacity.memory_gb) < below;
+/// Whether less than this share of the machine's capacity is used, in each dimension.
+inline bool underused(const Machine& machine, double max_share) {
+  const auto share = [](double used, double capacity) {
+    return capacity > 0 ? used / capacity : 0;
+  };
+  return share(machine.used.cpus, machine.capacity.cpus) < max_share &&
+         share(machine.used.gpus, machine.capacity.gpus) < max_share &&
+         share(machine.used.memory_gb, machine.capacity.memory_gb) < max_share;
 }
 
-// Tasks restart elsewhere only if the longest remaining estimate exceeds the run time they lose
-// plus the time to boot a machine and fetch the image. All of a machine's tasks move, or none.
+/// Tasks restart elsewhere only if the longest remaining estimate exceeds the run time they lose
+/// plus the time to boot a machine and fetch the image. All of a machine's tasks move, or none.
 inline bool worth_restarting(const Machine& machine, TimePoint now, Seconds boot, Seconds fetch) {
-  Seconds longest{0};
-  Seconds lost{0};
+  Seconds max_remaining{0};
+  Seconds max_lost{0};
   for (const auto& [key, task] : machine.tasks) {
-    longest = std::max(longest, remaining_of(task, now));
-    lost = std::max(lost, cost_of_stop(task, now));
+    max_remaining = std::max(max_remaining, remaining_of(task, now));
+    max_lost = std::max(max_lost, cost_of_stop(task, now));
   }
-  return longest > lost + boot + fetch;
+  return max_remaining > max_lost + boot + fetch;
 }
 
 }  // namespace violetpulley::core
--- a/src/core/autoscaling/instance_offerings.cpp
+++ b/src/core/autoscaling/instance_offerings.cpp
@@ -4,31 +4,43 @@
 
 namespace violetpulley::core {
 
-std::vector<InstanceOffering> InstanceOfferings::options(TimePoint now) const {
-  std::vector<InstanceOffering> options;
+namespace {
+
+OfferingKey key_of(const InstanceOffering& offering) {
+  return {offering.type->name, offering.zone, offering.spot};
+}
+
+}  // namespace
+
+bool InstanceOfferings::cooling_down(const OfferingKey& offering, TimePoint now) const {
+  const auto cooldown = cooldowns_.find(offering);
+  return cooldown != cooldowns_.end() && now < cooldown->second;
+}
+
+std::vector<InstanceOffering> InstanceOfferings::available(TimePoint now) const {
+  std::vector<InstanceOffering> offerings;
   for (const auto& [name, type] : catalog_.types())
     for (const auto& zone : type.zones)
       for (const bool spot : {true, false}) {
-        const auto cooldowns = cooldowns_.find({name, zone, spot});
-        if (cooldowns != cooldowns_.end() && now < cooldowns->second) continue;
+        if (cooling_down({name, zone, spot}, now)) continue;
         const double price = spot ? type.spot_price : type.price;
-        if (price > 0) options.push_back({&type, zone, spot, price});
+        if (price > 0) offerings.push_back({&type, zone, spot, price});
       }
-  // Of options that score alike the first one is chosen: zones take turns.
-  std::stable_sort(options.begin(), options.end(), [&](const auto& x, const auto& y) {
-    return last_requested({x.type->name, x.zone, x.spot}) <
-           last_requested({y.type->name, y.zone, y.spot});
-  });
-  return options;
+  // Of offerings that score alike the first one is chosen: zones take turns.
+  std::stable_sort(offerings.begin(), offerings.end(),
+                   [&](const InstanceOffering& a, const InstanceOffering& b) {
+                     return last_requested(key_of(a)) < last_requested(key_of(b));
+                   });
+  return offerings;
 }
 
-bool InstanceOfferings::rentable(const JobSpec& spec, const std::string& region,
-                                 TimePoint now) const {
-  const auto all = options(now);
-  return std::any_of(all.begin(), all.end(), [&](const InstanceOffering& option) {
-    return (region.empty() || option.zone == region) &&
-           allowed_on(spec, option.type->name, option.zone, option.spot) &&
-           spec.per_task.fits_in(option.type->capacity);
+bool InstanceOfferings::can_scale_out(const JobSpec& spec, const std::string& region,
+                                      TimePoint now) const {
+  const auto offerings = available(now);
+  return std::any_of(offerings.begin(), offerings.end(), [&](const InstanceOffering& offering) {
+    return (region.empty() || offering.zone == region) &&
+           allowed_on(spec, offering.type->name, offering.zone, offering.spot) &&
+           spec.per_task.fits_in(offering.type->capacity);
   });
 }
 
--- a/src/core/autoscaling/instance_offerings.hpp
+++ b/src/core/autoscaling/instance_offerings.hpp
@@ -1,5 +1,7 @@
-// What can be rented now: types in zones and kinds, less those that were refused lately (paper 3.3;
-// DESIGN, "Expected trouble"). Owns when each was asked for last and which ones rest.
+/// @file
+/// Instance offerings that can be requested now: machine types in zones, spot and on demand, less
+/// those that were refused lately (paper 3.3; DESIGN, "Expected trouble"). Owns the time of each
+/// offering's last request and the cooldowns.
 #pragma once
 
 #include "core/autoscaling/scaler.hpp"
@@ -7,22 +9,29 @@
 
 namespace violetpulley::core {
 
+/// The offerings of the catalog, with their cooldowns.
 class InstanceOfferings {
  public:
   explicit InstanceOfferings(const Catalog& catalog) : catalog_(catalog) {}
 
-  // Those asked for longest ago come first.
-  std::vector<InstanceOffering> options(TimePoint now) const;
-  // Whether a machine for the job can be rented in the zone; any zone if empty.
-  bool rentable(const JobSpec& spec, const std::string& region, TimePoint now) const;
+  /// All offerings that have a price and no cooldown, those requested longest ago first.
+  std::vector<InstanceOffering> available(TimePoint now) const;
+  /// Whether a machine for the job can be requested in the zone; in any zone if empty.
+  bool can_scale_out(const JobSpec& spec, const std::string& region, TimePoint now) const;
 
-  void asked(const OfferingKey& option, TimePoint now) { last_requested_[option] = now; }
-  TimePoint last_requested(const OfferingKey& option) const {
-    const auto found = last_requested_.find(option);
+  void note_requested(const OfferingKey& offering, TimePoint now) {
+    last_requested_[offering] = now;
+  }
+  /// The epoch of the clock if the offering was never requested.
+  TimePoint last_requested(const OfferingKey& offering) const {
+    const auto found = last_requested_.find(offering);
     return found == last_requested_.end() ? TimePoint{} : found->second;
   }
-  // Refused: not asked for until then.
-  void start_cooldown(const OfferingKey& option, TimePoint until) { cooldowns_[option] = until; }
+  /// The offering was refused: it is not requested before `until`.
+  void start_cooldown(const OfferingKey& offering, TimePoint until) {
+    cooldowns_[offering] = until;
+  }
+  /// The end of each offering's last cooldown, which may be past.
   const std::map<OfferingKey, TimePoint>& cooldowns() const { return cooldowns_; }
 
   template <class S, class F>
@@ -31,6 +40,8 @@
   }
 
  private:
+  bool cooling_down(const OfferingKey& offering, TimePoint now) const;
+
   const Catalog& catalog_;
   std::map<OfferingKey, TimePoint> cooldowns_;
   std::map<OfferingKey, TimePoint> last_requested_;
--- a/src/core/autoscaling/scale_out_groups.hpp
+++ b/src/core/autoscaling/scale_out_groups.hpp
@@ -1,26 +1,30 @@
-// What rentals are for: values handed between the parts that choose machines to rent.
+/// @file
+/// What machines are requested for: values handed between the parts that plan a scale-out.
 #pragma once
 
 #include "core/model/catalog.hpp"
 
 namespace violetpulley::core {
 
-// Where fewer machines come than were asked for, those first in this order get them.
+/// Where fewer machines come than were requested, groups of the first rank get them.
 enum class ScaleOutRank { service, gang, array };
 
-// What one machine of a rental is for: the tasks bound to it, or places of a gang.
+/// What one requested machine is for: the tasks bound to it, or slots for a gang.
 struct ScaleOutGroup {
   std::vector<TaskKey> tasks;
+  /// Empty unless the machine is for a gang.
   JobId gang;
-  TaskIndex places = 0;
+  /// How many tasks of the gang fit the machine.
+  TaskIndex slots = 0;
   ScaleOutRank rank = ScaleOutRank::array;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.tasks, s.gang, s.places, s.rank);
+    f(s.tasks, s.gang, s.slots, s.rank);
   }
 };
 
+/// The machines to request, one group for each, by instance offering.
 using ScaleOutPlan = std::map<OfferingKey, std::vector<ScaleOutGroup>>;
 
 }  // namespace violetpulley::core
--- a/src/core/autoscaling/scale_out_planner.cpp
+++ b/src/core/autoscaling/scale_out_planner.cpp
@@ -7,172 +7,219 @@
 namespace violetpulley::core {
 
 namespace {
+
 constexpr std::size_t kMaxMachinesPerRequest = 50;  // PROTOCOL, POST /rentals
+
+/// How long an offering is not requested after an answer that tells nothing about its capacity, or
+/// after none.
+constexpr Seconds kUnclearAnswerCooldown{3};
+
+bool has_longer_estimate(const ScalerJob& a, const ScalerJob& b) { return a.estimate > b.estimate; }
+
+bool ranks_before(const ScaleOutGroup& a, const ScaleOutGroup& b) { return a.rank < b.rank; }
+
+/// Whether the request has brought a machine for the group at this index.
+bool is_granted(const ScaleOutResult& answer, std::size_t group) {
+  return answer.kind == ScaleOutResult::Kind::granted && group < answer.machines.size();
+}
+
 }  // namespace
 
 void ScaleOutPlanner::round(const std::vector<Candidate>& queue, TimePoint now) {
   if (now - last_scale_ < to_duration(settings_.tuning.round)) return;
-  auto left = unplaced_tasks(queue);
-  if (left.empty() && !scarcity_.gangs()) return;
+  auto unplaced = unplaced_tasks(queue);
+  if (unplaced.empty() && !scarcity_.has_gangs()) return;
   last_scale_ = now;
-  scale(std::move(left), queue, now);
+  auto plan = plan_for_tasks(std::move(unplaced), now);
+  gang_scheduler_.add_scale_out_groups(queue, plan, now);
+  send_plan(plan, now);
 }
 
-// The tasks that found no room and are not bound yet, in the order of the queue.
 std::vector<ScalerJob> ScaleOutPlanner::unplaced_tasks(const std::vector<Candidate>& queue) const {
-  std::vector<ScalerJob> left;
-  std::map<std::string, Resources> room;  // tasks that could not start must not rent machines
+  std::vector<ScalerJob> unplaced;
+  // No machines are requested for tasks that their team's quota would not let start.
+  std::map<std::string, Resources> quota_left_by_team;
   for (const auto& candidate : queue) {
     const auto& job = *candidate.job;
     const auto& spec = job.spec();
-    const auto limit = task_starter_.quota_left(spec.team);
-    if (!limit || job.gang() || job.suspected) continue;
-    auto& free = room.try_emplace(spec.team, *limit).first->second;
-    ScalerJob entry{&spec, candidate.estimate, {}, {}};
-    for (const auto index : job.waiting) {
-      if (!spec.per_task.fits_in(free)) break;
-      if (task_starter_.held(job, index)) continue;
-      free -= spec.per_task;
-      if (!job.tasks[index].bound.empty()) continue;
-      entry.tasks.push_back(index);
-    }
-    if (spec.spread) {
-      const auto claims = zone_claims(job);
-      for (const auto& [name, type] : catalog_.types())
-        for (const auto& zone : type.zones) {
-          const auto claimed = claims.find(zone);
-          const TaskIndex here = claimed == claims.end() ? 0 : claimed->second;
-          const TaskIndex most = max_tasks_in_zone(spec);
-          entry.zone_capacity[zone] = most > here ? most - here : 0;
-        }
-    }
-    if (!entry.tasks.empty()) left.push_back(std::move(entry));
+    const auto quota_left = task_starter_.quota_left(spec.team);
+    if (!quota_left || job.gang() || job.suspected) continue;
+    auto& team_left = quota_left_by_team.try_emplace(spec.team, *quota_left).first->second;
+    ScalerJob entry{&spec, candidate.estimate, unplaced_tasks_of(job, team_left), {}};
+    if (spec.spread) entry.zone_capacity = zone_capacity(job);
+    if (!entry.tasks.empty()) unplaced.push_back(std::move(entry));
+  }
+  return unplaced;
+}
+
+std::vector<TaskIndex> ScaleOutPlanner::unplaced_tasks_of(const Job& job,
+                                                          Resources& quota_left) const {
+  const auto& need = job.spec().per_task;
+  std::vector<TaskIndex> tasks;
+  for (const auto index : job.waiting) {
+    if (!need.fits_in(quota_left)) break;
+    if (task_starter_.held(job, index)) continue;
+    quota_left -= need;
+    if (job.tasks[index].bound.empty()) tasks.push_back(index);
   }
-  return left;
+  return tasks;
+}
+
+std::map<std::string, TaskIndex> ScaleOutPlanner::zone_capacity(const Job& job) const {
+  const auto claims = zone_claims(job);
+  const TaskIndex max_tasks = max_tasks_in_zone(job.spec());
+  std::map<std::string, TaskIndex> capacity;
+  for (const auto& [name, type] : catalog_.types())
+    for (const auto& zone : type.zones) {
+      const auto claim = claims.find(zone);
+      const TaskIndex claimed = claim == claims.end() ? 0 : claim->second;
+      capacity[zone] = max_tasks > claimed ? max_tasks - claimed : 0;
+    }
+  return capacity;
 }
 
-// Where the job's tasks are or will be: those too that wait for machines which boot or are being
-// rented.
 ZoneUse ScaleOutPlanner::zone_claims(const Job& job) const {
   auto use = task_starter_.zone_use(job);
   if (!job.spec().spread) return use;
   for (const auto index : job.waiting) {
     const auto& bound = job.tasks[index].bound;
     if (bound.empty()) continue;
+    const auto pending = requests_in_flight_.find(bound);
     if (const auto* machine = fleet_.find(bound))
       ++use[machine->zone];
-    else if (const auto rental = requests_in_flight_.find(bound);
-             rental != requests_in_flight_.end())
-      ++use[rental->second.request.zone];
+    else if (pending != requests_in_flight_.end())
+      ++use[pending->second.request.zone];
   }
   return use;
 }
 
-void ScaleOutPlanner::scale(std::vector<ScalerJob> unplaced_tasks,
-                            const std::vector<Candidate>& queue, TimePoint now) {
-  std::stable_sort(unplaced_tasks.begin(), unplaced_tasks.end(),
-                   [](const auto& a, const auto& b) { return a.estimate > b.estimate; });
-  const auto may_use_offering = [&](const JobSpec& spec, const InstanceOffering& option) {
-    const auto& job = jobs_.at(spec.id);
-    // Exception to the design: a dear kind is rented only for work that has waited, since room on
-    // a cheap machine may come first (docs/design.md, "Dear machines last").
-    const bool waited =
-        !spec.spot_allowed || forecaster_.age(job, now) > settings_.tuning.on_demand_patience;
-    return (waited || !catalog_.expensive(option.type->name, option.spot)) &&
-           !scarcity_.reserved_for_others(spec, option.type->name) &&
-           zone_allowed(spec, task_starter_.zone_use(job), option.zone);
-  };
-  Scaler scaler(std::move(unplaced_tasks), offerings_.options(now), may_use_offering);
-  ScaleOutPlan chosen;
+bool ScaleOutPlanner::may_use_offering(const JobSpec& spec, const InstanceOffering& offering,
+                                       TimePoint now) const {
+  const auto& job = jobs_.at(spec.id);
+  // Exception to the design: an expensive offering is requested only for work that has waited,
+  // since capacity on a cheap machine may come first (docs/design.md, "Dear machines last").
+  const bool waited =
+      !spec.spot_allowed || forecaster_.age(job, now) > settings_.tuning.on_demand_patience;
+  return (waited || !catalog_.expensive(offering.type->name, offering.spot)) &&
+         !scarcity_.reserved_for_others(spec, offering.type->name) &&
+         zone_allowed(spec, task_starter_.zone_use(job), offering.zone);
+}
+
+ScaleOutPlan ScaleOutPlanner::plan_for_tasks(std::vector<ScalerJob> unplaced_tasks,
+                                             TimePoint now) const {
+  std::stable_sort(unplaced_tasks.begin(), unplaced_tasks.end(), has_longer_estimate);
+  Scaler scaler(std::move(unplaced_tasks), offerings_.available(now),
+                [&](const JobSpec& spec, const InstanceOffering& offering) {
+                  return may_use_offering(spec, offering, now);
+                });
+  ScaleOutPlan plan;
   while (const auto choice = scaler.choose()) {
-    const auto& option = scaler.option(*choice);
-    auto& groups = chosen[{option.type->name, option.zone, option.spot}];
+    const auto& offering = scaler.option(*choice);
+    auto& groups = plan[{offering.type->name, offering.zone, offering.spot}];
     do {
-      auto tasks = scaler.take(*choice);
-      const bool lasting = jobs_.at(tasks.front().job).service();
-      groups.push_back(
-          {std::move(tasks), {}, 0, lasting ? ScaleOutRank::service : ScaleOutRank::array});
+      groups.push_back(group_of(scaler.take(*choice)));
     } while (groups.size() < kMaxMachinesPerRequest && scaler.repeats(*choice));
     if (groups.size() >= kMaxMachinesPerRequest) scaler.exhaust(*choice);
   }
-  gang_scheduler_.add_scale_out_groups(queue, chosen, now);
-  // Requests are few a second: the option that was asked for longest ago comes first, so that
-  // none starves behind another that fills one request after the other.
+  return plan;
+}
+
+ScaleOutGroup ScaleOutPlanner::group_of(std::vector<TaskKey> tasks) const {
+  const bool has_service = jobs_.at(tasks.front().job).service();
+  ScaleOutGroup group;
+  group.tasks = std::move(tasks);
+  group.rank = has_service ? ScaleOutRank::service : ScaleOutRank::array;
+  return group;
+}
+
+// Requests are few a second: the offering that was requested longest ago comes first, so that no
+// offering waits for ever behind another one that fills one request after the other.
+void ScaleOutPlanner::send_plan(ScaleOutPlan& plan, TimePoint now) {
   std::vector<OfferingKey> order;
-  for (const auto& [option, groups] : chosen) order.push_back(option);
-  std::stable_sort(order.begin(), order.end(), [&](const OfferingKey& x, const OfferingKey& y) {
-    return offerings_.last_requested(x) < offerings_.last_requested(y);
+  for (const auto& [offering, groups] : plan) order.push_back(offering);
+  std::stable_sort(order.begin(), order.end(), [&](const OfferingKey& a, const OfferingKey& b) {
+    return offerings_.last_requested(a) < offerings_.last_requested(b);
   });
-  for (const auto& option : order) {
-    auto& groups = chosen.at(option);
+  for (const auto& offering : order) {
+    auto& groups = plan.at(offering);
     if (!rate_.take(now)) break;
-    // Where fewer machines come than were asked for, the first groups get them.
-    std::stable_sort(
-        groups.begin(), groups.end(),
-        [](const ScaleOutGroup& a, const ScaleOutGroup& b) { return a.rank < b.rank; });
+    // Where fewer machines come than were requested, the first groups get them.
+    std::stable_sort(groups.begin(), groups.end(), ranks_before);
     if (groups.size() > kMaxMachinesPerRequest) groups.resize(kMaxMachinesPerRequest);
-    send(option, std::move(groups), now);
+    send(offering, std::move(groups), now);
   }
 }
 
-void ScaleOutPlanner::send(const OfferingKey& option, std::vector<ScaleOutGroup> groups,
+void ScaleOutPlanner::send(const OfferingKey& offering, std::vector<ScaleOutGroup> groups,
                            TimePoint now) {
-  offerings_.asked(option, now);
-  // The token and a counter make the name: no other request ever bears it.
-  PendingScaleOut rental;
-  rental.request = {"r-" + std::to_string(token_) + "-" + std::to_string(next_request_++),
-                    option.type, option.zone, option.spot, static_cast<int>(groups.size())};
-  rental.sent = now;
+  offerings_.note_requested(offering, now);
+  PendingScaleOut pending;
+  pending.request = {next_request_name(), offering.type, offering.zone, offering.spot,
+                     static_cast<int>(groups.size())};
+  pending.sent = now;
   for (const auto& group : groups) {
-    bindings_.bind(group.tasks, rental.request.name);
-    gang_scheduler_.asked(group.gang, group.places);
+    bindings_.bind(group.tasks, pending.request.name);
+    gang_scheduler_.slots_requested(group.gang, group.slots);
   }
-  rental.groups = std::move(groups);
-  out_.push_back(rental.request);
-  requests_in_flight_.emplace(rental.request.name, std::move(rental));
+  pending.groups = std::move(groups);
+  out_.push_back(pending.request);
+  requests_in_flight_.emplace(pending.request.name, std::move(pending));
+}
+
+// The fencing token and a counter make the name: no other request ever has it.
+std::string ScaleOutPlanner::next_request_name() {
+  return "r-" + std::to_string(token_) + "-" + std::to_string(next_request_++);
 }
 
 void ScaleOutPlanner::answered(const std::string& name, const ScaleOutResult& answer,
                                TimePoint now) {
   const auto found = requests_in_flight_.find(name);
   if (found == requests_in_flight_.end()) return;
-  auto rental = std::move(found->second);
+  auto pending = std::move(found->second);
   requests_in_flight_.erase(found);
-  const auto& request = rental.request;
-  const OfferingKey option{request.type, request.zone, request.spot};
-  const auto rest = now + to_duration(settings_.tuning.refused_cooldown);
-  if (answer.kind != ScaleOutResult::Kind::granted) {
-    // A refused pair rests and others are tried; with no answer, what was rented after all will
-    // show up in the machine list.
-    offerings_.start_cooldown(option, answer.kind == ScaleOutResult::Kind::no_capacity
-                                          ? rest
-                                          : now + to_duration(Seconds(3)));
-  } else if (answer.machines.size() < rental.groups.size()) {
-    offerings_.start_cooldown(option, rest);
-  }
-  for (std::size_t i = 0; i < rental.groups.size(); ++i) {
-    auto& group = rental.groups[i];
-    gang_scheduler_.answered(group.gang, group.places);
-    if (answer.kind != ScaleOutResult::Kind::granted || i >= answer.machines.size()) {
+  note_cooldown(pending, answer, now);
+  for (std::size_t index = 0; index < pending.groups.size(); ++index) {
+    auto& group = pending.groups[index];
+    gang_scheduler_.request_answered(group.gang, group.slots);
+    if (!is_granted(answer, index)) {
       bindings_.unbind(group.tasks, name);
       continue;
     }
-    const auto& id = answer.machines[i];
-    auto* machine = fleet_.find(id);
-    if (machine == nullptr) {
-      machine = &fleet_.add(id);
-      machine->type = request.type;
-      machine->zone = request.zone;
-      machine->spot = request.spot;
-      machine->since = rental.sent;
-      catalog_.apply(*machine);
-      registry_.save(*machine);
-    }
-    gang_scheduler_.granted(group.gang, *machine);
-    bindings_.rebind(std::move(group.tasks), name, id);
+    auto& machine = find_or_add_machine(answer.machines[index], pending);
+    gang_scheduler_.machine_granted(group.gang, machine);
+    bindings_.rebind(std::move(group.tasks), name, machine.id);
   }
   last_scale_ = now - to_duration(settings_.tuning.round);
   out_.want_placing();
 }
 
+// A refused offering has a cooldown and others are tried. With no answer, machines that were
+// granted after all will appear in the cloud's list.
+void ScaleOutPlanner::note_cooldown(const PendingScaleOut& pending, const ScaleOutResult& answer,
+                                    TimePoint now) {
+  const auto& request = pending.request;
+  const OfferingKey offering{request.type, request.zone, request.spot};
+  const auto& refused_cooldown = settings_.tuning.refused_cooldown;
+  if (answer.kind == ScaleOutResult::Kind::granted) {
+    if (answer.machines.size() < pending.groups.size())
+      offerings_.start_cooldown(offering, now + to_duration(refused_cooldown));
+    return;
+  }
+  const bool no_capacity = answer.kind == ScaleOutResult::Kind::no_capacity;
+  offerings_.start_cooldown(
+      offering, now + to_duration(no_capacity ? refused_cooldown : kUnclearAnswerCooldown));
+}
+
+Machine& ScaleOutPlanner::find_or_add_machine(const MachineId& id, const PendingScaleOut& pending) {
+  if (auto* machine = fleet_.find(id)) return *machine;
+  auto& machine = fleet_.add(id);
+  machine.type = pending.request.type;
+  machine.zone = pending.request.zone;
+  machine.spot = pending.request.spot;
+  machine.since = pending.sent;
+  catalog_.apply(machine);
+  registry_.save(machine);
+  return machine;
+}
+
 }  // namespace violetpulley::core
--- a/src/core/autoscaling/scale_out_planner.hpp
+++ b/src/core/autoscaling/scale_out_planner.hpp
@@ -1,5 +1,6 @@
-// Renting: types chosen jointly with groups of the tasks that found no room (paper 3.3, DESIGN),
-// the groups bound to what was rented. Owns the requests under way and the token bucket for them.
+/// @file
+/// Requests machines: types chosen jointly with groups of unplaced tasks (paper 3.3, DESIGN), and
+/// the groups bound to the machines that come. Owns the requests in flight and their rate limit.
 #pragma once
 
 #include "core/autoscaling/scarcity.hpp"
@@ -9,8 +10,10 @@
 
 namespace violetpulley::core {
 
+/// The cloud's answer to a request for machines.
 struct ScaleOutResult {
   enum class Kind { granted, no_capacity, refused, unknown } kind = Kind::unknown;
+  /// At most as many as were requested; empty unless granted.
   std::vector<MachineId> machines;
 
   template <class S, class F>
@@ -19,31 +22,34 @@
   }
 };
 
+/// Plans and sends requests for machines.
 class ScaleOutPlanner {
  public:
   ScaleOutPlanner(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
-                  Fleet& fleet, Jobs& jobs, const TaskStarter& starts,
+                  Fleet& fleet, Jobs& jobs, const TaskStarter& task_starter,
                   const DeadlineForecaster& forecaster, InstanceOfferings& offerings,
-                  TaskBindings& bindings, const Scarcity& scarcity, GangScheduler& gangs,
+                  TaskBindings& bindings, const Scarcity& scarcity, GangScheduler& gang_scheduler,
                   MachineRegistry& registry, FencingToken token)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
         fleet_(fleet),
         jobs_(jobs),
-        task_starter_(starts),
+        task_starter_(task_starter),
         forecaster_(forecaster),
         offerings_(offerings),
         bindings_(bindings),
         scarcity_(scarcity),
-        gang_scheduler_(gangs),
+        gang_scheduler_(gang_scheduler),
         registry_(registry),
         token_(token),
         rate_(settings.cloud_calls_per_s * kScaleOutCallShare,
               std::max(1.0, settings.cloud_calls_per_s * kScaleOutCallShare)) {}
 
-  // Asks for machines, if the last time is long enough ago.
+  /// Requests machines for what the scheduling round has not placed, if the last time is long
+  /// enough ago.
   void round(const std::vector<Candidate>& queue, TimePoint now);
+  /// The request with this name was answered. Unknown names are ignored.
   void answered(const std::string& name, const ScaleOutResult& answer, TimePoint now);
 
   template <class S, class F>
@@ -52,6 +58,7 @@
   }
 
  private:
+  /// A request that is not answered yet, with a group for each of its machines.
   struct PendingScaleOut {
     ScaleOut request;
     std::vector<ScaleOutGroup> groups;
@@ -62,11 +69,24 @@
       f(s.request, s.groups, s.sent);
     }
   };
+
+  /// The tasks that were not placed and are not bound yet, in the order of the queue.
   std::vector<ScalerJob> unplaced_tasks(const std::vector<Candidate>& queue) const;
+  /// The job's unplaced tasks, as many as the team's quota allows; `quota_left` is reduced.
+  std::vector<TaskIndex> unplaced_tasks_of(const Job& job, Resources& quota_left) const;
+  /// How many more of the job's tasks each zone may take.
+  std::map<std::string, TaskIndex> zone_capacity(const Job& job) const;
+  /// Where the job's tasks are or will be: also those that wait for machines which boot or are
+  /// being requested.
   ZoneUse zone_claims(const Job& job) const;
-  void scale(std::vector<ScalerJob> unplaced_tasks, const std::vector<Candidate>& queue,
-             TimePoint now);
-  void send(const OfferingKey& option, std::vector<ScaleOutGroup> groups, TimePoint now);
+  bool may_use_offering(const JobSpec& spec, const InstanceOffering& offering, TimePoint now) const;
+  ScaleOutPlan plan_for_tasks(std::vector<ScalerJob> unplaced_tasks, TimePoint now) const;
+  ScaleOutGroup group_of(std::vector<TaskKey> tasks) const;
+  void send_plan(ScaleOutPlan& plan, TimePoint now);
+  void send(const OfferingKey& offering, std::vector<ScaleOutGroup> groups, TimePoint now);
+  std::string next_request_name();
+  void note_cooldown(const PendingScaleOut& pending, const ScaleOutResult& answer, TimePoint now);
+  Machine& find_or_add_machine(const MachineId& id, const PendingScaleOut& pending);
 
   const ControllerSettings& settings_;
   Outbox& out_;
@@ -81,7 +101,7 @@
   GangScheduler& gang_scheduler_;
   MachineRegistry& registry_;
   FencingToken token_;
-  std::map<std::string, PendingScaleOut> requests_in_flight_;
+  std::map<std::string, PendingScaleOut> requests_in_flight_;  // by name
   std::uint64_t next_request_ = 1;
   RateLimiter rate_;
   TimePoint last_scale_{};
--- a/src/core/autoscaling/scaler.cpp
+++ b/src/core/autoscaling/scaler.cpp
@@ -5,8 +5,15 @@
 namespace violetpulley::core {
 
 namespace {
-constexpr double kAsCheap = 1.05;
-}
+
+/// Prices per CPU that differ by less than this factor count as the same.
+constexpr double kAsCheapFactor = 1.05;
+/// Scores that differ by less than this part are the same: a rounding error decides nothing.
+constexpr double kScoreTolerance = 1e-9;
+/// In place of the CPUs of a machine type that has none.
+constexpr double kMinCpus = 1e-9;
+
+}  // namespace
 
 bool allowed_on(const JobSpec& spec, const std::string& type, const std::string& zone, bool spot) {
   if (spot && !spec.spot_allowed) return false;
@@ -28,12 +35,12 @@
       {used.memory_gb, type.capacity.memory_gb, smallest.memory_gb},
   };
   const Dimension* constraining = nullptr;
-  double highest = -1;
+  double max_share = -1;
   for (const auto& dimension : dimensions) {
     if (dimension.capacity <= 0) continue;
-    const double use = dimension.used / dimension.capacity;
-    if (use > highest) {
-      highest = use;
+    const double share = dimension.used / dimension.capacity;
+    if (share > max_share) {
+      max_share = share;
       constraining = &dimension;
     }
   }
@@ -41,87 +48,95 @@
   return constraining->used / constraining->smallest / price;
 }
 
-Scaler::Scaler(std::vector<ScalerJob> unplaced_tasks, std::vector<InstanceOffering> options,
+Scaler::Scaler(std::vector<ScalerJob> unplaced_tasks, std::vector<InstanceOffering> offerings,
                const OfferingFilter& may_use_offering)
-    : unplaced_tasks_(std::move(unplaced_tasks)), options_(std::move(options)) {
-  for (const auto& option : options_) {
-    const auto& capacity = option.type->capacity;
-    smallest_.cpus = std::min(smallest_.cpus, capacity.cpus);
-    smallest_.memory_gb = std::min(smallest_.memory_gb, capacity.memory_gb);
-    if (capacity.gpus > 0) smallest_.gpus = std::min(smallest_.gpus, capacity.gpus);
-    std::vector<bool> rentable;
+    : unplaced_tasks_(std::move(unplaced_tasks)), offerings_(std::move(offerings)) {
+  for (const auto& offering : offerings_) {
+    const auto& capacity = offering.type->capacity;
+    note_smallest(capacity);
+    std::vector<bool> allowed;
     for (const auto& job : unplaced_tasks_)
-      rentable.push_back(allowed_on(*job.spec, option.type->name, option.zone, option.spot) &&
-                         job.spec->per_task.fits_in(capacity) &&
-                         may_use_offering(*job.spec, option));
-    rentable_.push_back(std::move(rentable));
+      allowed.push_back(allowed_on(*job.spec, offering.type->name, offering.zone, offering.spot) &&
+                        job.spec->per_task.fits_in(capacity) &&
+                        may_use_offering(*job.spec, offering));
+    allowed_.push_back(std::move(allowed));
   }
 }
 
+void Scaler::note_smallest(const Resources& capacity) {
+  smallest_.cpus = std::min(smallest_.cpus, capacity.cpus);
+  smallest_.memory_gb = std::min(smallest_.memory_gb, capacity.memory_gb);
+  if (capacity.gpus > 0) smallest_.gpus = std::min(smallest_.gpus, capacity.gpus);
+}
+
 std::size_t Scaler::max_tasks_in(const ScalerJob& job, const std::string& zone) {
   if (job.zone_capacity.empty()) return job.tasks.size();
-  const auto room = job.zone_capacity.find(zone);
-  return room == job.zone_capacity.end() ? 0
-                                         : std::min<std::size_t>(job.tasks.size(), room->second);
+  const auto capacity = job.zone_capacity.find(zone);
+  if (capacity == job.zone_capacity.end()) return 0;
+  return std::min<std::size_t>(job.tasks.size(), capacity->second);
 }
 
 std::optional<ScaleOutChoice> Scaler::choose() const {
   std::optional<ScaleOutChoice> best;
-  for (std::size_t at = 0; at < options_.size(); ++at) {
-    const auto& option = options_[at];
-    // The groups for this option grow by the next longest task that fits and may run there; a
-    // task that may not run there is left for another option.
-    std::vector<GroupPart> group;
-    Resources used;
-    bool full = false;
-    for (std::size_t i = 0; i < unplaced_tasks_.size() && !full; ++i) {
-      const auto& job = unplaced_tasks_[i];
-      if (job.tasks.empty() || !rentable_[at][i]) continue;
-      group.push_back({i, 0});
-      const auto most = max_tasks_in(job, option.zone);
-      for (std::size_t n = 0; n < most; ++n) {
-        const auto grown = used + job.spec->per_task;
-        full = !grown.fits_in(option.type->capacity);
-        if (full) break;
-        used = grown;
-        ++group.back().tasks;
-        const double score = offering_score(used, *option.type, option.price, smallest_);
-        if (!best || score > best->score * (1 + 1e-9)) best = ScaleOutChoice{at, group, score};
-      }
+  for (std::size_t offering = 0; offering < offerings_.size(); ++offering) consider(offering, best);
+  return best;
+}
+
+// The groups for an offering grow by the next longest task that fits and may run there; a task that
+// may not run there is left for another offering.
+void Scaler::consider(std::size_t index, std::optional<ScaleOutChoice>& best) const {
+  const auto& offering = offerings_[index];
+  std::vector<GroupPart> group;
+  Resources used;
+  for (std::size_t job_index = 0; job_index < unplaced_tasks_.size(); ++job_index) {
+    const auto& job = unplaced_tasks_[job_index];
+    if (job.tasks.empty() || !allowed_[index][job_index]) continue;
+    group.push_back({job_index, 0});
+    const auto max_tasks = max_tasks_in(job, offering.zone);
+    while (group.back().tasks < max_tasks) {
+      const auto grown = used + job.spec->per_task;
+      if (!grown.fits_in(offering.type->capacity)) return;
+      used = grown;
+      ++group.back().tasks;
+      const double score = offering_score(used, *offering.type, offering.price, smallest_);
+      if (!best || score > best->score * (1 + kScoreTolerance))
+        best = ScaleOutChoice{index, group, score};
     }
   }
-  return best;
 }
 
 std::vector<TaskKey> Scaler::take(const ScaleOutChoice& choice) {
-  std::vector<TaskKey> out;
+  std::vector<TaskKey> taken;
   for (const auto& part : choice.group) {
     auto& job = unplaced_tasks_[part.job];
-    for (std::size_t n = 0; n < part.tasks; ++n) {
-      out.push_back({job.spec->id, job.tasks.back()});
+    for (std::size_t count = 0; count < part.tasks; ++count) {
+      taken.push_back({job.spec->id, job.tasks.back()});
       job.tasks.pop_back();
     }
     if (!job.zone_capacity.empty())
-      job.zone_capacity[options_[choice.option].zone] -= static_cast<TaskIndex>(part.tasks);
+      job.zone_capacity[offerings_[choice.option].zone] -= static_cast<TaskIndex>(part.tasks);
   }
-  return out;
+  return taken;
+}
+
+double Scaler::price_per_cpu(std::size_t offering) const {
+  const auto& capacity = offerings_[offering].type->capacity;
+  return offerings_[offering].price / std::max(capacity.cpus, kMinCpus);
 }
 
 void Scaler::exhaust(const ScaleOutChoice& choice) {
-  const auto unit_price = [&](std::size_t at) {
-    const auto& capacity = options_[at].type->capacity;
-    return options_[at].price / std::max(capacity.cpus, 1e-9);
-  };
-  const auto served = rentable_[choice.option];
-  const double most = unit_price(choice.option) * kAsCheap;
-  for (std::size_t at = 0; at < options_.size(); ++at)
+  const auto served = allowed_[choice.option];
+  const double max_price = price_per_cpu(choice.option) * kAsCheapFactor;
+  for (std::size_t offering = 0; offering < offerings_.size(); ++offering) {
+    if (offering != choice.option && price_per_cpu(offering) <= max_price) continue;
     for (std::size_t job = 0; job < served.size(); ++job)
-      if (served[job] && (at == choice.option || unit_price(at) > most)) rentable_[at][job] = false;
+      if (served[job]) allowed_[offering][job] = false;
+  }
 }
 
 bool Scaler::repeats(const ScaleOutChoice& choice) const {
   return std::all_of(choice.group.begin(), choice.group.end(), [&](const GroupPart& part) {
-    return max_tasks_in(unplaced_tasks_[part.job], options_[choice.option].zone) >= part.tasks;
+    return max_tasks_in(unplaced_tasks_[part.job], offerings_[choice.option].zone) >= part.tasks;
   });
 }
 
--- a/src/core/autoscaling/scarcity.cpp
+++ b/src/core/autoscaling/scarcity.cpp
@@ -5,53 +5,62 @@
 namespace violetpulley::core {
 
 namespace {
+
+/// How long a type stays exclusive after the last job that needed it.
 constexpr std::chrono::minutes kExclusiveDemandMemory{5};
-constexpr std::size_t kTasksPerPlaceIfScarce = 8;
+/// Free slots are scarce if more tasks than this wait for each.
+constexpr std::size_t kMaxTasksPerSlot = 8;
+
+bool lists_type(const JobSpec& spec, const std::string& type) {
+  return spec.types.empty() ||
+         std::find(spec.types.begin(), spec.types.end(), type) != spec.types.end();
+}
+
 }  // namespace
 
 void Scarcity::note_exclusive_types(TimePoint now) {
   if (catalog_.types().size() > 1)
-    for (const auto& [id, job] : jobs_) {
-      const auto fits = [&](const auto& entry) {
-        return job.spec().per_task.fits_in(entry.second.capacity);
-      };
-      const auto fitting = std::count_if(catalog_.types().begin(), catalog_.types().end(), fits);
-      if (fitting == 0 || static_cast<std::size_t>(fitting) == catalog_.types().size()) continue;
-      for (const auto& entry : catalog_.types())
-        if (fits(entry)) exclusive_types_[entry.first] = now;
-    }
+    for (const auto& [id, job] : jobs_) note_types_of(job.spec(), now);
   std::erase_if(exclusive_types_,
                 [&](const auto& entry) { return now - entry.second > kExclusiveDemandMemory; });
 }
 
+void Scarcity::note_types_of(const JobSpec& spec, TimePoint now) {
+  const auto& types = catalog_.types();
+  const auto fits = [&](const auto& entry) { return spec.per_task.fits_in(entry.second.capacity); };
+  const auto fitting = static_cast<std::size_t>(std::count_if(types.begin(), types.end(), fits));
+  if (fitting == 0 || fitting == types.size()) return;
+  for (const auto& entry : types)
+    if (fits(entry)) exclusive_types_[entry.first] = now;
+}
+
 bool Scarcity::reserved_for_others(const JobSpec& spec, const std::string& type) const {
   if (!exclusive_types_.contains(type)) return false;
-  return std::any_of(catalog_.types().begin(), catalog_.types().end(), [&](const auto& entry) {
+  const auto& types = catalog_.types();
+  return std::any_of(types.begin(), types.end(), [&](const auto& entry) {
     return !exclusive_types_.contains(entry.first) &&
-           spec.per_task.fits_in(entry.second.capacity) &&
-           (spec.types.empty() ||
-            std::find(spec.types.begin(), spec.types.end(), entry.first) != spec.types.end());
+           spec.per_task.fits_in(entry.second.capacity) && lists_type(spec, entry.first);
   });
 }
 
-std::vector<std::string> Scarcity::types_for_others(const JobSpec& spec) const {
+std::vector<std::string> Scarcity::types_reserved_for_others(const JobSpec& spec) const {
   std::vector<std::string> types;
-  for (const auto& [name, since] : exclusive_types_)
-    if (reserved_for_others(spec, name)) types.push_back(name);
+  for (const auto& [type, last_needed] : exclusive_types_)
+    if (reserved_for_others(spec, type)) types.push_back(type);
   return types;
 }
 
 void Scarcity::note_jobs() {
-  ordinary_work_ = false;
-  gangs_ = false;
+  on_demand_only_work_ = false;
+  has_gangs_ = false;
   for (const auto& [id, job] : jobs_) {
-    ordinary_work_ = ordinary_work_ || !job.spec().spot_allowed;
-    gangs_ = gangs_ || job.gang();
+    on_demand_only_work_ = on_demand_only_work_ || !job.spec().spot_allowed;
+    has_gangs_ = has_gangs_ || job.gang();
   }
 }
 
-void Scarcity::note_places(std::size_t waiting, std::size_t places) {
-  scarce_ = waiting > kTasksPerPlaceIfScarce * places;
+void Scarcity::note_free_slots(std::size_t waiting, std::size_t slots) {
+  slots_scarce_ = waiting > kMaxTasksPerSlot * slots;
 }
 
 }  // namespace violetpulley::core
--- a/src/core/autoscaling/scarcity.hpp
+++ b/src/core/autoscaling/scarcity.hpp
@@ -1,6 +1,8 @@
-// Which types and kinds are short for whom (docs/design.md, "Scarce types", "Ordinary machines",
-// "Scarce places"): exceptions to the design, decided here once a round for packing, renting and
-// clearing. Owns what the last rounds saw.
+/// @file
+/// Which machine types, and which of spot and on-demand machines, are short for whom
+/// (docs/design.md, "Scarce types", "Ordinary machines", "Scarce places"): exceptions to the
+/// design, decided here once a round for packing, scaling out and consolidation. Owns what the last
+/// rounds have found.
 #pragma once
 
 #include "core/jobs/jobs.hpp"
@@ -8,40 +10,50 @@
 
 namespace violetpulley::core {
 
+/// Finds and remembers what is scarce.
 class Scarcity {
  public:
   Scarcity(const Catalog& catalog, const Jobs& jobs) : catalog_(catalog), jobs_(jobs) {}
 
-  // Exception to the design: types that some jobs' tasks cannot do without are left to those by
-  // tasks that fit another type.
+  /// Finds the exclusive types: those that some job's tasks cannot do without. Exception to the
+  /// design: they are left to those tasks by tasks that fit another type.
   void note_exclusive_types(TimePoint now);
+  /// Whether the job's tasks have to leave the type to others.
   bool reserved_for_others(const JobSpec& spec, const std::string& type) const;
-  std::vector<std::string> types_for_others(const JobSpec& spec) const;
+  std::vector<std::string> types_reserved_for_others(const JobSpec& spec) const;
 
+  /// Finds whether there are gangs and jobs that may use no spot machines.
   void note_jobs();
-  void note_waiting(bool exclusive) { exclusive_demand_waiting_ = exclusive; }
-  void note_places(std::size_t waiting, std::size_t places);
-
-  bool exclusive_demand_waiting() const {
-    return exclusive_demand_waiting_;
-  }  // some waiting task does not fit every type
-  bool ordinary_work() const { return ordinary_work_; }  // some job may not use spot machines
-  bool gangs() const { return gangs_; }                  // some job is a gang
-  bool places_scarce() const { return scarce_; }         // many tasks wait for each free place
+  void note_exclusive_demand(bool waiting) { exclusive_demand_waiting_ = waiting; }
+  /// `waiting` tasks compete for `slots`, the tasks of the smallest size that fit now.
+  void note_free_slots(std::size_t waiting, std::size_t slots);
+
+  /// Whether some waiting task does not fit every type.
+  bool exclusive_demand_waiting() const { return exclusive_demand_waiting_; }
+  /// Whether some job may not use spot machines.
+  bool on_demand_only_work() const { return on_demand_only_work_; }
+  bool has_gangs() const { return has_gangs_; }
+  /// Whether many tasks wait for each free slot.
+  bool slots_scarce() const { return slots_scarce_; }
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.exclusive_types_, s.exclusive_demand_waiting_, s.ordinary_work_, s.gangs_, s.scarce_);
+    f(s.exclusive_types_, s.exclusive_demand_waiting_, s.on_demand_only_work_, s.has_gangs_,
+      s.slots_scarce_);
   }
 
  private:
+  /// Adds the types that the job's tasks fit, unless they fit all types or none.
+  void note_types_of(const JobSpec& spec, TimePoint now);
+
   const Catalog& catalog_;
   const Jobs& jobs_;
-  std::map<std::string, TimePoint> exclusive_types_;  // types that some tasks cannot do without
+  /// When some open job last needed the type and could not use every other.
+  std::map<std::string, TimePoint> exclusive_types_;
   bool exclusive_demand_waiting_ = false;
-  bool ordinary_work_ = false;
-  bool gangs_ = false;
-  bool scarce_ = false;
+  bool on_demand_only_work_ = false;
+  bool has_gangs_ = false;
+  bool slots_scarce_ = false;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/dispatch/task_starter.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -74,7 +74,7 @@
   jobs_.before_change(job);
   auto assignment = assignment_of(spec, attempt, forecaster_.estimate_left(job, index), now);
   assignment.saved = job.tasks[job.gang() ? 0 : index].saved;
-  if (image_rank(machine, spec.image) < 2)
+  if (image_rank(machine, spec.image) < ImageRank::present)
     assignment.fetch = fetch_time(spec, machine.fetch_gb_per_s);
   if (settings_.tuning.commit_starts && job.records_starts())
     assignment.record = jobs_.record_start(job, index, machine.id);
--- a/src/core/scheduling/bin_packer.cpp
+++ b/src/core/scheduling/bin_packer.cpp
@@ -7,16 +7,28 @@
 
 namespace violetpulley::core {
 
+namespace {
+
+/// What a GB of free memory counts for, in CPUs: it decides between machines with as many free
+/// CPUs.
+constexpr double kCpusPerFreeGb = 0.01;
+
+/// Lesser bins come after all greater ones; above the number of any bin.
+constexpr int kLesserBinsOffset = 1000;
+
+/// Free capacity as one figure, for "most free room" among machines of different types.
 double free_capacity(const Machine& machine) {
   const auto free = machine.free();
-  return free.cpus + free.memory_gb * 0.01;
+  return free.cpus + free.memory_gb * kCpusPerFreeGb;
 }
 
-int image_rank(const Machine& machine, const std::string& image) {
-  if (image.empty()) return 2;
+}  // namespace
+
+ImageRank image_rank(const Machine& machine, const std::string& image) {
+  if (image.empty()) return ImageRank::present;
   for (const auto& cached : machine.images)
-    if (cached.name == image) return cached.present ? 2 : 1;
-  return 0;
+    if (cached.name == image) return cached.present ? ImageRank::present : ImageRank::fetching;
+  return ImageRank::absent;
 }
 
 void BinPacker::refresh(Offer& offer) {
@@ -36,74 +48,78 @@
     if (offer.machine == &machine) refresh(offer);
 }
 
-bool BinPacker::expensive_per_cpu(const Machine& machine) const {
+bool BinPacker::is_expensive_per_cpu(const Machine& machine) const {
   return machine.capacity.cpus > 0 &&
          is_expensive(machine.price / machine.capacity.cpus, cheapest_per_cpu_);
 }
 
-BinPacker::Choices::Choices(BinPacker& packer, const JobSpec& spec, Seconds estimate)
-    : packer_(packer), spec_(spec), estimate_(estimate) {}
-
 BinPacker::Choices BinPacker::choices(const JobSpec& spec, Seconds estimate,
                                       const std::function<bool(const Machine&)>& may_use,
-                                      int min_rank) {
-  Choices out(*this, spec, estimate);
+                                      ImageRank min_image_rank) {
+  Choices choices(*this, spec, estimate);
   inspections_ += offers_.size();
-  for (std::size_t i = 0; i < offers_.size(); ++i) {
-    const auto& machine = *offers_[i].machine;
+  for (std::size_t index = 0; index < offers_.size(); ++index) {
+    const auto& machine = *offers_[index].machine;
     if (!spec.per_task.fits_in(machine.free())) continue;
-    const int rank = image_rank(machine, spec.image);
-    if (rank < min_rank || !may_use(machine)) continue;
+    const auto rank = image_rank(machine, spec.image);
+    if (rank < min_image_rank || !may_use(machine)) continue;
     Choices::Entry entry;
-    entry.offer = i;
+    entry.offer = index;
     entry.image_rank = rank;
-    entry.expensive = expensive_per_cpu(machine);
+    entry.expensive = is_expensive_per_cpu(machine);
     entry.breaks_whole = keep_whole_ && !machine.spot && machine.tasks.empty();
-    out.place_in_order(entry);
-    out.entries_.push_back(entry);
+    choices.set_bin_order(entry);
+    choices.entries_.push_back(entry);
   }
-  return out;
+  return choices;
 }
 
+BinPacker::Choices::Choices(BinPacker& packer, const JobSpec& spec, Seconds estimate)
+    : packer_(packer), spec_(spec), estimate_(estimate) {}
+
 // Order of bins: own, then greater (nearest first), then lesser (nearest first).
-void BinPacker::Choices::place_in_order(Entry& entry) const {
+void BinPacker::Choices::set_bin_order(Entry& entry) const {
   const int own = bin_of(estimate_, packer_.unit_);
   const int bin = packer_.offers_[entry.offer].bin;
   entry.own_bin = bin == own;
-  entry.bin_order = bin >= own ? bin - own : 1000 + (own - bin);
+  entry.bin_order = bin >= own ? bin - own : kLesserBinsOffset + (own - bin);
+}
+
+bool BinPacker::Choices::has_capacity(const Entry& entry) const {
+  return spec_.per_task.fits_in(packer_.offers_[entry.offer].machine->free());
 }
 
-bool BinPacker::Choices::better(const Entry& a, const Entry& b) const {
+bool BinPacker::Choices::is_better(const Entry& a, const Entry& b) const {
   // Exception to the design: machines that hold the image come before those that must fetch it,
   // since a fetch takes as long as much of the work (docs/design.md, "Images").
   if (a.image_rank != b.image_rank) return a.image_rank > b.image_rank;
-  // Exception to the design: dear machines come after all cheaper ones, so that they run empty
-  // and are returned first (docs/design.md, "Dear machines last").
+  // Exception to the design: expensive machines come after all cheaper ones, so that they run
+  // empty and are returned first (docs/design.md, "Dear machines last").
   if (a.expensive != b.expensive) return b.expensive;
-  // Exception to the design: most free room would spread small tasks over all machines and leave
-  // none to a gang whose tasks need whole ones (docs/design.md, "Gangs").
+  // Exception to the design: most free capacity would spread small tasks over all machines and
+  // leave none to a gang whose tasks need whole machines (docs/design.md, "Gangs").
   if (a.breaks_whole != b.breaks_whole) return b.breaks_whole;
   if (a.bin_order != b.bin_order) return a.bin_order < b.bin_order;
-  const auto& x = packer_.offers_[a.offer];
-  const auto& y = packer_.offers_[b.offer];
+  const auto& a_offer = packer_.offers_[a.offer];
+  const auto& b_offer = packer_.offers_[b.offer];
   if (a.own_bin)
-    return std::abs((x.remaining - estimate_).count()) <
-           std::abs((y.remaining - estimate_).count());
-  return free_capacity(*x.machine) > free_capacity(*y.machine);
+    return std::abs((a_offer.remaining - estimate_).count()) <
+           std::abs((b_offer.remaining - estimate_).count());
+  return free_capacity(*a_offer.machine) > free_capacity(*b_offer.machine);
 }
 
 Machine* BinPacker::Choices::best() {
   packer_.inspections_ += entries_.size();
   constexpr auto kNone = std::numeric_limits<std::size_t>::max();
   auto best = kNone;
-  for (std::size_t i = 0; i < entries_.size();) {
-    if (!spec_.per_task.fits_in(packer_.offers_[entries_[i].offer].machine->free())) {
-      entries_[i] = entries_.back();  // full by now
+  for (std::size_t index = 0; index < entries_.size();) {
+    if (!has_capacity(entries_[index])) {
+      entries_[index] = entries_.back();
       entries_.pop_back();
       continue;
     }
-    if (best == kNone || better(entries_[i], entries_[best])) best = i;
-    ++i;
+    if (best == kNone || is_better(entries_[index], entries_[best])) best = index;
+    ++index;
   }
   return best == kNone ? nullptr : packer_.offers_[entries_[best].offer].machine;
 }
@@ -115,7 +131,7 @@
     packer_.refresh(offer);
     entry.image_rank = image_rank(machine, spec_.image);
     entry.breaks_whole = false;
-    place_in_order(entry);
+    set_bin_order(entry);
   }
 }
 
--- a/src/core/scheduling/bin_packer.hpp
+++ b/src/core/scheduling/bin_packer.hpp
@@ -1,5 +1,7 @@
-// Packing by run-time bins (paper 3.2.2, DESIGN): own bin by closest remaining time, then greater
-// bins, then lesser bins, in each by most free room.
+/// @file
+/// Packing by run-time bins (paper 3.2.2, DESIGN): a task goes to its own bin by closest remaining
+/// time, then to greater bins, then to lesser bins, in each by most free capacity. Owns the
+/// machines of one scheduling round with their bins.
 #pragma once
 
 #include <functional>
@@ -9,37 +11,49 @@
 
 namespace violetpulley::core {
 
+/// How much of an image a machine holds.
+enum class ImageRank { absent, fetching, present };
+
+/// A job without an image finds it present everywhere.
+ImageRank image_rank(const Machine& machine, const std::string& image);
+
+/// Chooses machines for the tasks of one scheduling round.
 class BinPacker {
  public:
   BinPacker(Seconds bin_unit, TimePoint now) : unit_(bin_unit), now_(now) {}
 
-  // A machine that may take tasks in this round.
+  /// Adds a machine that may take tasks in this round.
   void offer(Machine& machine);
   bool empty() const { return offers_.empty(); }
-  // Tasks wait that need whole machines: work that fits elsewhere leaves empty ones alone.
+  /// Tasks wait that need whole machines: work that fits elsewhere leaves empty machines alone.
   void keep_whole() { keep_whole_ = true; }
 
-  // What the tasks of one job may choose from. They are alike, so one look at the fleet serves all.
+  /// What the tasks of one job may choose from. The tasks are alike, so one pass over the machines
+  /// serves them all.
   class Choices {
    public:
-    // The best machine that still has room, or none.
+    /// The best machine that still has free capacity for a task; null if there is none.
     Machine* best();
-    // Tells that a task was placed there, so that its bin and its image follow.
+    /// A task was placed on the machine: its bin and its image rank follow.
     void placed(Machine& machine);
 
    private:
     friend class BinPacker;
     struct Entry {
+      /// Index into `BinPacker::offers_`.
       std::size_t offer = 0;
-      int image_rank = 0;
+      ImageRank image_rank = ImageRank::absent;
+      /// Position of the machine's bin among all bins; lower is better.
       int bin_order = 0;
       bool own_bin = false;
       bool expensive = false;
-      bool breaks_whole = false;  // it is empty, and kept so while there is other room
+      /// The machine is empty, and kept so while other machines have free capacity.
+      bool breaks_whole = false;
     };
     Choices(BinPacker& packer, const JobSpec& spec, Seconds estimate);
-    void place_in_order(Entry& entry) const;
-    bool better(const Entry& a, const Entry& b) const;
+    void set_bin_order(Entry& entry) const;
+    bool has_capacity(const Entry& entry) const;
+    bool is_better(const Entry& a, const Entry& b) const;
 
     BinPacker& packer_;
     const JobSpec& spec_;
@@ -47,15 +61,16 @@
     std::vector<Entry> entries_;
   };
 
-  // `may_use` filters by place, kind and reservations. `min_rank`: how much of the image a
-  // machine must hold at least (see image_rank).
+  /// The machines that a job's tasks may choose from. `may_use` filters by zone, type and
+  /// reservations; `min_image_rank` is the least that a machine must hold of the image.
   Choices choices(const JobSpec& spec, Seconds estimate,
-                  const std::function<bool(const Machine&)>& may_use, int min_rank = 0);
+                  const std::function<bool(const Machine&)>& may_use,
+                  ImageRank min_image_rank = ImageRank::absent);
 
-  // A task was placed outside of any choices.
+  /// A task was placed on the machine outside of any choices.
   void placed(Machine& machine);
 
-  // How many machines were looked at, each time counted: what a round costs.
+  /// Machines examined, each time counted: what a round costs.
   std::uint64_t inspections() const { return inspections_; }
 
  private:
@@ -64,7 +79,7 @@
     Seconds remaining;
     int bin;
   };
-  bool expensive_per_cpu(const Machine& machine) const;
+  bool is_expensive_per_cpu(const Machine& machine) const;
   void refresh(Offer& offer);
 
   Seconds unit_;
@@ -75,10 +90,4 @@
   std::uint64_t inspections_ = 0;
 };
 
-// Free room as one figure, for "most free room" among machines of different types.
-double free_capacity(const Machine& machine);
-
-// What of a machine's image a task finds there: 0 nothing, 1 being fetched, 2 present.
-int image_rank(const Machine& machine, const std::string& image);
-
 }  // namespace violetpulley::core
--- a/src/core/scheduling/gang_reservations.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -6,14 +6,14 @@
 namespace violetpulley::core {
 
 TaskIndex places_on(const Resources& free, const JobSpec& spec) {
-  double places = spec.tasks;
-  const auto consider = [&](double room, double need) {
-    if (need > 0) places = std::min(places, std::floor((room + Resources::kSlack) / need));
+  double slots = spec.tasks;
+  const auto limit_by = [&](double available, double need) {
+    if (need > 0) slots = std::min(slots, std::floor((available + Resources::kSlack) / need));
   };
-  consider(free.cpus, spec.per_task.cpus);
-  consider(free.gpus, spec.per_task.gpus);
-  consider(free.memory_gb, spec.per_task.memory_gb);
-  return static_cast<TaskIndex>(std::max(0.0, places));
+  limit_by(free.cpus, spec.per_task.cpus);
+  limit_by(free.gpus, spec.per_task.gpus);
+  limit_by(free.memory_gb, spec.per_task.memory_gb);
+  return static_cast<TaskIndex>(std::max(0.0, slots));
 }
 
 GangReservation* GangReservations::find(const JobId& gang) {
@@ -21,12 +21,18 @@
   return found == reservations_.end() ? nullptr : &found->second;
 }
 
+const GangReservation* GangReservations::find(const JobId& gang) const {
+  const auto found = reservations_.find(gang);
+  return found == reservations_.end() ? nullptr : &found->second;
+}
+
 GangReservation& GangReservations::open(const JobId& gang, const std::string& region,
                                         TimePoint now) {
-  auto& room = reservations_[gang];
-  room.region = region;
-  room.since = room.grown = now;
-  return room;
+  auto& reservation = reservations_[gang];
+  reservation.region = region;
+  reservation.since = now;
+  reservation.grown = now;
+  return reservation;
 }
 
 void GangReservations::close(Fleet& fleet, const JobId& gang) {
@@ -43,14 +49,20 @@
 }
 
 void GangReservations::release(Fleet& fleet, Machine& machine) {
-  if (auto* room = find(machine.reserved_for)) room->machines.erase(machine.id);
+  if (auto* reservation = find(machine.reserved_for)) reservation->machines.erase(machine.id);
   fleet.set(machine, &Machine::reserved_for, JobId{});
 }
 
 bool GangReservations::another_is_short(const std::string& region) const {
-  return std::any_of(short_regions_.begin(), short_regions_.end(), [&](const std::string& other) {
-    return other.empty() || region.empty() || other == region;
-  });
+  return std::any_of(short_regions_.begin(), short_regions_.end(),
+                     [&](const std::string& short_region) {
+                       return short_region.empty() || region.empty() || short_region == region;
+                     });
+}
+
+bool GangReservations::may_be_short(const std::string& region, std::size_t zones) const {
+  const auto max_short_regions = std::max<std::size_t>(1, zones / 2);
+  return !another_is_short(region) && short_regions_.size() < max_short_regions;
 }
 
 }  // namespace violetpulley::core
--- a/src/core/scheduling/gang_reservations.hpp
+++ b/src/core/scheduling/gang_reservations.hpp
@@ -1,8 +1,9 @@
-// Machines that gangs collect before they start. A machine belongs to one collection at most, and
-// nothing but that gang may start there (Machine::reserved_for).
+/// @file
+/// Machines that gangs reserve until they can start. A machine is reserved for one gang at most,
+/// and nothing but that gang may start there (`Machine::reserved_for`). Owns the reservations and
+/// the regions in which a gang is short of machines in the current round.
 #pragma once
 
-#include <algorithm>
 #include <map>
 #include <set>
 
@@ -10,41 +11,55 @@
 
 namespace violetpulley::core {
 
+/// What one gang has reserved and requested. A slot is free capacity for one of its tasks.
 struct GangReservation {
-  std::string region;  // the zone to collect in; empty: any
+  /// The zone to reserve in; empty: any zone.
+  std::string region;
   std::set<MachineId> machines;
-  TaskIndex asked = 0;    // places on machines that are being rented
-  TaskIndex missing = 0;  // places neither claimed nor asked for nor coming back
+  /// Slots on machines that are being requested.
+  TaskIndex requested = 0;
+  /// Slots neither reserved nor requested nor about to become free again.
+  TaskIndex missing = 0;
   TimePoint since{};
-  TimePoint grown{};  // when it last claimed a machine
+  /// When the gang last reserved a machine.
+  TimePoint grown{};
+
+  /// Whether the gang lacks slots and no request of its own will bring any.
+  bool is_short() const { return missing > 0 && requested == 0; }
+  bool covers_zone(const std::string& zone) const { return region.empty() || region == zone; }
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.region, s.machines, s.asked, s.missing, s.since, s.grown);
+    f(s.region, s.machines, s.requested, s.missing, s.since, s.grown);
   }
 };
 
-// How many tasks of a job fit into what a machine has free.
+/// How many tasks of a job fit into free capacity; at most all of them.
 TaskIndex places_on(const Resources& free, const JobSpec& spec);
 
+/// The reservations of all gangs.
 class GangReservations {
  public:
+  /// The gang's reservation, or null.
   GangReservation* find(const JobId& gang);
+  const GangReservation* find(const JobId& gang) const;
   GangReservation& open(const JobId& gang, const std::string& region, TimePoint now);
+  /// Ends the gang's reservation, if there is one, and frees its machines.
   void close(Fleet& fleet, const JobId& gang);
+  /// Reserves a machine for the gang, which must have a reservation.
   void claim(Fleet& fleet, const JobId& gang, Machine& machine);
+  /// Takes a machine out of the reservation that it belongs to.
   void release(Fleet& fleet, Machine& machine);
 
-  // Gangs come in the order of the queue. The first one of a region that cannot get on keeps what
-  // it has; those behind it hand theirs over, so that no two wait with half of their machines each.
+  /// Gangs come in the order of the queue. The first gang of a region that is short keeps its
+  /// machines; those behind it free theirs, so that no two wait with half of their machines each.
   void new_round() { short_regions_.clear(); }
   void note_short(const std::string& region) { short_regions_.insert(region); }
+  /// Whether a gang before this one is short in the region, or may be: empty means any zone.
   bool another_is_short(const std::string& region) const;
-  // Gangs that are short may hold the machines of half of the zones; the rest is for those that
-  // find enough at once.
-  bool may_be_short(const std::string& region, std::size_t zones) const {
-    return !another_is_short(region) && short_regions_.size() < std::max<std::size_t>(1, zones / 2);
-  }
+  /// Gangs that are short may reserve machines in half of the zones; the rest is for gangs that
+  /// find enough at once.
+  bool may_be_short(const std::string& region, std::size_t zones) const;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -1,78 +1,26 @@
 #include "core/scheduling/gang_scheduler.hpp"
 
 #include <algorithm>
-#include <tuple>
 
 #include "core/jobs/each_assignment.hpp"
 #include "core/model/limits.hpp"
-#include "core/scheduling/bin_packer.hpp"
 
 namespace violetpulley::core {
 
 namespace {
 
-// A machine that boots for longer than this times its usual time is no longer counted on.
-constexpr double kLateForGang = 1.5;
+/// A reserved machine that boots for longer than this times the boot time of its type, plus the
+/// slack, is no longer waited for.
+constexpr double kBootLateFactor = 1.5;
 constexpr std::chrono::seconds kBootSlack{2};
-constexpr std::chrono::seconds kRegisters{5};
-// A gang that cannot get on in its zone looks for another one after this.
+/// How long a machine that is up may take until its registration is committed.
+constexpr std::chrono::seconds kRegistrationTime{5};
+/// A gang that is short in its region may change to another one after this.
 constexpr std::chrono::seconds kMoveAfter{3};
 
 }  // namespace
 
-// The zones that a gang may collect in: one of them if it has to be together, else any.
-std::vector<std::string> GangScheduler::regions(const JobSpec& spec) const {
-  if (spec.zone) return {*spec.zone};
-  if (!spec.same_zone) return {""};
-  std::set<std::string> zones;
-  for (const auto& [name, type] : catalog_.types())
-    if (spec.per_task.fits_in(type.capacity))
-      for (const auto& zone : type.zones) zones.insert(zone);
-  return {zones.begin(), zones.end()};
-}
-
-// Places for the gang's tasks on machines that could take them now, best first, at most as many
-// as it needs.
-std::vector<GangScheduler::GangPlace> GangScheduler::places_for(const Job& job,
-                                                                const std::string& region,
-                                                                const std::vector<Machine*>& open,
-                                                                TimePoint now) const {
-  const auto& spec = job.spec();
-  std::vector<GangPlace> found;
-  for (auto* machine : open) {
-    if (!region.empty() && machine->zone != region) continue;
-    if (!machine->reserved_for.empty() && machine->reserved_for != spec.id) continue;
-    if (bindings_.holds(machine->id) || job.avoids(machine->id, now)) continue;
-    if (!allowed_on(spec, machine->type, machine->zone, machine->spot)) continue;
-    const auto places = places_on(machine->free(), spec);
-    if (places > 0) found.push_back({machine, places, image_rank(*machine, spec.image)});
-  }
-  std::stable_sort(found.begin(), found.end(), [&](const GangPlace& a, const GangPlace& b) {
-    if (a.image_rank != b.image_rank) return a.image_rank > b.image_rank;
-    return a.machine->reserved_for.size() > b.machine->reserved_for.size();
-  });
-  std::vector<GangPlace> out;
-  ZoneUse use;
-  TaskIndex left = spec.tasks;
-  for (auto& place : found) {
-    auto& here = use[place.machine->zone];
-    place.tasks = std::min({place.tasks, left, max_tasks_in_zone(spec) - here});
-    if (place.tasks == 0) continue;
-    here += place.tasks;
-    left -= place.tasks;
-    out.push_back(place);
-    if (left == 0) break;
-  }
-  return out;
-}
-
-TaskIndex GangScheduler::total(const std::vector<GangPlace>& places) {
-  TaskIndex sum = 0;
-  for (const auto& place : places) sum += place.tasks;
-  return sum;
-}
-
-void GangScheduler::place(const Candidate& candidate, const std::vector<Machine*>& open,
+void GangScheduler::place(const Candidate& candidate, const std::vector<Machine*>& schedulable,
                           TimePoint now) {
   auto& job = *candidate.job;
   const auto& spec = job.spec();
@@ -81,45 +29,22 @@
   if (!task_starter_.within_limit(spec, job.waiting.size()))
     return reservations_.close(fleet_, spec.id);
   if (job.waiting.size() == job.tasks.size()) {
-    std::vector<GangPlace> best;
-    TaskIndex max_holders = 0;
-    for (const auto& region : regions(spec)) {
-      auto places = places_for(job, region, open, now);
-      if (total(places) < spec.tasks) continue;
-      TaskIndex holders = 0;
-      for (const auto& place : places) holders += place.image_rank == 2 ? place.tasks : 0;
-      if (!best.empty() && holders <= max_holders) continue;
-      best = std::move(places);
-      max_holders = holders;
-    }
-    if (!best.empty() && start(job, best, now)) return reservations_.close(fleet_, spec.id);
+    const auto slots = slot_finder_.best_complete_slots(job, schedulable, now);
+    if (!slots.empty() && start(job, slots, now)) return reservations_.close(fleet_, spec.id);
   }
-  collect(job, open, now);
+  reserve_machines(job, schedulable, now);
 }
 
 // Starts all tasks or none. Everything is checked for the whole gang before the first start, and
-// for each task again where it is made.
-bool GangScheduler::start(Job& job, const std::vector<GangPlace>& places, TimePoint now) {
-  const auto& spec = job.spec();
-  if (job.waiting.size() != job.tasks.size() ||
-      !task_starter_.within_limit(spec, job.waiting.size()))
-    return false;
-  ZoneUse zones;
-  for (const auto& place : places) {
-    zones[place.machine->zone] += place.tasks;
-    const auto whole = spec.per_task * static_cast<double>(place.tasks);
-    if (!task_starter_.placeable(*place.machine, now) || !whole.fits_in(place.machine->free()))
-      return false;
-  }
-  if (spec.same_zone && zones.size() > 1) return false;
-  for (const auto& [zone, count] : zones)
-    if (count > max_tasks_in_zone(spec)) return false;
+// for each task again where it is started.
+bool GangScheduler::start(Job& job, const std::vector<GangSlots>& slots, TimePoint now) {
+  if (!can_start(job, slots, now)) return false;
   const auto attempt = task_starter_.next_attempt();
   TaskIndex index = 0;
-  for (const auto& place : places)
-    for (TaskIndex n = 0; n < place.tasks; ++n, ++index)
-      if (!task_starter_.start(job, index, *place.machine, attempt, now)) {
-        jobs_.note_broken(spec.id);
+  for (const auto& entry : slots)
+    for (TaskIndex started = 0; started < entry.tasks; ++started, ++index)
+      if (!task_starter_.start(job, index, *entry.machine, attempt, now)) {
+        jobs_.note_broken(job.spec().id);
         return false;
       }
   jobs_.before_change(job);
@@ -127,155 +52,149 @@
   return true;
 }
 
-bool GangScheduler::counts(const Machine& machine, TimePoint now) const {
-  if (machine.releasing || machine.draining || machine.quarantined || machine.notice_ends)
+bool GangScheduler::can_start(const Job& job, const std::vector<GangSlots>& slots,
+                              TimePoint now) const {
+  const auto& spec = job.spec();
+  if (job.waiting.size() != job.tasks.size() ||
+      !task_starter_.within_limit(spec, job.waiting.size()))
     return false;
-  if (machine.up())
-    return task_starter_.placeable(machine, now) ||
-           (!machine.registered && now - machine.up_since.value_or(now) < kRegisters);
-  const auto type = catalog_.types().find(machine.type);
-  if (type == catalog_.types().end()) return false;
-  return now - machine.since < to_duration(type->second.boot * kLateForGang) + kBootSlack;
+  ZoneUse zones;
+  for (const auto& entry : slots) {
+    zones[entry.machine->zone] += entry.tasks;
+    const auto needed = spec.per_task * static_cast<double>(entry.tasks);
+    if (!task_starter_.placeable(*entry.machine, now) || !needed.fits_in(entry.machine->free()))
+      return false;
+  }
+  if (spec.same_zone && zones.size() > 1) return false;
+  return std::all_of(zones.begin(), zones.end(),
+                     [&](const auto& zone) { return zone.second <= max_tasks_in_zone(spec); });
 }
 
-// Where a gang should collect: best where it finds enough at once, then where machines can be
-// rented, then by how much is free. None if another gang is short wherever it could.
-std::optional<std::string> GangScheduler::choose_region(const Job& job,
-                                                        const std::vector<Machine*>& open,
-                                                        TimePoint now) const {
+void GangScheduler::reserve_machines(Job& job, const std::vector<Machine*>& schedulable,
+                                     TimePoint now) {
   const auto& spec = job.spec();
-  std::optional<std::string> best;
-  std::tuple<bool, bool, TaskIndex> best_score{};
-  for (const auto& region : regions(spec)) {
-    const auto free = total(places_for(job, region, open, now));
-    const bool can_scale_out = offerings_.rentable(spec, region, now);
-    if (!can_scale_out && free < spec.tasks && reservations_.another_is_short(region)) continue;
-    const std::tuple score{free >= spec.tasks, can_scale_out, free};
-    if (best && score <= best_score) continue;
-    best = region;
-    best_score = score;
-  }
-  return best;
+  if (pause_if_stalled(job, now)) return;
+  leave_blocked_region(job, now);
+  auto* reservation = find_or_open(job, schedulable, now);
+  if (reservation == nullptr) return;
+  GangSlotCount slots(spec);
+  count_reserved(spec, *reservation, slots, now);
+  count_ending_tasks(job, *reservation, slots, now);
+  reserve_free(job, *reservation, slots, schedulable, now);
+  const auto covered = reservation->requested + slots.total();
+  reservation->missing = spec.tasks > covered ? spec.tasks - covered : 0;
+  if (reservation->is_short() && !offerings_.can_scale_out(spec, reservation->region, now))
+    preempt_or_close(job, *reservation, now);
 }
 
-void GangScheduler::collect(Job& job, const std::vector<Machine*>& open, TimePoint now) {
+// Other jobs wait beside what the gang reserves: if it gets nothing more, they have a turn.
+bool GangScheduler::pause_if_stalled(Job& job, TimePoint now) {
+  const auto& id = job.spec().id;
+  const auto* reservation = reservations_.find(id);
+  if (reservation == nullptr || !reservation->is_short()) return false;
+  if (now - reservation->grown <= kReservationTime) return false;
+  reservations_.close(fleet_, id);
+  jobs_.before_change(job);
+  job.backoff_until = now + kReservationPause;
+  return true;
+}
+
+void GangScheduler::leave_blocked_region(const Job& job, TimePoint now) {
   const auto& spec = job.spec();
-  auto* room = reservations_.find(spec.id);
-  // Others wait beside what it keeps: if it gets nothing more, they have a turn.
-  if (room != nullptr && room->missing > 0 && room->asked == 0 &&
-      now - room->grown > kReservationTime) {
+  const auto* reservation = reservations_.find(spec.id);
+  if (reservation == nullptr || !reservation->is_short()) return;
+  const auto& region = reservation->region;
+  if (offerings_.can_scale_out(spec, region, now)) return;
+  const bool may_move = now - reservation->since > kMoveAfter;
+  if (reservations_.another_is_short(region) ||
+      (may_move && can_scale_out_elsewhere(spec, region, now)))
     reservations_.close(fleet_, spec.id);
-    jobs_.before_change(job);
-    job.backoff_until = now + kReservationPause;
-    return;
-  }
-  if (room != nullptr && room->missing > 0 && room->asked == 0 &&
-      !offerings_.rentable(spec, room->region, now)) {
-    const bool give_way = reservations_.another_is_short(room->region);
-    bool elsewhere = false;
-    if (now - room->since > kMoveAfter)
-      for (const auto& region : regions(spec))
-        elsewhere = elsewhere || (region != room->region && offerings_.rentable(spec, region, now));
-    if (give_way || elsewhere) {
-      reservations_.close(fleet_, spec.id);
-      room = nullptr;
-    }
-  }
-  if (room == nullptr) {
-    const auto region = choose_region(job, open, now);
-    if (!region) return;
-    room = &reservations_.open(spec.id, *region, now);
-  }
-  ZoneUse use;
-  const auto add = [&](const std::string& zone, TaskIndex places) {
-    auto& here = use[zone];
-    here = std::min(here + places, max_tasks_in_zone(spec));
-  };
-  for (const auto& id : std::set<MachineId>(room->machines)) {
+}
+
+bool GangScheduler::can_scale_out_elsewhere(const JobSpec& spec, const std::string& region,
+                                            TimePoint now) const {
+  const auto regions = slot_finder_.regions(spec);
+  return std::any_of(regions.begin(), regions.end(), [&](const std::string& candidate) {
+    return candidate != region && offerings_.can_scale_out(spec, candidate, now);
+  });
+}
+
+GangReservation* GangScheduler::find_or_open(const Job& job,
+                                             const std::vector<Machine*>& schedulable,
+                                             TimePoint now) {
+  const auto& id = job.spec().id;
+  if (auto* reservation = reservations_.find(id)) return reservation;
+  const auto region = slot_finder_.choose_region(job, reservations_, schedulable, now);
+  return region ? &reservations_.open(id, *region, now) : nullptr;
+}
+
+// Machines that will not take tasks soon leave the reservation; the others are counted with what
+// their stopping tasks free.
+void GangScheduler::count_reserved(const JobSpec& spec, const GangReservation& reservation,
+                                   GangSlotCount& slots, TimePoint now) {
+  const auto machines = reservation.machines;  // a release changes the reservation's own set
+  for (const auto& id : machines) {
     auto* machine = fleet_.find(id);
-    if (!counts(*machine, now))
-      reservations_.release(fleet_, *machine);
+    if (is_usable_soon(*machine, now))
+      slots.add(machine->zone, places_on(machine->free_after_stops(), spec));
     else
-      add(machine->zone, places_on(machine->free_after_stops(), spec));
+      reservations_.release(fleet_, *machine);
   }
-  // Where its tasks of an attempt that has failed still end, their places come back.
-  for (const auto& task : job.tasks)
-    if (task.phase == Phase::assigned)
-      if (const auto* machine = fleet_.find(task.machine);
-          machine != nullptr && task_starter_.placeable(*machine, now) &&
-          (room->region.empty() || room->region == machine->zone))
-        add(machine->zone, 1);
-  const auto covered = [&] {
-    TaskIndex sum = room->asked;
-    for (const auto& [zone, places] : use) sum += places;
-    return sum;
-  };
-  for (const auto& place : places_for(job, room->region, open, now)) {
-    if (covered() >= spec.tasks) break;
-    if (!place.machine->reserved_for.empty()) continue;
-    reservations_.claim(fleet_, spec.id, *place.machine);
-    room->grown = now;
-    add(place.machine->zone, place.tasks);
+}
+
+// Where tasks of a failed attempt still end, their slots become free again.
+void GangScheduler::count_ending_tasks(const Job& job, const GangReservation& reservation,
+                                       GangSlotCount& slots, TimePoint now) const {
+  for (const auto& task : job.tasks) {
+    if (task.phase != Phase::assigned) continue;
+    const auto* machine = fleet_.find(task.machine);
+    if (machine != nullptr && task_starter_.placeable(*machine, now) &&
+        reservation.covers_zone(machine->zone))
+      slots.add(machine->zone, 1);
   }
-  const auto sum = covered();
-  room->missing = spec.tasks > sum ? spec.tasks - sum : 0;
-  if (room->missing > 0 && room->asked == 0 && !offerings_.rentable(spec, room->region, now)) {
-    std::set<std::string> zones;
-    for (const auto& [name, type] : catalog_.types())
-      zones.insert(type.zones.begin(), type.zones.end());
-    if (!reservations_.may_be_short(room->region, zones.size()))
-      return reservations_.close(fleet_, spec.id);
-    reservations_.note_short(room->region);
-    preemption_.preempt_for_gang(job, *room, reservations_, now);
+}
+
+void GangScheduler::reserve_free(const Job& job, GangReservation& reservation, GangSlotCount& slots,
+                                 const std::vector<Machine*>& schedulable, TimePoint now) {
+  const auto& spec = job.spec();
+  for (const auto& free : slot_finder_.free_slots(job, reservation.region, schedulable, now)) {
+    if (reservation.requested + slots.total() >= spec.tasks) break;
+    if (!free.machine->reserved_for.empty()) continue;
+    reservations_.claim(fleet_, spec.id, *free.machine);
+    reservation.grown = now;
+    slots.add(free.machine->zone, free.tasks);
   }
 }
 
-// The gang is one group over several machines: scored whole on type, zone and kind, and rented in
-// as few calls as can be.
-void GangScheduler::add_scale_out_groups(const std::vector<Candidate>& queue, ScaleOutPlan& chosen,
-                                         TimePoint now) {
-  const auto options = offerings_.options(now);
-  for (const auto& candidate : queue) {
-    if (!candidate.job->gang()) continue;
-    const auto& job = *candidate.job;
-    const auto& spec = job.spec();
-    const auto* room = reservations_.find(spec.id);
-    if (room == nullptr || room->missing == 0) continue;
-    ZoneUse claimed;
-    for (const auto& id : room->machines)
-      if (const auto* machine = fleet_.find(id))
-        claimed[machine->zone] += places_on(machine->free_after_stops(), spec);
-    const InstanceOffering* best = nullptr;
-    double best_score = 0;
-    for (const auto& option : options) {
-      if (!room->region.empty() && option.zone != room->region) continue;
-      if (!allowed_on(spec, option.type->name, option.zone, option.spot)) continue;
-      if (claimed[option.zone] >= max_tasks_in_zone(spec)) continue;
-      const bool waited =
-          !spec.spot_allowed || forecaster_.age(job, now) > settings_.tuning.on_demand_patience;
-      if (!waited && catalog_.expensive(option.type->name, option.spot)) continue;
-      const auto places = std::min(places_on(option.type->capacity, spec), room->missing);
-      if (places == 0) continue;
-      const auto machines = (room->missing + places - 1) / places;
-      const double score = room->missing / (machines * option.price);
-      if (best != nullptr && score <= best_score * (1 + 1e-9)) continue;
-      best = &option;
-      best_score = score;
-    }
-    if (best == nullptr) continue;
-    auto& groups = chosen[{best->type->name, best->zone, best->spot}];
-    const auto each = places_on(best->type->capacity, spec);
-    auto left = std::min(room->missing, max_tasks_in_zone(spec) - claimed[best->zone]);
-    while (left > 0) {
-      const auto places = std::min(left, each);
-      groups.push_back({{}, spec.id, places, ScaleOutRank::gang});
-      left -= places;
-    }
+void GangScheduler::preempt_or_close(const Job& job, GangReservation& reservation, TimePoint now) {
+  if (!reservations_.may_be_short(reservation.region, count_zones()))
+    return reservations_.close(fleet_, job.spec().id);
+  reservations_.note_short(reservation.region);
+  preemption_.preempt_for_gang(job, reservation, reservations_, now);
+}
+
+bool GangScheduler::is_usable_soon(const Machine& machine, TimePoint now) const {
+  if (machine.releasing || machine.draining || machine.quarantined || machine.notice_ends)
+    return false;
+  if (machine.up()) {
+    const auto up_for = now - machine.up_since.value_or(now);
+    return task_starter_.placeable(machine, now) ||
+           (!machine.registered && up_for < kRegistrationTime);
   }
+  const auto type = catalog_.types().find(machine.type);
+  if (type == catalog_.types().end()) return false;
+  return now - machine.since < to_duration(type->second.boot * kBootLateFactor) + kBootSlack;
+}
+
+std::size_t GangScheduler::count_zones() const {
+  std::set<std::string> zones;
+  for (const auto& [name, type] : catalog_.types())
+    zones.insert(type.zones.begin(), type.zones.end());
+  return zones.size();
 }
 
 // All tasks of a gang that has lost one must be proven gone before it starts anew: those that have
-// not noticed are stopped. What saves is left to it.
+// not noticed are stopped. A task that saves a checkpoint is left to finish it.
 void GangScheduler::restart_broken(TimePoint now) {
   for (const auto& id : jobs_.take_broken()) {
     const auto found = jobs_.find(id);
@@ -291,29 +210,30 @@
 
 // One task that is done proves that all are, also those on machines that died since.
 void GangScheduler::done(Job& job) {
-  for (TaskIndex i = 0; i < job.tasks.size(); ++i) {
-    jobs_.task_done(job, i);
-    if (i % kProgressChunk == 0) jobs_.progress_changed(job, i);
+  for (TaskIndex index = 0; index < job.tasks.size(); ++index) {
+    jobs_.task_done(job, index);
+    if (index % kProgressChunk == 0) jobs_.progress_changed(job, index);
   }
   reservations_.close(fleet_, job.spec().id);
 }
 
-void GangScheduler::asked(const JobId& gang, TaskIndex places) {
-  auto* room = reservations_.find(gang);
-  if (room == nullptr) return;
-  room->asked += places;
-  room->missing -= std::min(room->missing, places);
+void GangScheduler::slots_requested(const JobId& gang, TaskIndex slots) {
+  auto* reservation = reservations_.find(gang);
+  if (reservation == nullptr) return;
+  reservation->requested += slots;
+  reservation->missing -= std::min(reservation->missing, slots);
 }
 
-void GangScheduler::answered(const JobId& gang, TaskIndex places) {
-  if (auto* room = reservations_.find(gang)) room->asked -= std::min(room->asked, places);
+void GangScheduler::request_answered(const JobId& gang, TaskIndex slots) {
+  if (auto* reservation = reservations_.find(gang))
+    reservation->requested -= std::min(reservation->requested, slots);
 }
 
-// A gang that has moved on leaves its machine to anyone.
-void GangScheduler::granted(const JobId& gang, Machine& machine) {
-  const auto* room = reservations_.find(gang);
-  if (room != nullptr && machine.reserved_for.empty() && machine.tasks.empty() &&
-      (room->region.empty() || room->region == machine.zone))
+// A gang that has moved on leaves its machine to any job.
+void GangScheduler::machine_granted(const JobId& gang, Machine& machine) {
+  const auto* reservation = reservations_.find(gang);
+  if (reservation != nullptr && machine.reserved_for.empty() && machine.tasks.empty() &&
+      reservation->covers_zone(machine.zone))
     reservations_.claim(fleet_, gang, machine);
 }
 
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -7,6 +7,34 @@
 
 namespace violetpulley::core {
 
+namespace {
+
+/// How well a machine suits a replica that takes the capacity of one of its tasks.
+enum class Suitability { empty_of_replicas, has_replicas, has_image };
+
+Suitability suitability(const Machine& machine, const std::string& image) {
+  if (image_rank(machine, image) == ImageRank::present) return Suitability::has_image;
+  const bool has_replicas =
+      std::any_of(machine.tasks.begin(), machine.tasks.end(),
+                  [](const auto& entry) { return entry.second.shape == Shape::service; });
+  return has_replicas ? Suitability::has_replicas : Suitability::empty_of_replicas;
+}
+
+/// Summed in the order of the tasks.
+Seconds cost_of_stopping_all(const Machine& machine, TimePoint now) {
+  Seconds cost{0};
+  for (const auto& [key, assignment] : machine.tasks) cost += cost_of_stop(assignment, now);
+  return cost;
+}
+
+/// For victims of either kind.
+template <class Victim>
+bool is_cheaper(const Victim& a, const Victim& b) {
+  return a.cost < b.cost;
+}
+
+}  // namespace
+
 bool Preemption::preemptible(const TaskKey& key, const Assignment& assignment,
                              Priority priority) const {
   if (assignment.shape != Shape::array || assignment.stop || assignment.orphaned) return false;
@@ -15,7 +43,7 @@
          !job->second.tasks[key.index].restarted;
 }
 
-void Preemption::preempt(Machine& machine, const TaskKey& key, Seconds available, TimePoint now) {
+void Preemption::preempt(Machine& machine, const TaskKey& key, Seconds grace, TimePoint now) {
   auto& job = jobs_.at(key.job);
   jobs_.before_change(job);
   fleet_.before_change(machine);
@@ -23,102 +51,120 @@
   jobs_.progress_changed(job, key.index);
   auto& assignment = machine.tasks.at(key);
   assignment.preempted = true;
-  commands_.stop_with_checkpoint(machine, key, assignment, available, now);
+  commands_.stop_with_checkpoint(machine, key, assignment, grace, now);
 }
 
-// Replicas that found no place get that of another task, at once and without a save: users wait.
 void Preemption::preempt_for_services(const std::vector<Candidate>& queue, TimePoint now) {
-  TaskIndex needed = 0;
+  if (startable_replicas(queue) == 0) return;
+  auto victims = find_victims(now);
+  for (const auto& candidate : queue) {
+    const auto& job = *candidate.job;
+    if (job.service() && task_starter_.within_limit(job.spec()))
+      preempt_for_service(job, victims, now);
+  }
+}
+
+TaskIndex Preemption::startable_replicas(const std::vector<Candidate>& queue) const {
+  TaskIndex replicas = 0;
   for (const auto& candidate : queue)
-    if (candidate.job->service()) needed += task_starter_.startable(*candidate.job);
-  if (needed == 0) return;
-  struct Victim {
-    Machine* machine;
-    TaskKey key;
-    Seconds cost;
-  };
-  std::vector<Victim> victims;
-  TaskIndex coming = 0;
+    if (candidate.job->service()) replicas += task_starter_.startable(*candidate.job);
+  return replicas;
+}
+
+Preemption::Victims Preemption::find_victims(TimePoint now) {
+  Victims victims;
   for (auto& [id, machine] : fleet_.all()) {
     if (!task_starter_.placeable(machine, now) || !machine.reserved_for.empty()) continue;
     for (const auto& [key, assignment] : machine.tasks) {
-      if (assignment.preempted && assignment.stop) ++coming;
+      if (assignment.preempted && assignment.stop) ++victims.stopping;
       if (preemptible(key, assignment, Priority::production))
-        victims.push_back({&machine, key, cost_of_stop(assignment, now)});
+        victims.tasks.push_back({&machine, key, cost_of_stop(assignment, now)});
     }
   }
   out_.note_inspections(fleet_.all().size());
-  std::stable_sort(victims.begin(), victims.end(),
-                   [](const Victim& a, const Victim& b) { return a.cost < b.cost; });
-  for (const auto& candidate : queue) {
-    const auto& job = *candidate.job;
-    const auto& spec = job.spec();
-    if (!job.service() || !task_starter_.within_limit(spec)) continue;
-    auto zones = task_starter_.zone_use(job);
-    auto wanted = task_starter_.startable(job);
-    const auto spared = std::min(wanted, coming);  // room that is coming already
-    wanted -= spared;
-    coming -= spared;
-    // First where the image is, then where other replicas are: whole machines stay free.
-    for (const int least : {2, 1, 0})
-      for (auto& victim : victims) {
-        if (wanted == 0) break;
-        if (victim.machine == nullptr) continue;
-        auto& machine = *victim.machine;
-        const bool shared = std::any_of(machine.tasks.begin(), machine.tasks.end(),
-                                        [](auto& t) { return t.second.shape == Shape::service; });
-        const int rank = image_rank(machine, spec.image) == 2 ? 2 : shared ? 1 : 0;
-        const auto& room = machine.tasks.at(victim.key).resources;
-        if (rank < least || !spec.per_task.fits_in(machine.free() + room)) continue;
-        if (spec.priority <= jobs_.at(victim.key.job).spec().priority) continue;
-        if (!allowed_on(spec, machine.type, machine.zone, machine.spot)) continue;
-        if (!zone_allowed(spec, zones, machine.zone)) continue;
-        ++zones[machine.zone];
-        preempt(machine, victim.key, Seconds(0), now);
-        victim.machine = nullptr;
-        --wanted;
-      }
-  }
+  std::stable_sort(victims.tasks.begin(), victims.tasks.end(), is_cheaper<Victim>);
+  return victims;
 }
 
-// A gang that cannot rent what it misses gets whole machines on which only lesser work runs. They
-// are its own from the first stop on, so that no more is stopped than it asked for.
-void Preemption::preempt_for_gang(const Job& job, GangReservation& room,
+void Preemption::preempt_for_service(const Job& job, Victims& victims, TimePoint now) {
+  const auto& spec = job.spec();
+  auto zones = task_starter_.zone_use(job);
+  auto needed = task_starter_.startable(job);
+  const auto coming = std::min(needed, victims.stopping);
+  needed -= coming;
+  victims.stopping -= coming;
+  // First where the image is, then where other replicas are: whole machines stay free.
+  for (const auto min_suitability :
+       {Suitability::has_image, Suitability::has_replicas, Suitability::empty_of_replicas})
+    for (auto& victim : victims.tasks) {
+      if (needed == 0) return;
+      if (victim.machine == nullptr) continue;
+      auto& machine = *victim.machine;
+      if (suitability(machine, spec.image) < min_suitability) continue;
+      if (!may_replace(victim, spec, zones)) continue;
+      ++zones[machine.zone];
+      preempt(machine, victim.key, Seconds(0), now);
+      victim.machine = nullptr;
+      --needed;
+    }
+}
+
+bool Preemption::may_replace(const Victim& victim, const JobSpec& spec,
+                             const ZoneUse& zones) const {
+  const auto& machine = *victim.machine;
+  const auto& freed = machine.tasks.at(victim.key).resources;
+  if (!spec.per_task.fits_in(machine.free() + freed)) return false;
+  if (spec.priority <= jobs_.at(victim.key.job).spec().priority) return false;
+  return allowed_on(spec, machine.type, machine.zone, machine.spot) &&
+         zone_allowed(spec, zones, machine.zone);
+}
+
+void Preemption::preempt_for_gang(const Job& job, GangReservation& reservation,
                                   GangReservations& reservations, TimePoint now) {
+  for (const auto& victim : find_gang_victims(job, reservation.region, now)) {
+    if (reservation.missing == 0) return;
+    reservations.claim(fleet_, job.spec().id, *victim.machine);
+    reservation.missing -= std::min(reservation.missing, victim.slots);
+    preempt_all(*victim.machine, now);
+  }
+}
+
+std::vector<Preemption::GangVictim> Preemption::find_gang_victims(const Job& job,
+                                                                  const std::string& region,
+                                                                  TimePoint now) {
   const auto& spec = job.spec();
-  struct Place {
-    Machine* machine;
-    TaskIndex tasks;
-    Seconds cost;
-  };
-  std::vector<Place> places;
+  std::vector<GangVictim> victims;
   for (auto& [id, machine] : fleet_.all()) {
-    if (!room.region.empty() && machine.zone != room.region) continue;
-    if (!task_starter_.placeable(machine, now) || !machine.reserved_for.empty() ||
-        machine.tasks.empty())
-      continue;
-    if (bindings_.holds(id) || job.avoids(id, now)) continue;
-    if (!allowed_on(spec, machine.type, machine.zone, machine.spot)) continue;
-    Seconds cost{0};
-    bool all = true;
-    for (const auto& [key, assignment] : machine.tasks) {
-      all = all && preemptible(key, assignment, spec.priority);
-      cost += cost_of_stop(assignment, now);
-    }
-    const auto tasks = places_on(machine.capacity, spec);
-    if (all && tasks > 0) places.push_back({&machine, tasks, cost});
+    if (!may_host_gang(machine, job, region, now)) continue;
+    const auto slots = places_on(machine.capacity, spec);
+    if (slots > 0 && all_preemptible(machine, spec.priority))
+      victims.push_back({&machine, slots, cost_of_stopping_all(machine, now)});
   }
   out_.note_inspections(fleet_.all().size());
-  std::stable_sort(places.begin(), places.end(),
-                   [](const Place& a, const Place& b) { return a.cost < b.cost; });
-  for (const auto& place : places) {
-    if (room.missing == 0) return;
-    reservations.claim(fleet_, spec.id, *place.machine);
-    room.missing -= std::min(room.missing, place.tasks);
-    std::vector<TaskKey> keys;
-    for (const auto& [key, assignment] : place.machine->tasks) keys.push_back(key);
-    for (const auto& key : keys) preempt(*place.machine, key, settings_.workers.lease, now);
-  }
+  std::stable_sort(victims.begin(), victims.end(), is_cheaper<GangVictim>);
+  return victims;
+}
+
+bool Preemption::may_host_gang(const Machine& machine, const Job& job, const std::string& region,
+                               TimePoint now) const {
+  if (!region.empty() && machine.zone != region) return false;
+  if (!task_starter_.placeable(machine, now) || !machine.reserved_for.empty()) return false;
+  if (machine.tasks.empty() || bindings_.holds(machine.id)) return false;
+  if (job.avoids(machine.id, now)) return false;
+  return allowed_on(job.spec(), machine.type, machine.zone, machine.spot);
+}
+
+bool Preemption::all_preemptible(const Machine& machine, Priority priority) const {
+  return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
+    return preemptible(entry.first, entry.second, priority);
+  });
+}
+
+// Over a copy of the keys, since each stop changes the assignments.
+void Preemption::preempt_all(Machine& machine, TimePoint now) {
+  std::vector<TaskKey> keys;
+  for (const auto& [key, assignment] : machine.tasks) keys.push_back(key);
+  for (const auto& key : keys) preempt(machine, key, settings_.workers.lease, now);
 }
 
 }  // namespace violetpulley::core
--- a/src/core/scheduling/replica_consolidation.hpp
+++ b/src/core/scheduling/replica_consolidation.hpp
@@ -1,7 +1,8 @@
-// Clearing machines that only replicas keep (DESIGN's clearing, for tasks without an end): what
-// remains of a replica is endless and a move loses no work, but it leaves a gap. So machines are
-// cleared whole as elsewhere, only to machines that hold the image and other replicas, and few
-// replicas are on the move at a time. Owns when it last looked.
+/// @file
+/// Drains machines that only replicas keep (DESIGN's consolidation, for tasks without an end): what
+/// remains of a replica is endless and a move loses no work, but it leaves a gap. So machines are
+/// drained whole as elsewhere, only to machines that hold the image and other replicas, and few
+/// replicas move at a time. Owns the time of the last pass.
 #pragma once
 
 #include "core/dispatch/task_starter.hpp"
@@ -9,30 +10,49 @@
 
 namespace violetpulley::core {
 
+/// Gathers replicas of services on fewer machines.
 class ReplicaConsolidation {
  public:
   ReplicaConsolidation(const ControllerSettings& settings, Outbox& out, Fleet& fleet,
-                       const Jobs& jobs, CommandDispatcher& commands, const TaskStarter& starts,
-                       const TaskBindings& bindings)
+                       const Jobs& jobs, CommandDispatcher& commands,
+                       const TaskStarter& task_starter, const TaskBindings& bindings)
       : settings_(settings),
         out_(out),
         fleet_(fleet),
         jobs_(jobs),
         commands_(commands),
-        task_starter_(starts),
+        task_starter_(task_starter),
         bindings_(bindings) {}
 
-  // Gathers sparse replicas when that is due.
+  /// Gathers sparse replicas when that is due.
   void consolidate(TimePoint now);
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.last_gather_);
+    f(s.last_pass_);
   }
 
  private:
-  Machine* place_for(const Job& job, const Machine& from, const std::vector<Machine*>& hosts,
-                     const std::map<MachineId, Resources>& taken) const;
+  /// What one pass has found in the fleet.
+  struct Survey {
+    std::size_t running = 0;        // replicas
+    std::size_t moving = 0;         // replicas that are starting, stopping or waiting
+    std::vector<Machine*> targets;  // run nothing but replicas and may take more
+    std::vector<Machine*> sparse;   // could be drained
+  };
+  using Claims = std::map<MachineId, Resources>;
+
+  Survey survey(TimePoint now);
+  void survey_machine(Machine& machine, Survey& found, TimePoint now);
+  bool is_drainable(const Machine& machine, TimePoint now) const;
+  bool can_move_all(const Machine& machine, const std::vector<Machine*>& targets) const;
+  /// Stops the machine's replicas, as long as `moving` is below the limit.
+  void move_replicas(Machine& machine, std::size_t& moving, std::size_t max_moving, TimePoint now);
+  /// Where a replica could go: beside other replicas, with its image, in a zone that its job
+  /// allows. `claims`: capacity that other replicas of the same machine would take. Null if there
+  /// is no such machine.
+  Machine* find_target(const Job& job, const Machine& from, const std::vector<Machine*>& targets,
+                       const Claims& claims) const;
 
   const ControllerSettings& settings_;
   Outbox& out_;
@@ -41,7 +61,7 @@
   CommandDispatcher& commands_;
   const TaskStarter& task_starter_;
   const TaskBindings& bindings_;
-  TimePoint last_gather_{};
+  TimePoint last_pass_{};
 };
 
 }  // namespace violetpulley::core
--- a/src/core/scheduling/run_time_bins.hpp
+++ b/src/core/scheduling/run_time_bins.hpp
@@ -1,4 +1,5 @@
-// Run-time bins (paper 3.2.1): bin 0 spans [0, unit), bin i spans [2^(i-1), 2^i) units.
+/// @file
+/// Run-time bins (paper 3.2.1): bin 0 spans [0, unit), bin i spans [2^(i-1), 2^i) units.
 #pragma once
 
 #include <cmath>
@@ -7,15 +8,17 @@
 
 namespace violetpulley::core {
 
+/// The bin of a remaining run time.
 inline int bin_of(Seconds remaining, Seconds unit) {
   const double units = remaining / unit;
   if (!(units >= 1.0)) return 0;
   return static_cast<int>(std::floor(std::log2(units))) + 1;
 }
 
-// The halfway rule (paper 3.4, heuristic 1): a task past its estimate is assumed halfway done.
-inline Seconds remaining_run_time(Seconds estimate, Seconds ran) {
-  return ran < estimate ? estimate - ran : ran;
+/// The halfway rule (paper 3.4, heuristic 1): a task past its estimate is assumed halfway done.
+/// `elapsed` is the run time so far.
+inline Seconds remaining_run_time(Seconds estimate, Seconds elapsed) {
+  return elapsed < estimate ? estimate - elapsed : elapsed;
 }
 
 }  // namespace violetpulley::core
--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -1,62 +1,106 @@
-// Rounds of packing (paper 3.2.2, DESIGN): the queue of waiting jobs, room for each by run-time
-// bins, images first (docs/design.md, "Exceptions"). Owns when the last round was; starts go
-// through `Starts`, what finds no room to `Rentals`. A round makes no more starts than orders can
-// follow: after a takeover thousands of tasks find room at once, and choosing for all of them in
-// one go took a leader's processor for seconds, in which reports were not answered.
+/// @file
+/// Scheduling rounds (paper 3.2.2, DESIGN): the queue of waiting jobs is packed into the free
+/// capacity by run-time bins, machines that hold the image first (docs/design.md, "Exceptions").
+/// Owns the time of the last round. Starts go through `TaskStarter`, unplaced tasks to
+/// `ScaleOutPlanner`.
+///
+/// A round makes no more starts than commands can follow: after a failover thousands of tasks fit
+/// at once, and choosing machines for all of them in one round took a leader's processor for
+/// seconds, in which heartbeats were not answered.
 #pragma once
 
 #include "core/autoscaling/scale_out_planner.hpp"
 #include "core/failover/reconciler.hpp"
 #include "core/scheduling/bin_packer.hpp"
-#include "core/scheduling/starvation_guard.hpp"
+#include "core/scheduling/candidate_queue.hpp"
 
 namespace violetpulley::core {
 
+/// Decides in rounds which waiting tasks start on which machines.
 class Scheduler {
  public:
   Scheduler(const ControllerSettings& settings, Outbox& out, const Catalog& catalog, Fleet& fleet,
             Jobs& jobs, Recovery& recovery, Reconciler& reconciler,
             const CommandDispatcher& commands, const DeadlineForecaster& forecaster,
-            TaskStarter& starts, TaskBindings& bindings, Scarcity& scarcity, Preemption& preemption,
-            GangScheduler& gangs, ScaleOutPlanner& rentals, StarvationGuard& standing)
+            TaskStarter& task_starter, TaskBindings& bindings, Scarcity& scarcity,
+            Preemption& preemption, GangScheduler& gang_scheduler, ScaleOutPlanner& scale_out,
+            StarvationGuard& starvation_guard)
       : settings_(settings),
         out_(out),
         catalog_(catalog),
         fleet_(fleet),
-        jobs_(jobs),
         recovery_(recovery),
         reconciler_(reconciler),
         commands_(commands),
         forecaster_(forecaster),
-        task_starter_(starts),
+        task_starter_(task_starter),
         bindings_(bindings),
         scarcity_(scarcity),
         preemption_(preemption),
-        gang_scheduler_(gangs),
-        scale_out_(rentals),
-        starvation_guard_(standing) {}
+        gang_scheduler_(gang_scheduler),
+        scale_out_(scale_out),
+        starvation_guard_(starvation_guard),
+        candidate_queue_(catalog, fleet, jobs, forecaster, task_starter, starvation_guard) {}
 
-  // Holds a round if one is due.
+  /// Makes a scheduling round if one is due.
   void round(TimePoint now);
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.last_place_);
+    f(s.last_round_);
   }
 
  private:
+  /// The queue is passed twice: first for machines that hold a job's image, then for all.
+  enum class ImagePass { holders_only, all_machines };
+
+  /// How the tasks of one job may be placed in one pass.
+  struct PlacementRules {
+    /// Only one task of the job may start in this round.
+    bool one_task_only = false;
+    /// A start changes which zones the job's next task may use (`same_zone`, `spread`).
+    bool zone_bound = false;
+    /// Empty expensive machines are left to work that may use no spot machines.
+    bool spares_empty_expensive = false;
+    ImageRank min_image_rank = ImageRank::absent;
+    /// Machine types that are left to tasks which fit no other type.
+    std::vector<std::string> excluded_types;
+  };
+
+  using Queue = std::vector<Candidate>;
+
   void place(TimePoint now);
-  void uncordon_draining(const std::vector<Candidate>& queue, TimePoint now);
-  std::vector<Candidate> waiting_jobs(TimePoint now);
+  std::vector<Machine*> schedulable_machines(const Queue& queue, const Resources& smallest_need,
+                                             TimePoint now);
+  void note_free_slots(const Queue& queue, const Resources& smallest_need,
+                       const std::vector<Machine*>& schedulable);
+  bool needs_exclusive_type(const Candidate& candidate) const;
   void place_bound(BinPacker& packer, TimePoint now);
-  void place_job(BinPacker& packer, const Candidate& candidate, bool holders_only, TimePoint now);
-  Seconds longest_fetch(const JobSpec& spec) const;
+  void place_queue(BinPacker& packer, const Queue& queue, const std::vector<Machine*>& schedulable,
+                   TimePoint now);
+  void place_job(BinPacker& packer, const Candidate& candidate, ImagePass pass, TimePoint now);
+  bool may_place(const Candidate& candidate) const;
+  PlacementRules placement_rules(const Candidate& candidate, ImagePass pass, TimePoint now) const;
+  /// Whether the job has waited for an image holder for as long as that pays.
+  bool image_wait_over(const Candidate& candidate, TimePoint now) const;
+  /// Whether the job leaves exclusive types to the tasks that need them.
+  bool leaves_exclusive_types(const Candidate& candidate, TimePoint now) const;
+  bool may_use(const Machine& machine, const Job& job, const PlacementRules& rules,
+               const ZoneUse& zones, TimePoint now) const;
+  /// Starts tasks of the job until none fits. Returns whether the choices have to be made anew,
+  /// since a start has changed which zones the next task may use.
+  bool start_tasks(BinPacker& packer, const Candidate& candidate, const PlacementRules& rules,
+                   TimePoint now);
+  bool may_start(const Job& job, TaskIndex index) const;
+  Seconds max_fetch_time(const JobSpec& spec) const;
+  void uncordon_draining(const Queue& queue, TimePoint now);
+  bool may_uncordon_for(const Job& job, TimePoint now) const;
+  void scale_out(const Queue& queue, TimePoint now);
 
   const ControllerSettings& settings_;
   Outbox& out_;
   const Catalog& catalog_;
   Fleet& fleet_;
-  Jobs& jobs_;
   Recovery& recovery_;
   Reconciler& reconciler_;
   const CommandDispatcher& commands_;
@@ -68,8 +112,10 @@
   GangScheduler& gang_scheduler_;
   ScaleOutPlanner& scale_out_;
   StarvationGuard& starvation_guard_;
-  TimePoint last_place_{};
-  std::size_t starts_left_ = 0;  // in this round
+  CandidateQueue candidate_queue_;
+  TimePoint last_round_{};
+  /// Starts that the current round may still make.
+  std::size_t starts_left_ = 0;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/scheduling/starvation_guard.cpp
+++ b/src/core/scheduling/starvation_guard.cpp
@@ -8,71 +8,115 @@
 namespace violetpulley::core {
 
 namespace {
-// Of the time in which a job must begin, the part after which it stands ahead: the rest is for a
-// place that has to run free, an image and a boot.
+
+/// Of the time in which a job must start, the part after which it counts as starving: the rest is
+/// for a machine that has to run free, an image and a boot.
 constexpr double kStarvingAfter = 0.4;
-constexpr double kStartsPerStartAhead = 8;  // starts, one of them ahead of the others
-constexpr double kMaxCredit = 16;
-constexpr double kLargest = 0.9;     // the largest tenth of a class's open jobs
-constexpr double kGivenUpAfter = 2;  // it could not be helped, and leaves its place to the next
+/// Until this many times that time: after it the job could not be helped, and others have a turn.
+constexpr double kStarvingUntil = 2;
+/// Of so many starts one may be before all other jobs.
+constexpr double kStartsPerPrioritizedStart = 8;
+constexpr double kMaxPrioritizedStarts = 16;
+/// The largest tenth of a class's open jobs.
+constexpr double kLargestQuantile = 0.9;
+
+/// When an assignment is expected to end, and what it frees.
+struct ExpectedEnd {
+  Seconds left;
+  const Assignment* assignment;
+};
+
+bool ends_before(const ExpectedEnd& a, const ExpectedEnd& b) { return a.left < b.left; }
+
+/// Whether the assignment is a replica that is not being stopped: it has no end of its own.
+bool runs_for_good(const Assignment& assignment) {
+  return assignment.shape == Shape::service && !assignment.stop;
+}
+
+std::vector<ExpectedEnd> expected_ends(const Machine& machine, TimePoint now) {
+  std::vector<ExpectedEnd> ends;
+  for (const auto& [key, assignment] : machine.tasks) {
+    const auto left = runs_for_good(assignment) ? kEndless : remaining_of(assignment, now);
+    ends.push_back({left, &assignment});
+  }
+  std::sort(ends.begin(), ends.end(), ends_before);
+  return ends;
+}
+
 }  // namespace
 
 bool StarvationGuard::starving(const Job& job, TimePoint now) const {
   const auto age = forecaster_.age(job, now);
-  const auto within = settings_.tuning.begin_within;
-  return !job.has_started && age > within * kStarvingAfter && age < within * kGivenUpAfter;
+  const auto allowed = settings_.tuning.begin_within;
+  return !job.has_started && age > allowed * kStarvingAfter && age < allowed * kStarvingUntil;
 }
 
 bool StarvationGuard::prioritized_whole(const Job& job, TimePoint now) const {
-  const auto largest = largest_.find(job.spec().job_class);
-  return !job.gang() && !job.service() && largest != largest_.end() &&
+  const auto largest = largest_job_sizes_.find(job.spec().job_class);
+  return !job.gang() && !job.service() && largest != largest_job_sizes_.end() &&
          job.tasks.size() >= largest->second &&
          forecaster_.age(job, now) > settings_.tuning.begin_within * kStarvingAfter;
 }
 
-void StarvationGuard::started(bool ahead) {
-  credit_ =
-      ahead ? std::max(0.0, credit_ - 1) : std::min(kMaxCredit, credit_ + 1 / kStartsPerStartAhead);
+void StarvationGuard::note_start(const Candidate& candidate) {
+  if (candidate.starving)
+    prioritized_starts_ = std::max(0.0, prioritized_starts_ - 1);
+  else
+    prioritized_starts_ =
+        std::min(kMaxPrioritizedStarts, prioritized_starts_ + 1 / kStartsPerPrioritizedStart);
 }
 
 void StarvationGuard::new_round() {
   blocked_teams_.clear();
-  largest_.clear();
-  std::map<std::string, std::vector<TaskIndex>> sizes;
+  largest_job_sizes_.clear();
+  std::map<std::string, std::vector<TaskIndex>> sizes_by_class;
   for (const auto& [id, job] : jobs_)
-    sizes[job.spec().job_class].push_back(static_cast<TaskIndex>(job.tasks.size()));
-  for (auto& [name, all] : sizes) {
-    const auto at = all.begin() + static_cast<long>(static_cast<double>(all.size()) * kLargest);
-    std::nth_element(all.begin(), at, all.end());
-    largest_[name] = *at;
+    sizes_by_class[job.spec().job_class].push_back(static_cast<TaskIndex>(job.tasks.size()));
+  for (auto& [job_class, sizes] : sizes_by_class) {
+    const auto rank = static_cast<long>(static_cast<double>(sizes.size()) * kLargestQuantile);
+    const auto quantile = sizes.begin() + rank;
+    std::nth_element(sizes.begin(), quantile, sizes.end());
+    largest_job_sizes_[job_class] = *quantile;
   }
 }
 
 // What the team may use beside what it has running for good. A job that does not fit into that
-// cannot be helped: found by seed 692 of Operations, where a gang of the size of its team's limit
-// held up the team for ever, since replicas of the same team ran.
-bool StarvationGuard::fits_in_time(const Job& job, std::size_t tasks) const {
+// cannot be helped: found by seed 692 of Operations, where a gang of the size of its team's quota
+// blocked the team for ever, since replicas of the same team ran.
+bool StarvationGuard::quota_suffices_in_time(const Job& job, std::size_t tasks) const {
   const auto& spec = job.spec();
-  auto room = task_starter_.quota_left(spec.team);
-  if (!room) return false;
+  auto available = task_starter_.quota_left(spec.team);
+  if (!available) return false;
   for (const auto& [id, machine] : fleet_.all())
     for (const auto& [key, assignment] : machine.tasks)
-      if (assignment.team == spec.team && (assignment.shape != Shape::service || assignment.stop))
-        *room += assignment.resources;
-  return (spec.per_task * static_cast<double>(tasks)).fits_in(*room);
+      if (assignment.team == spec.team && !runs_for_good(assignment))
+        *available += assignment.resources;
+  return (spec.per_task * static_cast<double>(tasks)).fits_in(*available);
 }
 
 void StarvationGuard::note_not_started(const Job& job, TimePoint now) {
   const auto tasks = job.gang() ? job.waiting.size() : 1;
   if (job.has_started || task_starter_.within_limit(job.spec(), tasks)) return;
-  if (!fits_in_time(job, tasks)) return;
-  auto& left = yielded_quotas_[job.spec().team];
-  if (now - left.last > kReservationPause) left.since = now;
-  if (now - left.since >= kReservationTime) return;
-  left.last = now;
+  if (!quota_suffices_in_time(job, tasks)) return;
+  auto& yielded = yielded_quotas_[job.spec().team];
+  if (now - yielded.last > kReservationPause) yielded.since = now;
+  if (now - yielded.since >= kReservationTime) return;
+  yielded.last = now;
   blocked_teams_.insert(job.spec().team);
 }
 
+bool StarvationGuard::needs_machine(const Job& job, TimePoint now) const {
+  return starving(job, now) && !job.gang() && now >= job.backoff_until &&
+         task_starter_.startable(job) > 0 && task_starter_.within_limit(job.spec());
+}
+
+bool StarvationGuard::reservation_is_valid(TimePoint now) const {
+  const auto job = jobs_.find(reserved_for_job_);
+  const auto* machine = fleet_.find(reserved_machine_);
+  return job != jobs_.end() && needs_machine(job->second, now) && machine != nullptr &&
+         machine->reserved_for == reserved_for_job_ && task_starter_.placeable(*machine, now);
+}
+
 void StarvationGuard::release_reservation() {
   if (auto* machine = fleet_.find(reserved_machine_);
       machine != nullptr && machine->reserved_for == reserved_for_job_)
@@ -81,68 +125,62 @@
   reserved_for_job_.clear();
 }
 
-bool StarvationGuard::waits(const Job& job, TimePoint now) const {
-  return starving(job, now) && !job.gang() && now >= job.backoff_until &&
-         task_starter_.startable(job) > 0 && task_starter_.within_limit(job.spec());
-}
-
-// When what runs there has made room for one of its tasks, if nothing else starts.
-Seconds StarvationGuard::time_until_capacity(const Machine& machine, const JobSpec& spec,
-                                             TimePoint now) const {
-  auto free = machine.free();
-  if (spec.per_task.fits_in(free)) return Seconds(0);
-  std::vector<std::pair<Seconds, const Assignment*>> ends;
-  for (const auto& [key, assignment] : machine.tasks)
-    ends.emplace_back(assignment.shape == Shape::service && !assignment.stop
-                          ? kEndless
-                          : remaining_of(assignment, now),
-                      &assignment);
-  std::sort(ends.begin(), ends.end(),
-            [](const auto& a, const auto& b) { return a.first < b.first; });
-  for (const auto& [left, assignment] : ends) {
-    free += assignment->resources;
-    if (spec.per_task.fits_in(free)) return left;
-  }
-  return kEndless;
+void StarvationGuard::review_reservation(TimePoint now) {
+  if (reserved_machine_.empty()) return;
+  const bool valid = reservation_is_valid(now);
+  if (valid && now - reserved_since_ < kReservationTime) return;
+  release_reservation();
+  if (valid) no_reservation_before_ = now + kReservationPause;
 }
 
 void StarvationGuard::reserve_machine(const std::vector<Candidate>& queue, TimePoint now) {
-  if (!reserved_machine_.empty()) {
-    const auto job = jobs_.find(reserved_for_job_);
-    const auto* machine = fleet_.find(reserved_machine_);
-    const bool stays = job != jobs_.end() && waits(job->second, now) && machine != nullptr &&
-                       machine->reserved_for == reserved_for_job_ &&
-                       task_starter_.placeable(*machine, now);
-    if (stays && now - reserved_since_ < kReservationTime) return;
-    release_reservation();
-    if (stays) no_reservation_before_ = now + kReservationPause;
-  }
-  if (now < no_reservation_before_) return;
+  review_reservation(now);
+  if (!reserved_machine_.empty() || now < no_reservation_before_) return;
   const auto first = std::find_if(queue.begin(), queue.end(), [&](const Candidate& candidate) {
-    return candidate.starving && waits(*candidate.job, now);
+    return candidate.starving && needs_machine(*candidate.job, now);
   });
   if (first == queue.end()) return;
-  const auto& spec = first->job->spec();
-  const auto zones = task_starter_.zone_use(*first->job);
-  Machine* best = nullptr;
-  Seconds least = kEndless;
+  auto* machine = machine_free_soonest(*first->job, now);
+  if (machine == nullptr) return;
+  reserved_machine_ = machine->id;
+  reserved_for_job_ = first->job->spec().id;
+  reserved_since_ = now;
+  fleet_.set(*machine, &Machine::reserved_for, reserved_for_job_);
+}
+
+bool StarvationGuard::may_reserve(const Machine& machine, const Job& job, const ZoneUse& zones,
+                                  TimePoint now) const {
+  const auto& spec = job.spec();
+  if (!machine.reserved_for.empty() || bindings_.holds(machine.id)) return false;
+  if (job.avoids(machine.id, now) || !task_starter_.placeable(machine, now)) return false;
+  if (!spec.per_task.fits_in(machine.capacity)) return false;
+  return allowed_on(spec, machine.type, machine.zone, machine.spot) &&
+         zone_allowed(spec, zones, machine.zone);
+}
+
+Machine* StarvationGuard::machine_free_soonest(const Job& job, TimePoint now) {
+  const auto zones = task_starter_.zone_use(job);
+  Machine* soonest = nullptr;
+  Seconds min_left = kEndless;
   for (auto& [id, machine] : fleet_.all()) {
-    if (!machine.reserved_for.empty() || bindings_.holds(id) || first->job->avoids(id, now))
-      continue;
-    if (!task_starter_.placeable(machine, now) || !spec.per_task.fits_in(machine.capacity))
-      continue;
-    if (!allowed_on(spec, machine.type, machine.zone, machine.spot)) continue;
-    if (!zone_allowed(spec, zones, machine.zone)) continue;
-    const auto left = time_until_capacity(machine, spec, now);
-    if (left >= least) continue;
-    best = &machine;
-    least = left;
+    if (!may_reserve(machine, job, zones, now)) continue;
+    const auto left = time_until_capacity(machine, job.spec(), now);
+    if (left >= min_left) continue;
+    soonest = &machine;
+    min_left = left;
   }
-  if (best == nullptr) return;
-  reserved_machine_ = best->id;
-  reserved_for_job_ = spec.id;
-  reserved_since_ = now;
-  fleet_.set(*best, &Machine::reserved_for, reserved_for_job_);
+  return soonest;
+}
+
+Seconds StarvationGuard::time_until_capacity(const Machine& machine, const JobSpec& spec,
+                                             TimePoint now) const {
+  auto free = machine.free();
+  if (spec.per_task.fits_in(free)) return Seconds(0);
+  for (const auto& end : expected_ends(machine, now)) {
+    free += end.assignment->resources;
+    if (spec.per_task.fits_in(free)) return end.left;
+  }
+  return kEndless;
 }
 
 }  // namespace violetpulley::core
--- a/src/core/scheduling/task_bindings.cpp
+++ b/src/core/scheduling/task_bindings.cpp
@@ -2,6 +2,12 @@
 
 namespace violetpulley::core {
 
+Job* TaskBindings::find_bound(const TaskKey& key, const std::string& bound) {
+  const auto job = jobs_.find(key.job);
+  if (job == jobs_.end() || job->second.tasks[key.index].bound != bound) return nullptr;
+  return &job->second;
+}
+
 void TaskBindings::bind(const std::vector<TaskKey>& group, const std::string& request) {
   for (const auto& key : group) {
     auto& job = jobs_.at(key.job);
@@ -12,22 +18,20 @@
 
 void TaskBindings::rebind(std::vector<TaskKey> group, const std::string& request,
                           const MachineId& machine) {
-  for (const auto& key : group) {
-    const auto job = jobs_.find(key.job);
-    if (job == jobs_.end() || job->second.tasks[key.index].bound != request) continue;
-    jobs_.before_change(job->second);
-    job->second.tasks[key.index].bound = machine;
-  }
+  for (const auto& key : group)
+    if (auto* job = find_bound(key, request)) {
+      jobs_.before_change(*job);
+      job->tasks[key.index].bound = machine;
+    }
   if (!group.empty()) groups_[machine] = std::move(group);
 }
 
 void TaskBindings::unbind(const std::vector<TaskKey>& group, const std::string& bound) {
-  for (const auto& key : group) {
-    const auto job = jobs_.find(key.job);
-    if (job == jobs_.end() || job->second.tasks[key.index].bound != bound) continue;
-    jobs_.before_change(job->second);
-    job->second.tasks[key.index].bound.clear();
-  }
+  for (const auto& key : group)
+    if (auto* job = find_bound(key, bound)) {
+      jobs_.before_change(*job);
+      job->tasks[key.index].bound.clear();
+    }
   out_.want_placing();
 }
 
--- a/src/core/scheduling/task_bindings.hpp
+++ b/src/core/scheduling/task_bindings.hpp
@@ -1,5 +1,7 @@
-// Groups of tasks that stay bound to the machine rented for them until it boots or the rental fails
-// (DESIGN). Owns the groups of machines that boot; the tasks hold what they are bound to.
+/// @file
+/// Groups of tasks that stay bound to the machine requested for them until it has booted or the
+/// request fails (DESIGN). Owns the groups of booting machines; `Task::bound` names what each task
+/// is bound to.
 #pragma once
 
 #include <map>
@@ -8,33 +10,33 @@
 
 namespace violetpulley::core {
 
+/// Which tasks wait for which booting machine.
 class TaskBindings {
  public:
   TaskBindings(Outbox& out, Jobs& jobs) : out_(out), jobs_(jobs) {}
 
+  /// Whether a group of tasks waits for the machine.
   bool holds(const MachineId& id) const { return groups_.contains(id); }
-  // Tasks wait for a rental's answer.
+  /// Binds tasks to a scale-out request that is not answered yet.
   void bind(const std::vector<TaskKey>& group, const std::string& request);
-  // The rental has brought a machine for those that still wait for it.
+  /// Binds the tasks that are still bound to the request to the machine that it has brought.
   void rebind(std::vector<TaskKey> group, const std::string& request, const MachineId& machine);
+  /// Frees the tasks that are still bound to `bound`, a request or a machine.
   void unbind(const std::vector<TaskKey>& group, const std::string& bound);
-  // The machine is gone.
+  /// Frees the tasks that are bound to a machine which no longer exists.
   void machine_gone(const MachineId& id);
 
-  // Calls `place(task, machine id)` for each group whose machine is `ready`, and frees what did not
-  // start. `ready` tells of a machine whether its group's turn has come.
-  template <class Ready, class Place>
-  void settle(const Ready& ready, const Place& place) {
+  /// Calls `place(job, task index, machine id)` for each task whose machine is ready, and frees the
+  /// tasks that did not start. `is_ready(machine id)`: the machine can take tasks, or is gone.
+  template <class IsReady, class Place>
+  void settle(const IsReady& is_ready, const Place& place) {
     for (auto bound = groups_.begin(); bound != groups_.end();) {
-      if (!ready(bound->first)) {
+      if (!is_ready(bound->first)) {
         ++bound;
         continue;
       }
-      for (const auto& key : bound->second) {
-        const auto job = jobs_.find(key.job);
-        if (job != jobs_.end() && job->second.tasks[key.index].bound == bound->first)
-          place(job->second, key.index, bound->first);
-      }
+      for (const auto& key : bound->second)
+        if (auto* job = find_bound(key, bound->first)) place(*job, key.index, bound->first);
       unbind(bound->second, bound->first);
       bound = groups_.erase(bound);
     }
@@ -46,6 +48,9 @@
   }
 
  private:
+  /// The task's job if the task is still bound to `bound`, else null.
+  Job* find_bound(const TaskKey& key, const std::string& bound);
+
   Outbox& out_;
   Jobs& jobs_;
   std::map<MachineId, std::vector<TaskKey>> groups_;
