--- a/tests/core/scheduling/gangs_and_services_test.cpp
+++ b/tests/core/scheduling/gangs_and_services_test.cpp
@@ -1,5 +1,6 @@
-// Gangs, services and stops that save, in small worked examples. The simulation has them with every
-// trouble; here is what each of them is meant to do.
+/// @file
+/// Gangs, services and stops with a checkpoint, in small worked examples: what each is meant to do.
+/// The simulation runs them with failures of every kind.
 #include <gtest/gtest.h>
 
 #include "core/controller.hpp"
@@ -9,14 +10,14 @@
 
 using std::chrono::milliseconds;
 
-// A controller, and workers that execute what they are sent at once.
-class Desk {
+/// A controller, and agents that execute commands at once.
+class TestCluster {
  public:
-  explicit Desk(std::vector<std::string> zones = {"a", "b"}, Team team = {"t", 0, 0, 0, 0})
+  explicit TestCluster(std::vector<std::string> zones = {"a", "b"}, Team team = {"t", 0, 0, 0, 0})
       : zones_(std::move(zones)), team_(std::move(team)) {
-    take_over({});
+    become_leader({});
   }
-  void take_over(RecoveredState recovered) {
+  void become_leader(RecoveredState recovered) {
     ControllerSettings settings{{team_}, WorkerTimes{}, Tuning{}, 10.0, Seconds(10),
                                 {},      {{"c", 1.75}}, {}};
     controller_ = std::make_unique<Controller>(settings, 5, now_, now_ + std::chrono::seconds(60),
@@ -44,41 +45,41 @@
     controller_->job_opened(record, now_);
   }
   void machine(const MachineId& id, const std::string& zone, bool spot = false) {
-    auto& worker = workers_[id];
-    worker = {id, "10.0.0.1:1", "g4", zone, spot, 1, 0, 5, {}, {}};
+    auto& agent = agents_[id];
+    agent = {id, "10.0.0.1:1", "g4", zone, spot, 1, 0, 5, {}, {}};
     heartbeat(id);
   }
   void heartbeat(const MachineId& id) {
-    auto& worker = workers_.at(id);
-    ++worker.heartbeat_sequence;
-    controller_->heartbeat(worker, now_);
+    auto& agent = agents_.at(id);
+    ++agent.heartbeat_sequence;
+    controller_->heartbeat(agent, now_);
   }
-  // A task's state as its worker reports it.
+  /// A task's state as its agent reports it; null if the machine has no task.
   TaskStatus* task(const MachineId& id) {
-    auto& tasks = workers_.at(id).tasks;
+    auto& tasks = agents_.at(id).tasks;
     return tasks.empty() ? nullptr : &tasks.back();
   }
   void end(const MachineId& id, const JobId& job) {
-    for (auto& entry : workers_.at(id).tasks)
+    for (auto& entry : agents_.at(id).tasks)
       if (entry.task.job == job) entry.state = TaskState::exited, entry.cause = ExitCause::done;
     heartbeat(id);
   }
   void notice(const MachineId& id, Seconds left) {
-    workers_.at(id).notice = left;
+    agents_.at(id).notice = left;
     heartbeat(id);
   }
 
-  // From here on nothing proves that it still leads.
+  /// From here on nothing proves that the controller still leads.
   void cut_off() { cut_off_ = now_; }
-  // The machine answers nothing any more.
-  void silence(const MachineId& id) { workers_.erase(id); }
+  /// The machine answers nothing any more.
+  void silence(const MachineId& id) { agents_.erase(id); }
 
   void run(Seconds length) {
     const auto end = now_ + to_duration(length);
     while (now_ < end) {
       now_ += milliseconds(100);
       if (++steps_ % 20 == 0)
-        for (auto& [id, worker] : workers_) heartbeat(id);
+        for (auto& [id, agent] : agents_) heartbeat(id);
       controller_->tick(now_, true, cut_off_.value_or(now_));
       for (auto& action : controller_->take_actions())
         std::visit([&](auto& a) { execute(a); }, action);
@@ -92,34 +93,34 @@
     return out;
   }
   void forget_commands() { sent_.clear(); }
-  const std::vector<ScaleOut>& rentals() const { return rentals_; }
+  const std::vector<ScaleOut>& scale_outs() const { return scale_outs_; }
   void all(TaskState state) {
-    for (auto& [id, worker] : workers_)
-      for (auto& entry : worker.tasks)
+    for (auto& [id, agent] : agents_)
+      for (auto& entry : agent.tasks)
         if (entry.state != TaskState::exited) entry.state = state;
   }
 
  private:
   void execute(SendCommands& batch) {
-    if (!workers_.contains(batch.machine)) return;  // it answers nothing
-    auto& worker = workers_.at(batch.machine);
+    if (!agents_.contains(batch.machine)) return;  // silenced
+    auto& agent = agents_.at(batch.machine);
     for (const auto& command : batch.commands) {
       const auto known =
-          std::find_if(worker.tasks.begin(), worker.tasks.end(), [&](const TaskStatus& t) {
+          std::find_if(agent.tasks.begin(), agent.tasks.end(), [&](const TaskStatus& t) {
             return t.attempt == command.attempt && t.task == command.task;
           });
-      if (command.type == CommandType::start && known == worker.tasks.end())
-        worker.tasks.push_back({command.task, command.attempt, TaskState::fetching});
-      if (command.type == CommandType::acknowledge && known != worker.tasks.end())
-        worker.tasks.erase(known);
+      if (command.type == CommandType::start && known == agent.tasks.end())
+        agent.tasks.push_back({command.task, command.attempt, TaskState::fetching});
+      if (command.type == CommandType::acknowledge && known != agent.tasks.end())
+        agent.tasks.erase(known);
       sent_.push_back(command);
     }
-    ++worker.heartbeat_sequence;
-    const auto answer = worker;
+    ++agent.heartbeat_sequence;
+    const auto answer = agent;
     controller_->commands_answered(batch.machine, &answer, now_);
   }
   void execute(SaveMachine& save) { controller_->machine_saved(save.record.id, true, true); }
-  void execute(ScaleOut& rent) { rentals_.push_back(rent); }
+  void execute(ScaleOut& request) { scale_outs_.push_back(request); }
   template <typename Other>
   void execute(Other&) {}
 
@@ -129,74 +130,74 @@
   int steps_ = 0;
   std::optional<TimePoint> cut_off_;
   std::unique_ptr<Controller> controller_;
-  std::map<MachineId, Heartbeat> workers_;
+  std::map<MachineId, Heartbeat> agents_;
   std::vector<Command> sent_;
-  std::vector<ScaleOut> rentals_;
+  std::vector<ScaleOut> scale_outs_;
 };
 
 const Resources kWhole{28, 4, 200};
 const Resources kQuarter{5, 1, 38};
 
 TEST(Gang, StartsWholeInOneZoneOrNotAtAll) {
-  Desk desk;
-  auto spec = Desk::spec(Shape::gang, 3, kWhole);
+  TestCluster cluster;
+  auto spec = TestCluster::spec(Shape::gang, 3, kWhole);
   spec.same_zone = true;
-  desk.submit(spec);
-  desk.machine("m1", "a");
-  desk.machine("m2", "a");
-  desk.machine("m3", "b");
-  desk.run(Seconds(3));
-  EXPECT_TRUE(desk.commands(CommandType::start).empty());
-  ASSERT_FALSE(desk.rentals().empty());
-  desk.machine("m4", "a");
-  desk.run(Seconds(1));
-  const auto starts = desk.commands(CommandType::start);
+  cluster.submit(spec);
+  cluster.machine("m1", "a");
+  cluster.machine("m2", "a");
+  cluster.machine("m3", "b");
+  cluster.run(Seconds(3));
+  EXPECT_TRUE(cluster.commands(CommandType::start).empty());
+  ASSERT_FALSE(cluster.scale_outs().empty());
+  cluster.machine("m4", "a");
+  cluster.run(Seconds(1));
+  const auto starts = cluster.commands(CommandType::start);
   ASSERT_EQ(starts.size(), 3U);
   for (const auto& start : starts) EXPECT_EQ(start.attempt, starts[0].attempt);
-  EXPECT_EQ(desk.task("m3"), nullptr);
+  EXPECT_EQ(cluster.task("m3"), nullptr);
 }
 
 TEST(Gang, EndsWholeBeforeItStartsAnew) {
-  Desk desk({"a"});
-  desk.submit(Desk::spec(Shape::gang, 2, kWhole));
-  for (const char* id : {"m1", "m2", "m3"}) desk.machine(id, "a");
-  desk.run(Seconds(1));
-  auto starts = desk.commands(CommandType::start);
+  TestCluster cluster({"a"});
+  cluster.submit(TestCluster::spec(Shape::gang, 2, kWhole));
+  for (const char* id : {"m1", "m2", "m3"}) cluster.machine(id, "a");
+  cluster.run(Seconds(1));
+  auto starts = cluster.commands(CommandType::start);
   ASSERT_EQ(starts.size(), 2U);
-  desk.all(TaskState::running);
-  desk.run(Seconds(3));
-  desk.forget_commands();
+  cluster.all(TaskState::running);
+  cluster.run(Seconds(3));
+  cluster.forget_commands();
   // One task is gone. The other is stopped; until it has exited nothing starts.
   std::vector<MachineId> hosts;
   for (const char* id : {"m1", "m2", "m3"})
-    if (desk.task(id) != nullptr) hosts.emplace_back(id);
+    if (cluster.task(id) != nullptr) hosts.emplace_back(id);
   ASSERT_EQ(hosts.size(), 2U);
-  desk.task(hosts[0])->state = TaskState::exited;
-  desk.task(hosts[0])->cause = ExitCause::error;
-  desk.heartbeat(hosts[0]);
-  desk.run(Seconds(5));
-  EXPECT_TRUE(desk.commands(CommandType::start).empty());
-  ASSERT_FALSE(desk.commands(CommandType::stop).empty());
-  EXPECT_EQ(desk.commands(CommandType::stop)[0].attempt, starts[0].attempt);
-  desk.task(hosts[1])->state = TaskState::exited;
-  desk.task(hosts[1])->cause = ExitCause::stopped;
-  desk.heartbeat(hosts[1]);
-  desk.run(Seconds(2));
-  const auto again = desk.commands(CommandType::start);
+  cluster.task(hosts[0])->state = TaskState::exited;
+  cluster.task(hosts[0])->cause = ExitCause::error;
+  cluster.heartbeat(hosts[0]);
+  cluster.run(Seconds(5));
+  EXPECT_TRUE(cluster.commands(CommandType::start).empty());
+  ASSERT_FALSE(cluster.commands(CommandType::stop).empty());
+  EXPECT_EQ(cluster.commands(CommandType::stop)[0].attempt, starts[0].attempt);
+  cluster.task(hosts[1])->state = TaskState::exited;
+  cluster.task(hosts[1])->cause = ExitCause::stopped;
+  cluster.heartbeat(hosts[1]);
+  cluster.run(Seconds(2));
+  const auto again = cluster.commands(CommandType::start);
   ASSERT_EQ(again.size(), 2U);
   EXPECT_GT(again[0].attempt, starts[0].attempt);
   EXPECT_EQ(again[0].attempt, again[1].attempt);
 }
 
-TEST(Gang, IsRentedAsOneGroupInOneZone) {
-  Desk desk({"a", "b", "c"});
-  auto spec = Desk::spec(Shape::gang, 8, kWhole);
+TEST(Gang, IsRequestedAsOneGroupInOneZone) {
+  TestCluster cluster({"a", "b", "c"});
+  auto spec = TestCluster::spec(Shape::gang, 8, kWhole);
   spec.same_zone = true;
-  desk.submit(spec);
-  desk.run(Seconds(5));
-  ASSERT_EQ(desk.rentals().size(), 1U);
-  EXPECT_EQ(desk.rentals()[0].count, 8);
-  EXPECT_FALSE(desk.rentals()[0].spot);
+  cluster.submit(spec);
+  cluster.run(Seconds(5));
+  ASSERT_EQ(cluster.scale_outs().size(), 1U);
+  EXPECT_EQ(cluster.scale_outs()[0].count, 8);
+  EXPECT_FALSE(cluster.scale_outs()[0].spot);
 }
 
 TEST(Gang, OfTwoThatAreShortTheFirstKeepsItsMachines) {
@@ -215,14 +216,14 @@
   EXPECT_FALSE(reservations.another_is_short("a"));
 }
 
-TEST(Service, RentalsKeepTheSpread) {
-  Desk desk;
-  auto spec = Desk::spec(Shape::service, 12, kQuarter);
+TEST(Service, ScaleOutKeepsTheSpread) {
+  TestCluster cluster;
+  auto spec = TestCluster::spec(Shape::service, 12, kQuarter);
   spec.spread = true;
-  desk.submit(spec);
-  desk.run(Seconds(5));
+  cluster.submit(spec);
+  cluster.run(Seconds(5));
   std::map<std::string, int> machines;
-  for (const auto& rent : desk.rentals()) machines[rent.zone] += rent.count;
+  for (const auto& request : cluster.scale_outs()) machines[request.zone] += request.count;
   // Six replicas a zone, four to a machine.
   EXPECT_EQ(machines["a"], 2);
   EXPECT_EQ(machines["b"], 2);
@@ -231,104 +232,104 @@
 // Found in the leader's summaries: when arrivals end, replicas stay two to a machine. Two machines
 // with one each become one, and nothing starts before the moved replica is gone.
 TEST(Service, SparseReplicasGatherOnOneMachine) {
-  Desk desk({"a"});
-  auto filler = Desk::spec(Shape::array, 3, kQuarter);
+  TestCluster cluster({"a"});
+  auto filler = TestCluster::spec(Shape::array, 3, kQuarter);
   filler.id = "req-2";
   filler.priority = Priority::production;
-  desk.submit(filler);
-  desk.machine("m1", "a");
-  desk.run(Seconds(0.5));
-  auto service = Desk::spec(Shape::service, 2, kQuarter);
+  cluster.submit(filler);
+  cluster.machine("m1", "a");
+  cluster.run(Seconds(0.5));
+  auto service = TestCluster::spec(Shape::service, 2, kQuarter);
   service.priority = Priority::production;
-  desk.submit(service);
-  desk.run(Seconds(0.5));
-  desk.machine("m2", "a");
-  desk.run(Seconds(2));
-  desk.all(TaskState::running);
-  desk.run(Seconds(3));
-  desk.end("m1", "req-2");
-  desk.forget_commands();
-  desk.run(Seconds(25));
-  EXPECT_TRUE(desk.commands(CommandType::stop).empty());
-  desk.run(Seconds(15));
+  cluster.submit(service);
+  cluster.run(Seconds(0.5));
+  cluster.machine("m2", "a");
+  cluster.run(Seconds(2));
+  cluster.all(TaskState::running);
+  cluster.run(Seconds(3));
+  cluster.end("m1", "req-2");
+  cluster.forget_commands();
+  cluster.run(Seconds(25));
+  EXPECT_TRUE(cluster.commands(CommandType::stop).empty());
+  cluster.run(Seconds(15));
   std::set<TaskKey> stopped;
-  for (const auto& stop : desk.commands(CommandType::stop)) stopped.insert(stop.task);
+  for (const auto& stop : cluster.commands(CommandType::stop)) stopped.insert(stop.task);
   EXPECT_EQ(stopped.size(), 1U);
-  EXPECT_TRUE(desk.commands(CommandType::start).empty());
+  EXPECT_TRUE(cluster.commands(CommandType::start).empty());
 }
 
-// A replica comes before an array of lower priority that took its room, and takes no more than
-// that.
+// A replica comes before an array of lower priority that took its capacity, and takes no
+// more than that.
 TEST(Preemption, AReplicaTakesThePlaceOfOneTaskOnly) {
-  Desk desk({"a"});
-  auto filler = Desk::spec(Shape::array, 4, kQuarter);
+  TestCluster cluster({"a"});
+  auto filler = TestCluster::spec(Shape::array, 4, kQuarter);
   filler.id = "req-2";
-  desk.submit(filler);
-  desk.machine("m1", "a");
-  desk.run(Seconds(1));
-  ASSERT_EQ(desk.commands(CommandType::start).size(), 4U);
-  auto service = Desk::spec(Shape::service, 1, kQuarter);
+  cluster.submit(filler);
+  cluster.machine("m1", "a");
+  cluster.run(Seconds(1));
+  ASSERT_EQ(cluster.commands(CommandType::start).size(), 4U);
+  auto service = TestCluster::spec(Shape::service, 1, kQuarter);
   service.priority = Priority::production;
-  desk.submit(service);
-  desk.run(Seconds(3));
+  cluster.submit(service);
+  cluster.run(Seconds(3));
   std::set<TaskKey> stopped;
-  for (const auto& stop : desk.commands(CommandType::stop)) stopped.insert(stop.task);
+  for (const auto& stop : cluster.commands(CommandType::stop)) stopped.insert(stop.task);
   ASSERT_EQ(stopped.size(), 1U);
   EXPECT_EQ(stopped.begin()->job, "req-2");
 }
 
-// Found in bursts of rough days: an array past its deadline fell behind all hope, although an aim
-// for being little late was still to be met.
+// Found in bursts of rough days: an array past its deadline came after all others, although an
+// aim for being little late was still to be met.
 TEST(Queue, WhatCanStillBeLittleLateComesBeforeWhatIsLost) {
-  Desk desk({"a"});
-  auto lost = Desk::spec(Shape::array, 1, kQuarter);
+  TestCluster cluster({"a"});
+  auto lost = TestCluster::spec(Shape::array, 1, kQuarter);
   lost.id = "req-2";
   lost.job_class = "c";
   lost.estimate = Seconds(10);
   lost.deadline = Seconds(5);  // 1.75 times that is shorter than the work
-  desk.submit(lost);
+  cluster.submit(lost);
   auto late = lost;
   late.id = "req-3";
   late.deadline = Seconds(9);
   late.tasks = 4;  // more work: without the aim it comes last
-  desk.submit(late);
-  desk.machine("m1", "a");
-  desk.run(Seconds(0.3));
-  const auto starts = desk.commands(CommandType::start);
+  cluster.submit(late);
+  cluster.machine("m1", "a");
+  cluster.run(Seconds(0.3));
+  const auto starts = cluster.commands(CommandType::start);
   ASSERT_EQ(starts.size(), 4U);
   for (const auto& start : starts) EXPECT_EQ(start.task.job, "req-3");
 }
 
 // Found by paired days of vinsamlag (0.745 -> 0.728): scarcity counted by machines made 20 small
-// tasks wait for a holder of their image beside a large machine that had room for all of them.
-TEST(Queue, AMachineWithRoomForAllIsNotScarce) {
-  Desk desk({"a"});
-  auto spec = Desk::spec(Shape::array, 20, {1, 0, 1});
+// tasks wait for a holder of their image beside a large machine with capacity for all of them.
+TEST(Queue, AMachineWithCapacityForAllIsNotScarce) {
+  TestCluster cluster({"a"});
+  auto spec = TestCluster::spec(Shape::array, 20, {1, 0, 1});
   spec.image_gb = 10;  // a fetch of 10 s
-  desk.submit(spec);
-  desk.machine("m1", "a");
-  desk.run(Seconds(5));
-  EXPECT_EQ(desk.commands(CommandType::start).size(), 20U);
+  cluster.submit(spec);
+  cluster.machine("m1", "a");
+  cluster.run(Seconds(5));
+  EXPECT_EQ(cluster.commands(CommandType::start).size(), 20U);
 }
 
 TEST(Guarantee, MayBeInGpusAlone) {
   // With one machine, the team that has a guarantee in GPUs comes before an older job beyond one.
-  Desk desk({"a"}, {"t", 0, 0, 4, 8});
-  auto large = Desk::spec(Shape::array, 12, kQuarter);
+  TestCluster cluster({"a"}, {"t", 0, 0, 4, 8});
+  auto large = TestCluster::spec(Shape::array, 12, kQuarter);
   large.id = "req-2";
-  desk.submit(large);
-  desk.submit(Desk::spec(Shape::array, 4, kQuarter));
-  desk.machine("m1", "a");
-  desk.run(Seconds(0.3));
-  ASSERT_EQ(desk.commands(CommandType::start).size(), 4U);
-  desk.machine("m2", "a");
-  desk.machine("m3", "a");
-  desk.run(Seconds(1));
-  EXPECT_EQ(desk.commands(CommandType::start).size(), 8U)
+  cluster.submit(large);
+  cluster.submit(TestCluster::spec(Shape::array, 4, kQuarter));
+  cluster.machine("m1", "a");
+  cluster.run(Seconds(0.3));
+  ASSERT_EQ(cluster.commands(CommandType::start).size(), 4U);
+  cluster.machine("m2", "a");
+  cluster.machine("m3", "a");
+  cluster.run(Seconds(1));
+  EXPECT_EQ(cluster.commands(CommandType::start).size(), 8U)
       << "the limit is 8 GPUs, and none of processors";
 }
 
-// A job accepted before the takeover, and a machine that answers nothing.
+// A job accepted before the failover, and a machine that answers nothing.
 RecoveredState beside_silent(const JobSpec& spec, bool silent_is_spot) {
   JobRecord record;
   record.spec = spec;
@@ -339,79 +340,80 @@
   return recovered;
 }
 
-// Found in the logs of rough days: spot machines are taken often, so nearly every takeover finds
+// Found in the logs of rough days: spot machines are taken often, so nearly every failover finds
 // one that does not answer, and services and gangs, which never run there, waited for it.
 TEST(Recovery, OnlyMachinesAJobMayRunOnHoldItUp) {
   for (const bool silent_is_spot : {true, false}) {
-    Desk desk({"a"});
-    desk.take_over(beside_silent(Desk::spec(Shape::service, 2, kQuarter), silent_is_spot));
-    desk.machine("m1", "a");
-    desk.run(Seconds(1));
-    EXPECT_EQ(desk.commands(CommandType::start).size(), silent_is_spot ? 2U : 0U);
+    TestCluster cluster({"a"});
+    cluster.become_leader(
+        beside_silent(TestCluster::spec(Shape::service, 2, kQuarter), silent_is_spot));
+    cluster.machine("m1", "a");
+    cluster.run(Seconds(1));
+    EXPECT_EQ(cluster.commands(CommandType::start).size(), silent_is_spot ? 2U : 0U);
   }
 }
 
-// A leader that is cut off may have been followed, and a newer one may renew the lease of a machine
+// A leader that is cut off may have a successor, which may renew the lease of a machine
 // that is silent here alone: found by seed 1684 of the simulation (ran_twice).
 TEST(Leases, CountAsRunOutOnlyWhileNobodyElseMayRenewThem) {
   for (const bool cut_off : {false, true}) {
-    Desk desk({"a"});
-    desk.machine("m1", "a");
-    desk.submit(Desk::spec(Shape::array, 1, kQuarter));
-    desk.run(Seconds(1));
-    ASSERT_EQ(desk.commands(CommandType::start).size(), 1U);
-    desk.all(TaskState::running);
-    desk.run(Seconds(3));
-    desk.silence("m1");
-    desk.run(Seconds(15));
-    if (cut_off) desk.cut_off();
-    desk.machine("m2", "a");
-    desk.run(Seconds(20));
-    EXPECT_EQ(desk.commands(CommandType::start).size(), cut_off ? 1U : 2U);
+    TestCluster cluster({"a"});
+    cluster.machine("m1", "a");
+    cluster.submit(TestCluster::spec(Shape::array, 1, kQuarter));
+    cluster.run(Seconds(1));
+    ASSERT_EQ(cluster.commands(CommandType::start).size(), 1U);
+    cluster.all(TaskState::running);
+    cluster.run(Seconds(3));
+    cluster.silence("m1");
+    cluster.run(Seconds(15));
+    if (cut_off) cluster.cut_off();
+    cluster.machine("m2", "a");
+    cluster.run(Seconds(20));
+    EXPECT_EQ(cluster.commands(CommandType::start).size(), cut_off ? 1U : 2U);
   }
 }
 
 TEST(Leases, OfOlderLeadersTooCountAsRunOutOnlyThen) {
   for (const bool cut_off : {false, true}) {
-    Desk desk({"a"});
-    desk.take_over(beside_silent(Desk::spec(Shape::array, 1, kQuarter), false));
-    desk.run(Seconds(50));
-    if (cut_off) desk.cut_off();
-    desk.machine("m1", "a");
-    desk.run(Seconds(20));
-    EXPECT_EQ(desk.commands(CommandType::start).size(), cut_off ? 0U : 1U);
+    TestCluster cluster({"a"});
+    cluster.become_leader(beside_silent(TestCluster::spec(Shape::array, 1, kQuarter), false));
+    cluster.run(Seconds(50));
+    if (cut_off) cluster.cut_off();
+    cluster.machine("m1", "a");
+    cluster.run(Seconds(20));
+    EXPECT_EQ(cluster.commands(CommandType::start).size(), cut_off ? 0U : 1U);
   }
 }
 
 struct Stop {
   Seconds ran;
   Seconds notice;
-  bool saves;
+  bool checkpoints;
 };
 
-// A save of 5 s is worth it for 10 s of work since the last checkpoint, not for 2 s, and cannot
-// succeed within 4 s.
-TEST(Stops, SaveWhereItGainsMoreThanItTakesAndFits) {
-  for (const auto& [ran, notice, saves] :
+// A checkpoint of 5 s is worth it for 10 s of work since the last checkpoint, not for 2 s, and
+// cannot succeed within 4 s.
+TEST(Stops, CheckpointWhereItGainsMoreThanItTakesAndFits) {
+  for (const auto& [ran, notice, checkpoints] :
        {Stop{Seconds(10), Seconds(12), true}, Stop{Seconds(17), Seconds(12), false},
         Stop{Seconds(10), Seconds(4), false}}) {
-    Desk desk({"a"});
-    auto spec = Desk::spec(Shape::array, 1, kQuarter);
+    TestCluster cluster({"a"});
+    auto spec = TestCluster::spec(Shape::array, 1, kQuarter);
     spec.spot_allowed = true;
     spec.checkpoint_every = Seconds(15);
     spec.checkpoint_time = Seconds(5);
-    desk.submit(spec);
-    desk.machine("m1", "a", true);
-    desk.run(Seconds(1));
-    ASSERT_NE(desk.task("m1"), nullptr);
-    desk.all(TaskState::running);
-    desk.heartbeat("m1");
-    desk.run(ran);
-    desk.notice("m1", notice);
-    desk.run(Seconds(0.5));
-    const auto stops = desk.commands(CommandType::stop);
+    cluster.submit(spec);
+    cluster.machine("m1", "a", true);
+    cluster.run(Seconds(1));
+    ASSERT_NE(cluster.task("m1"), nullptr);
+    cluster.all(TaskState::running);
+    cluster.heartbeat("m1");
+    cluster.run(ran);
+    cluster.notice("m1", notice);
+    cluster.run(Seconds(0.5));
+    const auto stops = cluster.commands(CommandType::stop);
     ASSERT_FALSE(stops.empty());
-    EXPECT_EQ(stops[0].grace >= spec.checkpoint_time, saves)
+    EXPECT_EQ(stops[0].grace >= spec.checkpoint_time, checkpoints)
         << ran.count() << " s, " << notice.count();
   }
 }
--- a/tests/core/scheduling/starvation_guard_test.cpp
+++ b/tests/core/scheduling/starvation_guard_test.cpp
@@ -1,5 +1,6 @@
-// The largest jobs begin in time, whatever flows past them (core/standing.hpp, docs/design.md,
-// "Large jobs begin"). The rule's time is the default of `begin_within`.
+/// @file
+/// The largest jobs start in time under any flow of small work (docs/design.md, "Large jobs
+/// begin"). The allowed time is the default of `begin_within`.
 #include "core/scheduling/starvation_guard.hpp"
 
 #include "support/leader_with_agents.hpp"
@@ -30,15 +31,15 @@
     record.spec.estimate = Seconds(60);
     return record;
   }
-  // One that needs the whole limit of its team.
-  JobRecord as_wide_as_its_limit(TaskIndex tasks, Shape shape, double cpus) {
+  // A job that needs the whole quota of its team.
+  JobRecord needs_whole_quota(TaskIndex tasks, Shape shape, double cpus) {
     auto record = large(tasks, Priority::idle);
     record.spec.team = "narrow";
     record.spec.shape = shape;
     record.spec.per_task = {cpus, 0, 8};
     return record;
   }
-  void expect_begun_in_time() {
+  void expect_started_in_time() {
     ASSERT_TRUE(began_.contains("req-1"));
     EXPECT_LT(began_["req-1"] - opened_, seconds(240));
   }
@@ -55,41 +56,42 @@
 TEST_F(LargestJobs, AnArrayBeginsUnderASteadyFlowOfSmallWork) {
   open(large(200));
   flow(Seconds(250), Priority::normal, "t");
-  expect_begun_in_time();
+  expect_started_in_time();
 }
 
 TEST_F(LargestJobs, IdleWorkBeginsBesideWorkOfHighPriority) {
   open(large(200, Priority::idle));
   flow(Seconds(250), Priority::high, "t");
-  expect_begun_in_time();
-  // With its first task only: guests do not hold up the others.
+  expect_started_in_time();
+  // With its first task only: the others keep their usual position.
   EXPECT_LE(
       controller_->jobs().at("req-1").tasks.size() - controller_->jobs().at("req-1").waiting.size(),
       3U);
 }
 
-// Whatever is freed is too small for it, and small work takes it at once: a place is held.
+// Whatever is freed is too small for the task, and small work takes it at once: a machine is
+// reserved.
 TEST_F(LargestJobs, ATaskThatNeedsAWholeMachineGetsOne) {
   auto record = large(4, Priority::idle);
   record.spec.per_task = {16, 0, 16};
   open(record);
   flow(Seconds(250), Priority::high, "t");
-  expect_begun_in_time();
+  expect_started_in_time();
 }
 
-TEST_F(LargestJobs, ATeamsLimitIsLeftToIt) {
-  open(as_wide_as_its_limit(3, Shape::array, 8));
+TEST_F(LargestJobs, ATeamsQuotaIsLeftToIt) {
+  open(needs_whole_quota(3, Shape::array, 8));
   flow(Seconds(250), Priority::high, "narrow");
-  expect_begun_in_time();
+  expect_started_in_time();
 }
 
 TEST_F(LargestJobs, AGangBeginsToo) {
-  open(as_wide_as_its_limit(2, Shape::gang, 4));
+  open(needs_whole_quota(2, Shape::gang, 4));
   flow(Seconds(250), Priority::high, "narrow");
-  expect_begun_in_time();
+  expect_started_in_time();
 }
 
-// Its team's replicas, which do not end, leave it no room: nobody waits for it (seed 692).
+// Its team's replicas, which do not end, leave it no quota: no job waits for it (seed 692).
 TEST_F(LargestJobs, AGangThatCannotFitHoldsNobodyUp) {
   begin(2, 0);
   auto service = job("req-2", 2);
@@ -117,11 +119,12 @@
   record.spec.per_task = {16, 0, 8};
   open(record);
   flow(Seconds(250), Priority::high, "t");
-  expect_begun_in_time();
+  expect_started_in_time();
 }
 
-// Whatever is kept for another has a bound: with the troubles over nothing waits for 90 s beside a
-// machine that fits and has room, its team being under its limit (docs/design.md, "Held back").
+// Whatever is kept for another job has a bound: after the failures no task waits for 90 s beside a
+// machine that fits and has free capacity, its team being under its quota (docs/design.md, "Held
+// back").
 class HeldBack : public LeaderWithAgents {
  protected:
   JobRecord sized(const JobId& id, TaskIndex tasks, double cpus, Seconds estimate = Seconds(300)) {
@@ -132,8 +135,9 @@
   }
 };
 
-// Found by seed 1206 of Hunted: one due job after the other kept its team's limit for 150 s.
-TEST_F(HeldBack, ATeamsLimitIsKeptForADueJobForAMinuteAtATime) {
+// Found by seed 1206 of Hunted: one starving job after the other kept its team's quota for
+// 150 s.
+TEST_F(HeldBack, ATeamsQuotaIsKeptForAStarvingJobForAMinuteAtATime) {
   begin(4, 0);
   run(Seconds(2));
   const auto open = [this](const JobId& id, double cpus) {
@@ -144,7 +148,7 @@
   };
   open("req-1", 4);
   open("req-2", 8);
-  run(Seconds(110));  // the second is due, and the first runs on
+  run(Seconds(110));  // the second is starving, and the first runs on
   auto small = sized("req-3", 1, 1);
   small.spec.team = "narrow";
   controller_->job_opened(small, now_);
@@ -152,7 +156,7 @@
   EXPECT_TRUE(began_.contains("req-3"));
 }
 
-TEST_F(HeldBack, AGangThatCollectsNothingMoreGivesOthersATurn) {
+TEST_F(HeldBack, AGangThatReservesNothingMoreGivesOthersATurn) {
   begin(2, 0);
   run(Seconds(2));
   auto gang = sized("req-1", 3, 16);
@@ -165,8 +169,8 @@
   EXPECT_TRUE(began_.contains("req-2"));
 }
 
-// What runs on the machine that is held for a due job may run long.
-TEST_F(HeldBack, AMachineIsHeldForADueJobForAMinuteAtATime) {
+// What runs on the machine that is reserved for a starving job may run long.
+TEST_F(HeldBack, AMachineIsReservedForAStarvingJobForAMinuteAtATime) {
   begin(1, 0);
   run(Seconds(2));
   controller_->job_opened(sized("req-1", 1, 8), now_);
@@ -180,8 +184,8 @@
   EXPECT_TRUE(began_.contains("req-3"));
 }
 
-// A machine that is cleared while its one task, which was restarted before, runs on for minutes.
-TEST_F(HeldBack, AClearedMachineIsTakenBackByWorkThatHasWaited) {
+// A machine that is drained while its one task, which was restarted before, runs on for minutes.
+TEST_F(HeldBack, ADrainingMachineIsUncordonedForWorkThatHasWaited) {
   progress_ = {{"req-0", 0, {}, {{0, 0}}}};
   begin(2, 1, 1);
   run(Seconds(2));
@@ -195,7 +199,7 @@
   EXPECT_TRUE(began_.contains("req-2"));
 }
 
-// All machines that fit were sick for a while: the job avoided each of them for ever.
+// All machines that fit were faulty for some time: the job avoided each of them for ever.
 TEST_F(HeldBack, FailuresOnAMachineAreForgotten) {
   begin(2, 0);
   for (int i = 0; i < 2; ++i) workers_[name(i)].sick = true;
@@ -210,9 +214,9 @@
   EXPECT_TRUE(done_.contains("req-1"));
 }
 
-// Found by seed 2647 of Hunted: a machine that could not be used yet was cleared as underused, and
+// Found by seed 2647 of Hunted: a machine that could not be used yet was drained as underused, and
 // the tasks that were bound to it waited for it for ever.
-TEST_F(HeldBack, AMachineThatTasksAreBoundToIsNotCleared) {
+TEST_F(HeldBack, AMachineThatTasksAreBoundToIsNotDrained) {
   begin(1, 0);
   run(Seconds(2));
   controller_->job_opened(sized("req-1", 1, 16), now_);
@@ -229,8 +233,9 @@
   EXPECT_TRUE(began_.contains("req-2")) << causes_;
 }
 
-// Its first task alone would not bring it to an end: small work of its class passed the others.
-TEST_F(LargestJobs, TheLargestOfAClassStandsWholeWithinItsPriority) {
+// Its first task alone would not bring it to an end: small work of its class came before its
+// others.
+TEST_F(LargestJobs, TheLargestOfAClassComesFirstWholeWithinItsPriority) {
   auto record = large(40);
   record.spec.per_task = {1, 0, 1};
   open(record);
@@ -239,7 +244,7 @@
   EXPECT_TRUE(job == controller_->jobs().end() || job->second.waiting.empty());
 }
 
-// Only the first task stands ahead, and only one machine is held.
+// Only the first task comes first, and only one machine is reserved.
 TEST_F(LargestJobs, TheFlowGoesOnMeanwhile) {
   auto record = large(4, Priority::idle);
   record.spec.per_task = {16, 0, 16};
