--- a/src/core/dispatch/task_starter.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -76,7 +76,7 @@
   const auto& spec = job.spec();
   auto assignment = assignment_of(spec, attempt, forecaster_.estimate_left(job, index), now);
   assignment.saved = job.saved_run_time(index);
-  if (image_rank(machine, spec.image) < 2)
+  if (image_rank(machine, spec.image) < ImageRank::present)
     assignment.fetch = fetch_time(spec, machine.fetch_gb_per_s);
   if (settings_.tuning.commit_starts && job.records_starts())
     assignment.record = jobs_.record_start(job, index, machine.id);
--- a/src/core/failover/heartbeat_handler.hpp
+++ b/src/core/failover/heartbeat_handler.hpp
@@ -18,9 +18,10 @@
  public:
   HeartbeatHandler(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
                    Fleet& fleet, FailureDetector& failure_detector, Jobs& jobs,
-                   RunTimeEstimator& estimator, const DeadlineForecaster& forecaster, Recovery& recovery,
-                   Reconciler& reconciler, MachineRegistry& registry, CommandDispatcher& commands,
-                   Assignments& assignments, GangScheduler& gangs, FencingToken token)
+                   RunTimeEstimator& estimator, const DeadlineForecaster& forecaster,
+                   Recovery& recovery, Reconciler& reconciler, MachineRegistry& registry,
+                   CommandDispatcher& commands, Assignments& assignments, GangScheduler& gangs,
+                   FencingToken token)
       : out_(out),
         catalog_(catalog),
         fleet_(fleet),
--- a/src/core/failover/task_exit_handler.cpp
+++ b/src/core/failover/task_exit_handler.cpp
@@ -40,7 +40,8 @@
 void TaskExitHandler::handle_completion(Machine& machine, const Assignment& assignment, Job& job,
                                         TaskIndex index, TimePoint now) {
   if (assignment.running_since && !assignment.stop)
-    estimator_.record_run_time(job.spec(), assignment.saved + Seconds(now - *assignment.running_since));
+    estimator_.record_run_time(job.spec(),
+                               assignment.saved + Seconds(now - *assignment.running_since));
   fleet_.touch_image(machine, assignment.image, job.spec().image_gb, true);
   machine.errors = 0;
   machine.error_jobs.clear();
--- a/src/core/machines/machine_watch.cpp
+++ b/src/core/machines/machine_watch.cpp
@@ -116,7 +116,8 @@
     else
       check_booting_machine(machine, now);
   }
-  for (const auto& id : failure_detector_.machines_to_probe(now)) commands_.mark_due(*fleet_.find(id));
+  for (const auto& id : failure_detector_.machines_to_probe(now))
+    commands_.mark_due(*fleet_.find(id));
   release_machines(now);
   if (const auto cause = failure_detector_.isolation_cause(now))
     out_.push_back(Resign{text_of(*cause), true});
