--- a/src/store/store_types.hpp
+++ b/src/store/store_types.hpp
@@ -31,7 +31,7 @@
   background,  ///< everything else
 };
 
-/// What became of a request.
+/// The result of a request.
 enum class Outcome {
   ok,         ///< executed
   conflict,   ///< not executed: a condition of the transaction does not hold
@@ -48,7 +48,7 @@
   Revision revision = 0;
 };
 
-/// A change of a key, as told by a watch.
+/// A change of a key, as a watch reports it.
 struct Change {
   std::string key;
   std::optional<Json> value;  ///< empty: the key was deleted
--- a/tests/store/election_test.cpp
+++ b/tests/store/election_test.cpp
@@ -7,7 +7,7 @@
 
 #include <gtest/gtest.h>
 
-#include "support/fake_services.hpp"
+#include "support/fake_state_service.hpp"
 
 namespace violetpulley::store {
 namespace {
--- /dev/null
+++ b/tests/store/read_barrier_outages_test.cpp
@@ -0,0 +1,203 @@
+/// @file
+/// Cancelled tasks end in time under random faults of the state service (docs/safety.md, "Serving
+/// limit"). What is asserted about time follows from times that the parts themselves have read, so
+/// a slow machine changes no verdict.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstdlib>
+
+#include "store/two_controllers.hpp"
+
+namespace violetpulley::store {
+namespace {
+
+using core::Clock;
+using core::JobId;
+using core::Seconds;
+using core::TimePoint;
+using std::chrono::milliseconds;
+
+/// A deployment with modelled machines whose leases the leader renews, under random faults of the
+/// state service: refusals of the leader alone, outages soon after, several in a row, slow answers,
+/// and cancellations at any time. Measures for each cancelled task the time from the confirmation
+/// of the cancellation to the end of the task.
+class RandomOutages {
+ public:
+  RandomOutages(asio::io_context& io, std::uint64_t seed)
+      : io_(io),
+        random_(seed),
+        deployment_(io, static_cast<int>(seed)),
+        client_(io, net::parse_endpoint(deployment_.state.address()), {1000, 1000}, seed),
+        timer_(io),
+        fault_timer_(io) {
+    machines_.resize(3);
+    for (auto& machine : machines_) machine.answered = Clock::now();
+    tick();
+    next_fault(milliseconds(1500));
+  }
+  Seconds longest() const { return longest_; }
+  std::size_t cancelled() const { return confirmed_.size(); }
+  std::size_t heartbeats_refused_while_stale() const { return refused_while_stale_; }
+
+ private:
+  struct Machine {
+    TimePoint answered{};  // sending of the last heartbeat that was answered
+    std::map<JobId, TimePoint> tasks;
+    TimePoint partitioned_until{};  // heartbeats sent before are lost
+  };
+  double between(double low, double high) {
+    return std::uniform_real_distribution<double>(low, high)(random_);
+  }
+  milliseconds ms(double low, double high) {
+    return milliseconds(static_cast<long>(between(low, high) * 1000));
+  }
+  void later(asio::steady_timer& timer, milliseconds wait, std::function<void()> what) {
+    timer.expires_after(wait);
+    timer.async_wait([what = std::move(what)](const asio::error_code& error) {
+      if (!error) what();
+    });
+  }
+
+  // The leader alone is refused, then all; both end in either order; the next fault begins soon.
+  void next_fault(milliseconds wait) {
+    later(fault_timer_, wait, [this] {
+      auto* leader = deployment_.leader();
+      if (leader == nullptr) return next_fault(milliseconds(100));
+      refused_ = leader->endpoint;
+      deployment_.state.answer_late(refused_, between(0, 1) < 0.5 ? ms(0.3, 1.2) : milliseconds(0));
+      later(fault_timer_, ms(0, 1), [this] {
+        deployment_.state.refuse(refused_, true);
+        later(fault_timer_, ms(0.1, 2.6), [this] {
+          // Sometimes the refusal ends for a moment in which the key can be renewed.
+          if (between(0, 1) < 0.4) deployment_.state.refuse(refused_, false);
+          later(fault_timer_, ms(0, 0.9), [this] {
+            deployment_.state.outage(true);
+            deployment_.state.refuse(refused_, false);
+            deployment_.state.answer_late(refused_, milliseconds(0));
+            later(fault_timer_, ms(0.2, 5), [this] {
+              deployment_.state.outage(false);
+              next_fault(ms(0, 2));
+            });
+          });
+        });
+      });
+    });
+  }
+
+  void tick() {
+    later(timer_, milliseconds(20), [this] {
+      act_as_users();
+      for (auto& machine : machines_) heartbeat(machine);
+      tick();
+    });
+  }
+
+  void act_as_users() {
+    if (between(0, 1) < 0.15) {
+      const auto id = "req-" + std::to_string(++jobs_);
+      submit(client_, id);
+    }
+    auto* leader = deployment_.leader();
+    auto& confirming = leader == nullptr ? deployment_.a : deployment_.other(*leader);
+    const auto open = open_jobs(confirming);
+    if (open.empty() || between(0, 1) > 0.2) return;
+    const auto id = open[static_cast<std::size_t>(between(0, static_cast<double>(open.size())))];
+    confirming.cancel(id, [this, id](bool cancelled) {
+      if (cancelled) confirmed_.try_emplace(id, Clock::now());
+    });
+  }
+  std::vector<JobId> open_jobs(const Controller& at) const {
+    std::vector<JobId> ids;
+    for (const auto& [id, record] : at.job_replica.jobs()) ids.push_back(id);
+    std::sort(ids.begin(), ids.end());
+    return ids;
+  }
+
+  void task_ended(const JobId& id, TimePoint when) {
+    const auto confirmed = confirmed_.find(id);
+    if (confirmed == confirmed_.end()) return;
+    const Seconds took = when - confirmed->second;
+    longest_ = std::max(longest_, took);
+    EXPECT_LE(took.count(), short_times().cancel.count()) << "ran_cancelled " << id;
+  }
+
+  void heartbeat(Machine& machine) {
+    const auto now = Clock::now();
+    const auto lease = core::to_duration(short_times().lease);
+    if (now - machine.answered > lease) {
+      for (const auto& [id, since] : machine.tasks) task_ended(id, machine.answered + lease);
+      machine.tasks.clear();
+      machine.answered = now;  // the next agent epoch has begun
+    }
+    if (between(0, 1) < 0.002) machine.partitioned_until = now + ms(0.2, 2);
+    auto* leader = deployment_.leader();
+    if (leader == nullptr || now < machine.partitioned_until) return;
+    // The heartbeat was sent a moment ago.
+    const auto sent = std::max(machine.answered, now - milliseconds(20));
+    if (!leader->serves()) {
+      if (leader->leadership.last_proven() > leader->leadership.fresh_until())
+        ++refused_while_stale_;
+      return;
+    }
+    machine.answered = sent;
+    for (auto task = machine.tasks.begin(); task != machine.tasks.end();) {
+      if (leader->job_replica.find(task->first) != nullptr) {
+        ++task;
+        continue;
+      }
+      task_ended(task->first, now);
+      task = machine.tasks.erase(task);
+    }
+    for (const auto& id : open_jobs(*leader)) {
+      if (machine.tasks.size() >= 4) break;
+      if (machine.tasks.try_emplace(id, now).second)
+        task_ended(id, now);  // nor may a cancelled task start later
+    }
+  }
+
+  asio::io_context& io_;
+  std::mt19937_64 random_;
+  Deployment deployment_;
+  StoreClient client_;
+  asio::steady_timer timer_;
+  asio::steady_timer fault_timer_;
+  std::vector<Machine> machines_;
+  std::map<JobId, TimePoint> confirmed_;
+  std::size_t refused_ = 0;
+  std::size_t refused_while_stale_ = 0;
+  int jobs_ = 0;
+  Seconds longest_{0};
+};
+
+// More deployments: VIOLETPULLEY_EXTRA_SEEDS=100.
+TEST(ReadBarrierOutages, CancelledTasksEndInTimeWhicheverControllerConfirmed) {
+  const char* extra = std::getenv("VIOLETPULLEY_EXTRA_SEEDS");
+  const int count = 12 + (extra == nullptr ? 0 : std::atoi(extra));
+  asio::io_context io;
+  std::vector<std::unique_ptr<RandomOutages>> deployments;
+  for (int i = 0; i < count; ++i)
+    deployments.push_back(
+        std::make_unique<RandomOutages>(io, 9000 + static_cast<std::uint64_t>(i)));
+  asio::steady_timer end(io, std::chrono::seconds(20));
+  bool over = false;
+  end.async_wait([&](const asio::error_code&) { over = true; });
+  while (!over) io.run_one();
+  Seconds longest{0};
+  std::size_t cancelled = 0;
+  std::size_t refused_while_stale = 0;
+  for (const auto& deployment : deployments) {
+    longest = std::max(longest, deployment->longest());
+    cancelled += deployment->cancelled();
+    refused_while_stale += deployment->heartbeats_refused_while_stale();
+  }
+  std::cout << count << " deployments, " << cancelled
+            << " jobs cancelled, from the confirmation to "
+            << "the end at most " << longest.count() << " of " << short_times().cancel.count()
+            << " s; heartbeats not answered for a stale replica though the key was ours: "
+            << refused_while_stale << "\n";
+  EXPECT_GT(cancelled, 0U);
+}
+
+}  // namespace
+}  // namespace violetpulley::store
--- /dev/null
+++ b/tests/store/two_controllers.hpp
@@ -0,0 +1,132 @@
+/// @file
+/// Two controllers without machines and cloud, against a fake state service on loopback.
+#pragma once
+
+#include <set>
+
+#include "api/user_api.hpp"
+#include "store/election.hpp"
+#include "store/job_record_codec.hpp"
+#include "store/read_barrier_loop.hpp"
+#include "support/fake_state_service.hpp"
+
+namespace violetpulley::store {
+
+/// Short, so that a run takes seconds; the inequality between the times is the same.
+inline core::WorkerTimes short_times() {
+  core::WorkerTimes times;
+  times.heartbeat_interval = core::Seconds(0.1);
+  times.lease = core::Seconds(1);
+  times.cancel = core::Seconds(3.5);
+  return times;
+}
+
+/// The parts that Node joins, without machines and cloud.
+struct Controller {
+  Controller(asio::io_context& io, fakes::StateService& state, const std::string& name, int seed)
+      : io(io),
+        endpoint(state.add_endpoint()),
+        store(io, net::parse_endpoint(state.address(endpoint)), {1000, 1000},
+              static_cast<std::uint64_t>(seed)),
+        leadership(short_times(), std::chrono::milliseconds(25)),
+        job_replica(
+            io, store,
+            {[](const core::JobRecord&) {}, [this](const core::JobId& id) { closed.insert(id); }}),
+        users(io, store, job_replica,
+              {{},
+               {},
+               [this]() -> const std::vector<core::MachineType>& { return types; },
+               [](const core::JobId&) { return core::JobCounts{}; }}),
+        election(io, store, leadership, name, name + ":1",
+                 {[this] { won(); }, [this](const std::string&) { lost(); }, [] {}},
+                 static_cast<std::uint64_t>(seed) + 1),
+        server(io, fakes::any_port(), {},
+               [this](net::Request&& request, const net::Responder& respond) {
+                 const auto id = request.target.substr(1);
+                 if (request.method == "GET") return users.poll(id, respond);
+                 if (request.method == "PUT") return users.submit(request, respond);
+                 users.cancel(id, respond);
+               }),
+        user(io, server.local_endpoint(), 64) {
+    job_replica.start();
+    election.start();
+  }
+
+  void won() {
+    ready = false;
+    read_barriers = std::make_unique<ReadBarrierLoop>(io, leadership, job_replica);
+    read_jobs();
+  }
+  // As a new leader reads its jobs: complete up to the leader key, or once more.
+  void read_jobs() {
+    read_barriers->ask([this](bool fresh) {
+      if (!fresh || job_replica.revision() < leadership.token()) {
+        asio::post(io, [this, token = leadership.token()] {
+          if (read_barriers && leadership.token() == token) read_jobs();
+        });
+        return;
+      }
+      ready = true;
+      read_barriers->keep();
+    });
+  }
+  void lost() {
+    ready = false;
+    asio::post(io, [old = std::shared_ptr<ReadBarrierLoop>(std::move(read_barriers))] {});
+  }
+  /// Calls back with true when the user has got the answer that the job is cancelled.
+  void cancel(const core::JobId& id, std::function<void(bool)> answered) {
+    user.request({"POST", "/" + id, ""}, std::chrono::seconds(5),
+                 [answered = std::move(answered)](const std::optional<net::Response>& response) {
+                   answered(response && response->status == 200);
+                 });
+  }
+  bool serves() const { return ready && leadership.may_serve(core::Clock::now()); }
+
+  asio::io_context& io;
+  std::size_t endpoint;
+  std::vector<core::MachineType> types;
+  StoreClient store;
+  core::Leadership leadership;
+  std::set<core::JobId> closed;  // as reported to the core
+  JobReplica job_replica;
+  api::UserApi users;
+  std::unique_ptr<ReadBarrierLoop> read_barriers;
+  bool ready = false;
+  Election election;
+  net::HttpServer server;
+  net::HttpClient user;
+};
+
+/// Two controllers and their state service.
+struct Deployment {
+  explicit Deployment(asio::io_context& io, int seed)
+      : state(io), a(io, state, "n-0", seed * 10 + 1), b(io, state, "n-1", seed * 10 + 5) {}
+  Controller* leader() {
+    return a.leadership.leading() ? &a : b.leadership.leading() ? &b : nullptr;
+  }
+  Controller& other(const Controller& controller) { return &controller == &a ? b : a; }
+
+  fakes::StateService state;
+  Controller a;
+  Controller b;
+};
+
+/// Submits a job of one task; `done` gets whether the submission was accepted.
+inline void submit(StoreClient& store, const core::JobId& id, std::function<void(bool)> done = {}) {
+  core::JobRecord record;
+  record.spec.id = id;
+  record.spec.job_class = "c";
+  record.spec.team = "t";
+  record.spec.tasks = 1;
+  record.spec.per_task = {1, 0, 1};
+  record.spec.image = "i";
+  record.spec.image_gb = 1;
+  store.commit({{{kJobPrefix + id, 0}, {kEndPrefix + id, 0}},
+                {{kJobPrefix + id, encode_job_record(record), std::nullopt}}},
+               RequestPriority::safety, [done = std::move(done)](const TransactionResult& result) {
+                 if (done) done(result.outcome == Outcome::ok);
+               });
+}
+
+}  // namespace violetpulley::store
--- /dev/null
+++ b/tests/support/fake_cloud.hpp
@@ -0,0 +1,190 @@
+/// @file
+/// In-process fakes of the cloud and of one agent for each machine, written from their protocols.
+#pragma once
+
+#include <map>
+
+#include "support/fake_support.hpp"
+
+namespace violetpulley::fakes {
+
+/// The agent of one machine: sends heartbeats, executes commands, and runs every task for a short
+/// time.
+class Agent {
+ public:
+  Agent(asio::io_context& io, std::string id, std::map<std::string, std::string> nodes)
+      : io_(io),
+        id_(std::move(id)),
+        nodes_(std::move(nodes)),
+        node_(nodes_.begin()->first),
+        timer_(io),
+        server_(io, any_port(), {}, [this](Request&& request, const Responder& respond) {
+          receive_commands(Json::parse(request.body), respond);
+        }) {
+    send_heartbeat();
+  }
+
+  std::size_t starts() const { return starts_; }
+
+ private:
+  struct Task {
+    std::string state = "fetching";
+    std::string cause;
+    std::chrono::steady_clock::time_point ends{};
+  };
+
+  Json heartbeat_body() {
+    const auto now = std::chrono::steady_clock::now();
+    Json tasks = Json::array();
+    for (auto& [key, task] : tasks_) {
+      if (task.state != "exited" && now >= task.ends) {
+        task.state = "exited";
+        task.cause = "done";
+      }
+      Json entry{{"cut", key.first}, {"try", key.second}, {"status", task.state}};
+      if (!task.cause.empty()) entry["cause"] = task.cause;
+      tasks.push_back(entry);
+    }
+    return {{"rig", id_},           {"endpoint", text_of(server_.local_endpoint())},
+            {"bench", "small"},     {"district", "z1"},
+            {"loaners", false},     {"shift", 1},
+            {"tally", ++sequence_}, {"baton", token_},
+            {"recall_s", nullptr},  {"cuts", tasks}};
+  }
+
+  void execute(const Json& commands) {
+    for (const auto& command : commands) {
+      const std::pair key{command.at("cut").get<std::string>(),
+                          command.at("try").get<std::uint64_t>()};
+      const auto type = command.at("verb").get<std::string>();
+      if (type == "start" && !tasks_.contains(key)) {
+        ++starts_;
+        tasks_[key] = {
+            "running", "",
+            std::chrono::steady_clock::now() +
+                std::chrono::milliseconds(key.first.starts_with("req-9") ? 600'000 : 100)};
+      } else if (type == "kill" && tasks_.contains(key) && tasks_[key].state != "exited") {
+        tasks_[key].state = "exited";
+        tasks_[key].cause = "halted";
+      } else if (type == "reap") {
+        tasks_.erase(key);
+      }
+    }
+  }
+
+  void receive_commands(const Json& body, const Responder& respond) {
+    const bool accepted = body.at("baton").get<std::uint64_t>() >= token_ && body.at("shift") == 1;
+    if (accepted) {
+      token_ = body.at("baton").get<std::uint64_t>();
+      execute(body.at("orders"));
+    }
+    respond({accepted ? 200 : 409, heartbeat_body().dump(), {}});
+  }
+
+  void send_heartbeat() {
+    client_ = std::make_unique<net::HttpClient>(io_, net::parse_endpoint(nodes_.at(node_)), 1);
+    client_->request({"POST", "/agent/beat", heartbeat_body().dump()}, std::chrono::seconds(2),
+                     [this](const std::optional<net::Response>& response) {
+                       if (response && response->status == 200) {
+                         const auto body = Json::parse(response->body);
+                         if (body.at("baton").get<std::uint64_t>() >= token_) {
+                           token_ = body.at("baton").get<std::uint64_t>();
+                           execute(body.at("orders"));
+                         }
+                       } else {
+                         choose_next_node(response);
+                       }
+                       timer_.expires_after(std::chrono::milliseconds(100));
+                       timer_.async_wait([this](const asio::error_code& error) {
+                         if (!error) send_heartbeat();
+                       });
+                     });
+  }
+
+  void choose_next_node(const std::optional<net::Response>& response) {
+    if (response && response->status == 421) {
+      const auto body = Json::parse(response->body);
+      const auto named = body.value("foreman", std::string());
+      if (nodes_.contains(named) && named != node_) {
+        node_ = named;
+        return;
+      }
+    }
+    auto next = std::next(nodes_.find(node_));
+    node_ = next == nodes_.end() ? nodes_.begin()->first : next->first;
+  }
+
+  asio::io_context& io_;
+  std::string id_;
+  std::map<std::string, std::string> nodes_;
+  std::string node_;
+  std::map<std::pair<std::string, std::uint64_t>, Task> tasks_;
+  std::uint64_t token_ = 0;
+  std::uint64_t sequence_ = 0;
+  std::size_t starts_ = 0;
+  asio::steady_timer timer_;
+  net::HttpServer server_;
+  std::unique_ptr<net::HttpClient> client_;
+};
+
+/// The cloud: one machine type in one zone, at most six machines at once.
+class Cloud {
+ public:
+  Cloud(asio::io_context& io, std::map<std::string, std::string> nodes)
+      : io_(io),
+        nodes_(std::move(nodes)),
+        server_(io, any_port(), {},
+                [this](Request&& request, const Responder& respond) { route(request, respond); }) {}
+
+  std::string address() const { return text_of(server_.local_endpoint()); }
+  void set_nodes(std::map<std::string, std::string> nodes) { nodes_ = std::move(nodes); }
+  std::size_t starts() const {
+    std::size_t total = starts_of_returned_;
+    for (const auto& [id, agent] : agents_) total += agent->starts();
+    return total;
+  }
+
+ private:
+  static constexpr std::size_t kMaxMachines = 6;
+
+  void route(const Request& request, const Responder& respond) {
+    if (request.target == "/catalog")
+      return respond({200,
+                      R"({"benches":[{"label":"small","cores":8,"gpus":0,"memory_gb":32,
+                          "local_gb":20,"fetch_gb_per_s":1.0,"rate":1.0,"spot_price":null,
+                          "ready_s":1,"districts":["z1"]}]})",
+                      {}});
+    if (request.target == "/rentals" && request.method == "POST") {
+      const auto body = Json::parse(request.body);
+      Json ids = Json::array();
+      for (int i = 0; i < body.at("number").get<int>() && agents_.size() < kMaxMachines; ++i) {
+        const auto id = "m-" + std::to_string(100000 + ++counter_);
+        agents_[id] = std::make_unique<Agent>(io_, id, nodes_);
+        ids.push_back(id);
+      }
+      if (ids.empty()) return respond({503, R"({"error":"no capacity"})", {}});
+      return respond({200, Json{{"rigs", ids}}.dump(), {}});
+    }
+    if (request.target == "/rentals/release") {
+      for (const auto& id : Json::parse(request.body).at("rigs")) {
+        const auto found = agents_.find(id.get<std::string>());
+        if (found == agents_.end()) continue;
+        starts_of_returned_ += found->second->starts();
+        // The agent may be answering a request right now: it is destroyed afterwards.
+        asio::post(io_, [old = std::shared_ptr<Agent>(std::move(found->second))] {});
+        agents_.erase(found);
+      }
+      return respond({200, "{}", {}});
+    }
+    respond({200, R"({"rigs":[],"truncated":false})", {}});
+  }
+
+  asio::io_context& io_;
+  std::map<std::string, std::string> nodes_;
+  std::map<std::string, std::unique_ptr<Agent>> agents_;
+  std::size_t starts_of_returned_ = 0;
+  int counter_ = 0;
+  net::HttpServer server_;
+};
+
+}  // namespace violetpulley::fakes
--- /dev/null
+++ b/tests/support/fake_state_service.hpp
@@ -0,0 +1,251 @@
+/// @file
+/// In-process fake of the state service, written from its protocol, with faults that a test
+/// switches on and off.
+#pragma once
+
+#include <deque>
+#include <map>
+
+#include "support/fake_support.hpp"
+
+namespace violetpulley::fakes {
+
+/// The state service, with faults that a test switches on and off.
+class StateService {
+ public:
+  explicit StateService(asio::io_context& io) : io_(io) { add_endpoint(); }
+
+  /// Each caller may have an endpoint of its own, and be refused or answered late there alone.
+  std::size_t add_endpoint() {
+    const auto index = endpoints_.size();
+    endpoints_.emplace_back().server = std::make_unique<net::HttpServer>(
+        io_, any_port(), net::ServerLimits{},
+        [this, index](Request&& request, const Responder& respond) {
+          receive(index, request, [respond](const net::Response& response) { respond(response); });
+        });
+    return index;
+  }
+  std::string address(std::size_t endpoint = 0) const {
+    return text_of(endpoints_.at(endpoint).server->local_endpoint());
+  }
+  /// 503 to every request here; open watches stay silent, also for some time afterwards.
+  void refuse(std::size_t endpoint, bool on) { endpoints_.at(endpoint).refused = on; }
+  /// The same at all endpoints. Leases do not expire, and have their full time afterwards.
+  void outage(bool on) {
+    if (outage_ && !on)
+      for (auto& [id, lease] : std::map(leases_)) extend(id, lease.ttl);
+    outage_ = on;
+  }
+  /// Requests are executed when they arrive, and answered so much later.
+  void answer_late(std::size_t endpoint, std::chrono::milliseconds by) {
+    endpoints_.at(endpoint).answer_delay = by;
+  }
+  /// While `on`, lists are read when they are asked for, and answered when this is switched off.
+  void hold_lists(bool on) {
+    lists_on_hold_ = on;
+    if (!on)
+      for (auto& answer : std::exchange(held_lists_, {})) answer();
+  }
+  std::size_t lists_held() const { return held_lists_.size(); }
+  /// From here on answers to watches name a revision that is too small by so much; 0: as usual.
+  void go_backward(std::uint64_t by) { backward_ = by; }
+  /// Transactions are executed so much later, and never answered; 0: as usual.
+  void execute_late(std::size_t endpoint, std::chrono::milliseconds by) {
+    endpoints_.at(endpoint).execution_delay = by;
+  }
+  std::size_t executed_late() const { return executed_late_; }
+
+ private:
+  using Answer = std::function<void(const net::Response&)>;
+  struct Endpoint {
+    std::unique_ptr<net::HttpServer> server;
+    bool refused = false;
+    std::chrono::milliseconds answer_delay{0};
+    std::chrono::milliseconds execution_delay{0};
+  };
+  bool refuses(std::size_t endpoint) const { return outage_ || endpoints_.at(endpoint).refused; }
+  void after(std::chrono::milliseconds wait, std::function<void()> action) {
+    auto timer = std::make_shared<asio::steady_timer>(io_, wait);
+    timer->async_wait([timer, action = std::move(action)](const asio::error_code&) { action(); });
+  }
+  void receive(std::size_t endpoint, const Request& request, const Answer& respond) {
+    if (refuses(endpoint)) return respond({503, R"({"error":"trouble"})", {}});
+    const auto& at = endpoints_.at(endpoint);
+    if (at.execution_delay.count() > 0 && request.target == "/txn") {
+      after(at.execution_delay, [this, body = Json::parse(request.body)] {
+        transact(body, [](const net::Response&) {});
+        ++executed_late_;
+      });
+      return;
+    }
+    if (at.answer_delay.count() == 0) return route(endpoint, request, respond);
+    route(endpoint, request,
+          [this, delay = at.answer_delay, respond](const net::Response& response) {
+            after(delay, [respond, response] { respond(response); });
+          });
+  }
+
+  struct Entry {
+    Json value;
+    std::uint64_t revision = 0;
+    std::uint64_t lease = 0;
+  };
+  struct Watch {
+    std::size_t endpoint;
+    std::string prefix;
+    std::uint64_t since;
+    Answer respond;
+    std::shared_ptr<asio::steady_timer> timer;
+  };
+
+  void route(std::size_t endpoint, const Request& request, const Answer& respond) {
+    const auto path = request.target.substr(0, request.target.find('?'));
+    if (path == "/txn") return transact(Json::parse(request.body), respond);
+    if (path == "/changes") return watch(endpoint, request.target, respond);
+    if (path == "/store") return list(request.target, respond);
+    if (path.starts_with("/store/")) {
+      const auto found = entries_.find(path.substr(7));
+      if (found == entries_.end()) return respond({404, Json{{"ledger", revision_}}.dump(), {}});
+      return respond(
+          {200,
+           Json{{"k", found->first}, {"v", found->second.value}, {"stamp", found->second.revision}}
+               .dump(),
+           {}});
+    }
+    if (path == "/holds") {
+      const auto lease = ++last_lease_;
+      extend(lease, std::chrono::milliseconds(Json::parse(request.body).at("ttl_ms").get<int>()));
+      return respond({200, Json{{"tenure", lease}}.dump(), {}});
+    }
+    const auto lease = std::stoull(path.substr(7));
+    if (!leases_.contains(lease)) return respond({404, "{}", {}});
+    if (request.method == "DELETE")
+      end(lease);
+    else
+      extend(lease, leases_.at(lease).ttl);
+    respond({200, "{}", {}});
+  }
+
+  void extend(std::uint64_t lease, std::chrono::milliseconds ttl) {
+    auto timer = std::make_shared<asio::steady_timer>(io_, ttl);
+    timer->async_wait([this, lease](const asio::error_code& error) {
+      if (!error && !outage_) end(lease);
+    });
+    leases_[lease] = {ttl, timer};
+  }
+
+  void end(std::uint64_t lease) {
+    leases_.erase(lease);
+    ++revision_;
+    for (auto entry = entries_.begin(); entry != entries_.end();)
+      if (entry->second.lease == lease) {
+        changes_.push_back({{"delete", entry->first}, {"stamp", revision_}});
+        entry = entries_.erase(entry);
+      } else {
+        ++entry;
+      }
+    wake();
+  }
+
+  void transact(const Json& body, const Answer& respond) {
+    Json failed = Json::array();
+    for (const auto& condition : body.at("if")) {
+      const auto found = entries_.find(condition.at("k").get<std::string>());
+      const std::uint64_t revision = found == entries_.end() ? 0 : found->second.revision;
+      if (revision != condition.at("stamp").get<std::uint64_t>())
+        failed.push_back(condition.at("k"));
+    }
+    if (!failed.empty())
+      return respond({409, Json{{"failed", failed}, {"ledger", revision_}}.dump(), {}});
+    for (const auto& write : body.at("then"))
+      if (write.contains("tenure") && !leases_.contains(write.at("tenure").get<std::uint64_t>()))
+        return respond({400, R"({"error":"no such lease"})", {}});
+    ++revision_;
+    for (const auto& write : body.at("then")) {
+      if (write.contains("delete")) {
+        entries_.erase(write.at("delete").get<std::string>());
+        changes_.push_back({{"delete", write.at("delete")}, {"stamp", revision_}});
+      } else {
+        const auto key = write.at("write").get<std::string>();
+        entries_[key] = {write.at("v"), revision_, write.value("tenure", std::uint64_t{0})};
+        changes_.push_back({{"write", key}, {"v", write.at("v")}, {"stamp", revision_}});
+      }
+    }
+    respond({200, Json{{"ledger", revision_}}.dump(), {}});
+    wake();
+  }
+
+  void list(const std::string& target, const Answer& respond) {
+    Json rows = Json::array();
+    for (const auto& [key, entry] : entries_)
+      if (key.starts_with(query(target, "prefix")) && key > query(target, "since"))
+        rows.push_back({{"k", key}, {"v", entry.value}, {"stamp", entry.revision}});
+    const net::Response answer{
+        200, Json{{"rows", rows}, {"truncated", false}, {"ledger", revision_}}.dump(), {}};
+    if (!lists_on_hold_) return respond(answer);
+    held_lists_.push_back([respond, answer] { respond(answer); });
+  }
+
+  bool answer(const std::string& prefix, std::uint64_t since, bool now, const Answer& respond) {
+    Json changes = Json::array();
+    for (const auto& change : changes_) {
+      const auto key = change.value(change.contains("write") ? "write" : "delete", std::string());
+      if (change.at("stamp").get<std::uint64_t>() > since && key.starts_with(prefix))
+        changes.push_back(change);
+    }
+    if (changes.empty() && !now) return false;
+    respond({200, Json{{"ledger", revision_ - backward_}, {"news", changes}}.dump(), {}});
+    return true;
+  }
+
+  void watch(std::size_t endpoint, const std::string& target, const Answer& respond) {
+    const auto prefix = query(target, "prefix");
+    const auto since = std::stoull(query(target, "since"));
+    const std::chrono::milliseconds block(std::stoul(query(target, "block_ms")));
+    if (answer(prefix, since, block.count() == 0, respond)) return;
+    auto timer = std::make_shared<asio::steady_timer>(io_, block);
+    expire(endpoint, prefix, since, respond, timer);
+    watches_.push_back({endpoint, prefix, since, respond, timer});
+  }
+  void expire(std::size_t endpoint, const std::string& prefix, std::uint64_t since,
+              const Answer& respond, const std::shared_ptr<asio::steady_timer>& timer) {
+    timer->async_wait([=, this](const asio::error_code& error) {
+      if (error) return;
+      if (!refuses(endpoint)) return void(answer(prefix, since, true, respond));
+      timer->expires_after(std::chrono::milliseconds(100));
+      expire(endpoint, prefix, since, respond, timer);
+    });
+  }
+
+  // A change that happens while a watch is refused is not reported to the watch, also not when the
+  // refusal ends: the watch stays silent until the next change or until its time is over.
+  void wake() {
+    std::erase_if(watches_, [&](const Watch& watch) {
+      if (watch.timer->expiry() < std::chrono::steady_clock::now()) return true;
+      if (refuses(watch.endpoint) || !answer(watch.prefix, watch.since, false, watch.respond))
+        return false;
+      watch.timer->cancel();
+      return true;
+    });
+  }
+
+  struct Lease {
+    std::chrono::milliseconds ttl;
+    std::shared_ptr<asio::steady_timer> timer;
+  };
+  asio::io_context& io_;
+  std::map<std::string, Entry> entries_;
+  std::vector<Json> changes_;
+  std::vector<Watch> watches_;
+  std::map<std::uint64_t, Lease> leases_;
+  std::uint64_t revision_ = 0;
+  std::uint64_t last_lease_ = 0;
+  std::uint64_t backward_ = 0;
+  std::size_t executed_late_ = 0;
+  bool outage_ = false;
+  bool lists_on_hold_ = false;
+  std::vector<std::function<void()>> held_lists_;
+  std::deque<Endpoint> endpoints_;
+};
+
+}  // namespace violetpulley::fakes
