--- a/src/store/record_codec.cpp
+++ b/src/store/record_codec.cpp
@@ -96,8 +96,8 @@
                                value.at(kSpot).get<int>() != 0,
                                {}};
     for (const auto& image : value.at(kImages))
-      record.images.emplace_back(image.at(kImageName).get<std::string>(),
-                                 image.at(kImageGb).get<double>());
+      record.images.push_back(
+          {image.at(kImageName).get<std::string>(), image.at(kImageGb).get<double>()});
     return record;
   });
 }
