--- a/src/core/autoscaling/scale_out_planner.cpp
+++ b/src/core/autoscaling/scale_out_planner.cpp
@@ -58,7 +58,7 @@
   std::vector<TaskIndex> tasks;
   for (const auto index : job.waiting) {
     if (!need.fits_in(quota_left)) break;
-    if (task_starter_.held(job, index)) continue;
+    if (task_starter_.blocked_on_reconciliation(job, index)) continue;
     quota_left -= need;
     if (job.tasks[index].bound.empty()) tasks.push_back(index);
   }
--- a/src/core/scheduling/candidate_queue.cpp
+++ b/src/core/scheduling/candidate_queue.cpp
@@ -14,8 +14,9 @@
 bool covers(const Team& team, const Resources& use) {
   const bool has_guarantee = team.guaranteed_cpus > 0 || team.guaranteed_gpus > 0;
   return has_guarantee &&
-         (team.guaranteed_cpus <= 0 || use.cpus <= team.guaranteed_cpus + Resources::kSlack) &&
-         use.gpus <= team.guaranteed_gpus + Resources::kSlack;
+         (team.guaranteed_cpus <= 0 ||
+          use.cpus <= team.guaranteed_cpus + Resources::kRoundingTolerance) &&
+         use.gpus <= team.guaranteed_gpus + Resources::kRoundingTolerance;
 }
 
 bool submitted_before(const Job* a, const Job* b) {
--- a/src/core/scheduling/gang_reservations.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -8,7 +8,8 @@
 TaskIndex places_on(const Resources& free, const JobSpec& spec) {
   double slots = spec.tasks;
   const auto limit_by = [&](double available, double need) {
-    if (need > 0) slots = std::min(slots, std::floor((available + Resources::kSlack) / need));
+    if (need > 0)
+      slots = std::min(slots, std::floor((available + Resources::kRoundingTolerance) / need));
   };
   limit_by(free.cpus, spec.per_task.cpus);
   limit_by(free.gpus, spec.per_task.gpus);
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -224,7 +224,7 @@
 
 bool Scheduler::may_start(const Job& job, TaskIndex index) const {
   if (!job.tasks[index].bound.empty() && !settings_.tuning.bound_tasks_may_move) return false;
-  return !recovery_.held(job, index);
+  return !recovery_.is_blocked(job, index);
 }
 
 bool Scheduler::start_tasks(BinPacker& packer, const Candidate& candidate,
