--- a/src/agent/agent_codec.cpp
+++ b/src/agent/agent_codec.cpp
@@ -1,7 +1,6 @@
 #include "agent/agent_codec.hpp"
 
 #include <charconv>
-#include <stdexcept>
 
 namespace violetpulley::agent {
 
@@ -12,118 +11,190 @@
 
 namespace {
 
+/// Wire names: the JSON fields of heartbeats and commands.
+namespace wire {
+constexpr const char* kMachine = "rig";
+constexpr const char* kEndpoint = "endpoint";
+constexpr const char* kMachineType = "bench";
+constexpr const char* kZone = "district";
+constexpr const char* kSpot = "loaners";
+constexpr const char* kEpoch = "shift";
+constexpr const char* kHeartbeatSequence = "tally";
+constexpr const char* kFencingToken = "baton";
+constexpr const char* kReclaimNotice = "recall_s";
+constexpr const char* kTasks = "cuts";
+constexpr const char* kTask = "cut";
+constexpr const char* kAttempt = "try";
+constexpr const char* kTaskState = "status";
+constexpr const char* kExitCause = "cause";
+constexpr const char* kStored = "stored";
+constexpr const char* kCommands = "orders";
+constexpr const char* kCommandType = "verb";
+constexpr const char* kGracePeriod = "leeway_s";
+}  // namespace wire
+
+template <class Value>
+struct WireName {
+  const char* name;
+  Value value;
+};
+
+constexpr WireName<TaskState> kTaskStates[] = {{"fetching", TaskState::fetching},
+                                               {"waiting", TaskState::waiting},
+                                               {"running", TaskState::running},
+                                               {"flushing", TaskState::checkpointing},
+                                               {"exited", TaskState::exited}};
+constexpr WireName<ExitCause> kExitCauses[] = {{"done", ExitCause::done},
+                                               {"halted", ExitCause::stopped},
+                                               {"mates_gone", ExitCause::peers_gone},
+                                               {"incomplete", ExitCause::incomplete},
+                                               {"error", ExitCause::error},
+                                               {"no_room", ExitCause::no_capacity},
+                                               {"in_use", ExitCause::busy},
+                                               {"no_such", ExitCause::unknown}};
+
+constexpr std::size_t kMaxNameBytes = 200;
+/// Bounds of a reclaim notice in seconds; a negative one has passed.
+constexpr double kMinNotice = -3600;
+constexpr double kMaxNotice = 1e7;
+
+template <class Value, std::size_t N>
+Value value_of(const std::string& name, const WireName<Value> (&known)[N], const char* what) {
+  for (const auto& entry : known)
+    if (name == entry.name) return entry.value;
+  throw DecodeError(std::string(what) + " " + name);
+}
+
+const char* wire_name(CommandType type) {
+  switch (type) {
+    case CommandType::start:
+      return "start";
+    case CommandType::stop:
+      return "kill";
+    case CommandType::acknowledge:
+      return "reap";
+  }
+  return "";
+}
+
+/// A field that may be missing or null, which is the same: null pointer.
+const Json* optional_field(const Json& object, const char* name) {
+  const auto found = object.find(name);
+  return found == object.end() || found->is_null() ? nullptr : &*found;
+}
+
+std::uint64_t count_of(const Json& value, const char* name) {
+  if (!value.is_number_unsigned()) throw DecodeError(std::string(name) + " must be a count");
+  return value.get<std::uint64_t>();
+}
+
+std::uint64_t count_field(const Json& object, const char* name) {
+  return count_of(object.at(name), name);
+}
+
+std::string name_field(const Json& object, const char* name) {
+  auto text = object.at(name).get<std::string>();
+  if (text.empty() || text.size() > kMaxNameBytes)
+    throw DecodeError(std::string(name) + " must hold 1 to 200 bytes");
+  return text;
+}
+
+Seconds parse_notice(const Json& value) {
+  const auto left = value.get<double>();
+  if (!(left >= kMinNotice && left < kMaxNotice))
+    throw DecodeError(std::string(wire::kReclaimNotice) + " is out of range");
+  return Seconds(left);
+}
+
+/// Decodes a task's name on the wire, "req-000412/3": job and index of the task.
 core::TaskKey parse_task(const std::string& name) {
   const auto slash = name.rfind('/');
+  if (slash == std::string::npos || slash == 0) throw DecodeError("task name " + name);
   core::TaskKey key;
-  if (slash == std::string::npos || slash == 0) throw std::invalid_argument("task name " + name);
   key.job = name.substr(0, slash);
   const auto* end = name.data() + name.size();
   const auto [stop, error] = std::from_chars(name.data() + slash + 1, end, key.index);
-  if (error != std::errc() || stop != end) throw std::invalid_argument("task name " + name);
+  if (error != std::errc() || stop != end) throw DecodeError("task name " + name);
   return key;
 }
 
-TaskState parse_state(const std::string& name) {
-  if (name == "fetching") return TaskState::fetching;
-  if (name == "waiting") return TaskState::waiting;
-  if (name == "running") return TaskState::running;
-  if (name == "flushing") return TaskState::checkpointing;
-  if (name == "exited") return TaskState::exited;
-  throw std::invalid_argument("task state " + name);
+std::string task_name(const core::TaskKey& task) {
+  return task.job + "/" + std::to_string(task.index);
 }
 
-ExitCause parse_cause(const std::string& name) {
-  if (name == "done") return ExitCause::done;
-  if (name == "halted") return ExitCause::stopped;
-  if (name == "mates_gone") return ExitCause::peers_gone;
-  if (name == "incomplete") return ExitCause::incomplete;
-  if (name == "error") return ExitCause::error;
-  if (name == "no_room") return ExitCause::no_capacity;
-  if (name == "in_use") return ExitCause::busy;
-  if (name == "no_such") return ExitCause::unknown;
-  throw std::invalid_argument("exit cause " + name);
+core::TaskStatus parse_task_status(const Json& item) {
+  core::TaskStatus status;
+  status.task = parse_task(item.at(wire::kTask).get<std::string>());
+  status.attempt = count_field(item, wire::kAttempt);
+  status.state = value_of(item.at(wire::kTaskState).get<std::string>(), kTaskStates, "task state");
+  if (status.state == TaskState::exited)
+    status.cause =
+        value_of(item.at(wire::kExitCause).get<std::string>(), kExitCauses, "exit cause");
+  const auto stored = item.find(wire::kStored);
+  status.stored = stored != item.end() && stored->is_boolean() && stored->get<bool>();
+  return status;
 }
 
-std::uint64_t integer(const Json& value, const char* name) {
-  if (!value.is_number_unsigned())
-    throw std::invalid_argument(std::string(name) + " must be a count");
-  return value.get<std::uint64_t>();
+std::vector<core::TaskStatus> parse_task_statuses(const Json& items) {
+  if (!items.is_array()) throw DecodeError(std::string(wire::kTasks) + " must be a list");
+  std::vector<core::TaskStatus> statuses;
+  statuses.reserve(items.size());
+  for (const auto& item : items) statuses.push_back(parse_task_status(item));
+  return statuses;
 }
 
-std::string name_at(const Json& body, const char* name) {
-  auto text = body.at(name).get<std::string>();
-  if (text.empty() || text.size() > 200) throw std::invalid_argument(std::string(name) + " is bad");
-  return text;
+core::Heartbeat heartbeat_from_json(const Json& json) {
+  core::Heartbeat heartbeat;
+  heartbeat.machine = name_field(json, wire::kMachine);
+  heartbeat.endpoint = name_field(json, wire::kEndpoint);
+  heartbeat.type = name_field(json, wire::kMachineType);
+  heartbeat.zone = name_field(json, wire::kZone);
+  if (const auto* spot = optional_field(json, wire::kSpot)) heartbeat.spot = spot->get<bool>();
+  heartbeat.epoch = count_field(json, wire::kEpoch);
+  heartbeat.heartbeat_sequence = count_field(json, wire::kHeartbeatSequence);
+  if (const auto* token = optional_field(json, wire::kFencingToken))
+    heartbeat.token = count_of(*token, wire::kFencingToken);
+  if (const auto* notice = optional_field(json, wire::kReclaimNotice))
+    heartbeat.notice = parse_notice(*notice);
+  if (const auto* tasks = optional_field(json, wire::kTasks))
+    heartbeat.tasks = parse_task_statuses(*tasks);
+  return heartbeat;
+}
+
+Json command_to_json(const core::Command& command) {
+  Json item{{wire::kTask, task_name(command.task)},
+            {wire::kAttempt, command.attempt},
+            {wire::kCommandType, wire_name(command.type)}};
+  if (command.type == CommandType::stop) item[wire::kGracePeriod] = command.grace.count();
+  return item;
 }
 
 Json commands_to_json(const std::vector<core::Command>& commands) {
-  Json out = Json::array();
-  for (const auto& command : commands) {
-    Json item{{"cut", command.task.job + "/" + std::to_string(command.task.index)},
-              {"try", command.attempt}};
-    switch (command.type) {
-      case CommandType::start:
-        item["verb"] = "start";
-        break;
-      case CommandType::stop:
-        item["verb"] = "kill";
-        item["leeway_s"] = command.grace.count();
-        break;
-      case CommandType::acknowledge:
-        item["verb"] = "reap";
-        break;
-    }
-    out.push_back(std::move(item));
-  }
-  return out;
+  Json items = Json::array();
+  for (const auto& command : commands) items.push_back(command_to_json(command));
+  return items;
 }
 
 }  // namespace
 
 core::Heartbeat parse_heartbeat(const std::string& body) {
-  const auto json = Json::parse(body);
-  core::Heartbeat heartbeat;
-  heartbeat.machine = name_at(json, "rig");
-  heartbeat.endpoint = name_at(json, "endpoint");
-  heartbeat.type = name_at(json, "bench");
-  heartbeat.zone = name_at(json, "district");
-  const auto spot = json.find("loaners");
-  heartbeat.spot = spot != json.end() && !spot->is_null() && spot->get<bool>();
-  heartbeat.epoch = integer(json.at("shift"), "shift");
-  heartbeat.heartbeat_sequence = integer(json.at("tally"), "tally");
-  const auto token = json.find("baton");
-  if (token != json.end() && !token->is_null()) heartbeat.token = integer(*token, "baton");
-  const auto notice = json.find("recall_s");
-  if (notice != json.end() && !notice->is_null()) {
-    const auto left = notice->get<double>();
-    if (!(left >= -3600 && left < 1e7)) throw std::invalid_argument("recall_s is out of range");
-    heartbeat.notice = Seconds(left);
-  }
-  const auto tasks = json.find("cuts");
-  if (tasks == json.end() || tasks->is_null()) return heartbeat;
-  if (!tasks->is_array()) throw std::invalid_argument("cuts must be a list");
-  heartbeat.tasks.reserve(tasks->size());
-  for (const auto& item : *tasks) {
-    core::TaskStatus entry;
-    entry.task = parse_task(item.at("cut").get<std::string>());
-    entry.attempt = integer(item.at("try"), "try");
-    entry.state = parse_state(item.at("status").get<std::string>());
-    if (entry.state == TaskState::exited)
-      entry.cause = parse_cause(item.at("cause").get<std::string>());
-    const auto stored = item.find("stored");
-    entry.stored = stored != item.end() && stored->is_boolean() && stored->get<bool>();
-    heartbeat.tasks.push_back(std::move(entry));
+  try {
+    return heartbeat_from_json(Json::parse(body));
+  } catch (const Json::exception& problem) {
+    throw DecodeError(problem.what());
   }
-  return heartbeat;
 }
 
 std::string response_body(core::FencingToken token, const std::vector<core::Command>& commands) {
-  return Json{{"baton", token}, {"orders", commands_to_json(commands)}}.dump();
+  return Json{{wire::kFencingToken, token}, {wire::kCommands, commands_to_json(commands)}}.dump();
 }
 
 std::string commands_body(core::FencingToken token, std::uint64_t epoch,
                           const std::vector<core::Command>& commands) {
-  return Json{{"baton", token}, {"shift", epoch}, {"orders", commands_to_json(commands)}}.dump();
+  return Json{{wire::kFencingToken, token},
+              {wire::kEpoch, epoch},
+              {wire::kCommands, commands_to_json(commands)}}
+      .dump();
 }
 
 }  // namespace violetpulley::agent
--- a/src/agent/command_sender.cpp
+++ b/src/agent/command_sender.cpp
@@ -7,79 +7,95 @@
 namespace violetpulley::agent {
 
 namespace {
+
+/// Wire name: the path of an agent that takes commands.
+const std::string kCommandsPath = "/orders";
 constexpr std::chrono::milliseconds kTimeout{2500};
-// An empty list only asks: one that arrives after this does nothing, so it may be asked again soon.
-constexpr std::chrono::milliseconds kAskTimeout{700};
-// A request holds at most 64 KiB; what does not fit goes with the next one.
+/// An empty batch only asks for a heartbeat: a batch that arrives after this does nothing, so the
+/// question may be repeated soon.
+constexpr std::chrono::milliseconds kEmptyBatchTimeout{700};
+/// A request holds at most 64 KiB; commands that do not fit go with the next request.
 constexpr std::size_t kMaxCommands = 500;
+constexpr std::size_t kMaxResponseBytes = 1 << 20;
+constexpr int kOk = 200;
+constexpr int kConflict = 409;  // the agent refuses the commands, and answers with its heartbeat
+
 }  // namespace
 
 void CommandSender::erase(const core::MachineId& machine) {
   const auto found = connections_.find(machine);
   if (found == connections_.end()) return;
-  idle_.erase({found->second.used, machine});
+  idle_.erase({found->second.last_use, machine});
   connections_.erase(found);
 }
 
-// One closed line for each new one is not enough: after a takeover every machine is asked at once,
-// all lines are busy, and what a burst opened stayed for ever. With as many lines as machines the
-// workers' own connections found no room for longer than a lease (docs/incidents/lines.md).
-void CommandSender::close_down_to(std::size_t most) {
-  while (connections_.size() > most && !idle_.empty())
-    erase(core::MachineId(idle_.begin()->second));
+// Closing one connection for each new one is not enough: after a failover all machines get commands
+// at once, all connections are busy, and connections opened by a burst remained for ever. With as
+// many connections as machines the agents' own connections were refused for longer than a lease
+// (docs/incidents/lines.md).
+void CommandSender::close_idle_beyond(std::size_t max_open) {
+  while (connections_.size() > max_open && !idle_.empty())
+    erase(core::MachineId(idle_.begin()->machine));
+}
+
+bool CommandSender::connect(Connection& connection, const core::SendCommands& batch) {
+  if (connection.client && connection.endpoint == batch.endpoint) return true;
+  try {
+    connection.client = std::make_unique<net::HttpClient>(io_, net::parse_endpoint(batch.endpoint),
+                                                          1, kMaxResponseBytes);
+    connection.endpoint = batch.endpoint;
+    return true;
+  } catch (const std::invalid_argument& problem) {
+    spdlog::warn("machine {}: {}", batch.machine, problem.what());
+    return false;
+  }
 }
 
 void CommandSender::send(const core::SendCommands& batch) {
-  if (!connections_.contains(batch.machine)) close_down_to(max_connections_ - 1);
+  if (!connections_.contains(batch.machine)) close_idle_beyond(max_connections_ - 1);
   auto& connection = connections_[batch.machine];
-  idle_.erase({connection.used, batch.machine});
-  connection.used = ++sends_;
-  if (!connection.client || connection.endpoint != batch.endpoint) {
-    try {
-      connection.client =
-          std::make_unique<net::HttpClient>(io_, net::parse_endpoint(batch.endpoint), 1, 1 << 20);
-      connection.endpoint = batch.endpoint;
-    } catch (const std::invalid_argument& problem) {
-      spdlog::warn("machine {}: {}", batch.machine, problem.what());
-      erase(batch.machine);
-      asio::post(io_, [answered = answered_, id = batch.machine] { answered(id, nullptr); });
-      return;
-    }
+  idle_.erase({connection.last_use, batch.machine});
+  connection.last_use = ++sends_;
+  if (!connect(connection, batch)) {
+    erase(batch.machine);
+    asio::post(io_, [answered = answered_, id = batch.machine] { answered(id, nullptr); });
+    return;
   }
   auto commands = batch.commands;
   if (commands.size() > kMaxCommands) commands.resize(kMaxCommands);
   connection.client->request(
-      {"POST", "/orders", commands_body(token_, batch.epoch, commands)},
-      commands.empty() ? kAskTimeout : kTimeout,
+      {"POST", kCommandsPath, commands_body(token_, batch.epoch, commands)},
+      commands.empty() ? kEmptyBatchTimeout : kTimeout,
       [this, id = batch.machine](const std::optional<net::Response>& response) {
-        answered(id, response);
+        handle_response(id, response);
       });
 }
 
-void CommandSender::answered(const core::MachineId& id,
-                             const std::optional<net::Response>& response) {
-  if (const auto connection = connections_.find(id);
-      connection != connections_.end() && connection->second.client->idle())
-    idle_.insert({connection->second.used, id});
-  close_down_to(max_connections_);
-  if (!response || (response->status != 200 && response->status != 409)) {
-    spdlog::debug("machine {}: orders not answered", id);
-    return answered_(id, nullptr);
+void CommandSender::handle_response(const core::MachineId& machine,
+                                    const std::optional<net::Response>& response) {
+  const auto connection = connections_.find(machine);
+  if (connection != connections_.end() && connection->second.client->idle())
+    idle_.insert({connection->second.last_use, machine});
+  close_idle_beyond(max_connections_);
+  const auto heartbeat = decode_answer(machine, response);
+  answered_(machine, heartbeat ? &*heartbeat : nullptr);
+}
+
+std::optional<core::Heartbeat> CommandSender::decode_answer(
+    const core::MachineId& machine, const std::optional<net::Response>& response) const {
+  if (!response || (response->status != kOk && response->status != kConflict)) {
+    spdlog::debug("machine {}: commands not answered", machine);
+    return std::nullopt;
   }
   try {
-    const auto heartbeat = parse_heartbeat(response->body);
-    if (heartbeat.machine != id) {
-      spdlog::warn("machine {}: {} answers at its endpoint, which proves nothing of it", id,
-                   heartbeat.machine);
-      return answered_(id, nullptr);
-    }
-    answered_(id, &heartbeat);
-  } catch (const std::exception& problem) {
-    spdlog::warn("machine {} answered nonsense: {}", id, problem.what());
-    answered_(id, nullptr);
+    auto heartbeat = parse_heartbeat(response->body);
+    if (heartbeat.machine == machine) return heartbeat;
+    spdlog::warn("machine {}: {} answers at its endpoint, which proves nothing of it", machine,
+                 heartbeat.machine);
+  } catch (const DecodeError& problem) {
+    spdlog::warn("machine {}: malformed answer: {}", machine, problem.what());
   }
+  return std::nullopt;
 }
 
-void CommandSender::drop(const core::MachineId& machine) { erase(machine); }
-
 }  // namespace violetpulley::agent
--- a/src/agent/command_sender.hpp
+++ b/src/agent/command_sender.hpp
@@ -1,6 +1,8 @@
-// Commands straight to the workers: one client per machine, kept while it is among the last used.
-// The sockets of a controller are limited, and a large fleet's reports already take one a machine:
-// whatever a burst of orders opens beyond the bound is closed again as the answers come.
+/// @file
+/// Sends commands to the agents over one connection per machine. The sockets of a controller are
+/// limited, and the heartbeats of a large fleet already take one per machine: connections that a
+/// burst of commands has opened beyond the bound are closed as the answers come. Owns the
+/// connections.
 #pragma once
 
 #include <algorithm>
@@ -14,36 +16,55 @@
 
 class CommandSender {
  public:
-  // No report: no answer, or nonsense.
+  /// Called with the agent's answer; null heartbeat: no answer, a refusal, or a malformed answer.
   using Answered = std::function<void(const core::MachineId&, const core::Heartbeat*)>;
 
   CommandSender(asio::io_context& io, core::FencingToken token, std::size_t max_connections,
                 Answered answered)
       : io_(io), token_(token), max_connections_(max_connections), answered_(std::move(answered)) {}
 
+  /// Sends a command batch. Commands beyond what one request holds are left out: the core sends
+  /// them again with a later batch.
   void send(const core::SendCommands& batch);
-  void drop(const core::MachineId& machine);
-  // At least one.
-  void set_max_connections(std::size_t most) { max_connections_ = std::max<std::size_t>(1, most); }
+  /// Closes the connection to a machine that is gone; its answers are not awaited any more.
+  void drop(const core::MachineId& machine) { erase(machine); }
+  /// Bounds the open connections; at least one is kept.
+  void set_max_connections(std::size_t max_connections) {
+    max_connections_ = std::max<std::size_t>(1, max_connections);
+  }
   std::size_t connections() const { return connections_.size(); }
 
  private:
   struct Connection {
     std::string endpoint;
     std::unique_ptr<net::HttpClient> client;
-    std::uint64_t used = 0;  // the larger, the later
+    std::uint64_t last_use = 0;  ///< Number of the last batch sent over it.
   };
-  void answered(const core::MachineId& machine, const std::optional<net::Response>& response);
-  // Closes the idle lines that were used longest ago until `most` are left, busy ones counted.
-  void close_down_to(std::size_t most);
+  struct IdleConnection {
+    std::uint64_t last_use = 0;
+    core::MachineId machine;
+    auto operator<=>(const IdleConnection&) const = default;
+  };
+
+  /// Opens the connection anew if the machine's endpoint has changed; false if it is malformed.
+  bool connect(Connection& connection, const core::SendCommands& batch);
+  void handle_response(const core::MachineId& machine,
+                       const std::optional<net::Response>& response);
+  /// Decodes the answer of `machine`; null if the answer is no proof of that machine's state.
+  std::optional<core::Heartbeat> decode_answer(const core::MachineId& machine,
+                                               const std::optional<net::Response>& response) const;
+  /// Closes the idle connections with the earliest last use until at most `max_open` connections
+  /// are left, busy ones counted.
+  void close_idle_beyond(std::size_t max_open);
   void erase(const core::MachineId& machine);
+
   asio::io_context& io_;
   core::FencingToken token_;
   std::size_t max_connections_;
   std::uint64_t sends_ = 0;
   Answered answered_;
   std::map<core::MachineId, Connection> connections_;
-  std::set<std::pair<std::uint64_t, core::MachineId>> idle_;  // lines by their last use
+  std::set<IdleConnection> idle_;
 };
 
 }  // namespace violetpulley::agent
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -5,7 +5,7 @@
 #include <iostream>
 
 #include "commands/exit_codes.hpp"
-#include "node.hpp"
+#include "node/node.hpp"
 
 namespace violetpulley::commands {
 
--- /dev/null
+++ b/src/leader/action_executor.cpp
@@ -0,0 +1,172 @@
+#include "leader/action_executor.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include "store/record_codec.hpp"
+
+namespace violetpulley {
+
+using core::Clock;
+using store::Json;
+using store::Outcome;
+using store::WritePriority;
+
+namespace {
+
+constexpr std::chrono::seconds kMarkRetry{2};
+constexpr std::chrono::milliseconds kFinishRetry{700};
+constexpr std::chrono::seconds kCampaignPauseAfterResigning{8};
+
+}  // namespace
+
+ActionExecutor::ActionExecutor(const Services& services, core::FencingToken token,
+                               std::size_t page_bytes, Events events)
+    : services_(services),
+      token_(token),
+      page_bytes_(page_bytes),
+      events_(std::move(events)),
+      mark_timer_(services.io) {}
+
+void ActionExecutor::dispatch(const core::Action& action) {
+  std::visit([this](const auto& typed_action) { execute(typed_action); }, action);
+}
+
+void ActionExecutor::execute(const core::SendCommands& action) {
+  events_.sending_commands(action);
+  services_.command_sender.send(action);
+}
+
+void ActionExecutor::execute(const core::SaveMachine& action) {
+  const auto now = Clock::now();
+  const auto& record = action.record;
+  auto& writer = services_.writer;
+  const bool registered = !record.endpoint.empty();
+  auto& table = registered ? writer.machines() : writer.provisioning();
+  const bool urgent = registered && !action.only_images;
+  table.put(record.id, store::machine_to_json(record), store::kMachineBytes,
+            urgent ? WritePriority::urgent : WritePriority::deferred, now,
+            [this, id = record.id, registered] {
+              // Not earlier: until the registration is committed, only the record of the scale-out
+              // shows that the machine exists.
+              if (registered) services_.writer.provisioning().erase(id, Clock::now());
+              events_.result(core::MachineSaved{id, registered, true});
+              events_.run_core();
+            });
+}
+
+void ActionExecutor::execute(const core::DeleteMachine& action) {
+  services_.command_sender.drop(action.id);
+  services_.writer.machines().erase(action.id, Clock::now());
+  services_.writer.provisioning().erase(action.id, Clock::now());
+}
+
+void ActionExecutor::execute(const core::SaveProgress& action) {
+  const auto name = store::progress_name(action.record.job, action.record.chunk);
+  services_.writer.progress().put(name,
+                                  store::progress_to_json(action.record, action.tasks_in_chunk),
+                                  store::progress_bytes(name, action.tasks_in_chunk),
+                                  WritePriority::deferred, Clock::now(), [this, saved = action] {
+                                    events_.result(core::ProgressSaved{saved, true});
+                                  });
+}
+
+void ActionExecutor::execute(const core::FinishJob& action) {
+  const std::string job = store::kJobPrefix + action.job;
+  const std::string end = store::kEndPrefix + action.job;
+  store::Transaction transaction{
+      {{job, action.revision}, {end, 0}},
+      {{job, std::nullopt, std::nullopt}, {end, Json{{"state", "done"}}, std::nullopt}}};
+  services_.writer.commit(
+      std::move(transaction),
+      [this, action](const store::TransactionResult& result) { finish_answered(action, result); });
+}
+
+void ActionExecutor::finish_answered(const core::FinishJob& action,
+                                     const store::TransactionResult& result) {
+  if (result.outcome == Outcome::ok) {
+    spdlog::info("job {} is done", action.job);
+    erase_progress(action.job, action.chunks);
+    services_.job_replica.note_closed(action.job, result.revision);
+    return;
+  }
+  // The job has ended otherwise, or the outcome is unknown: the job replica will show it, and until
+  // then the core tries again.
+  events_.result(core::FinishAnswered{action.job, Clock::now() + kFinishRetry});
+}
+
+void ActionExecutor::execute(const core::DeleteProgress& action) {
+  erase_progress(action.job, action.chunks);
+}
+
+void ActionExecutor::erase_progress(const core::JobId& job,
+                                    const std::vector<core::TaskIndex>& chunks) {
+  for (const auto chunk : chunks)
+    services_.writer.progress().erase(store::progress_name(job, chunk), Clock::now());
+}
+
+void ActionExecutor::execute(const core::ScaleOut& action) {
+  spdlog::info("scaling out: {} {} {} in {} ({})", action.count, action.spot ? "spot" : "on-demand",
+               action.type, action.zone, action.name);
+  const auto answered = [this, request = action](const core::ScaleOutResult& answer) {
+    if (answer.machines.size() < static_cast<std::size_t>(request.count))
+      spdlog::info("scale-out {} brought {} of {} machines", request.name, answer.machines.size(),
+                   request.count);
+    events_.result(core::ScaleOutAnswered{request.name, answer});
+    events_.run_core();
+  };
+  services_.cloud.request_machines(action, lifetime_.guard(answered));
+}
+
+void ActionExecutor::execute(const core::ScaleIn& action) {
+  spdlog::info("scaling in: {} machines ({}), first {}", action.machines.size(), action.cause,
+               action.machines.front());
+  const auto answered = [this, machines = action.machines](bool ok) {
+    if (!ok) spdlog::warn("machines could not be returned; will try again");
+    events_.result(core::ScaleInAnswered{machines, ok});
+    events_.run_core();
+  };
+  services_.cloud.release(action.machines, lifetime_.guard(answered));
+}
+
+void ActionExecutor::execute(const core::Resign& action) {
+  if (action.isolated) events_.resigning_isolated();
+  asio::post(services_.io, lifetime_.guard([this, cause = action.cause] {
+    services_.election.resign(cause, kCampaignPauseAfterResigning);
+  }));
+}
+
+void ActionExecutor::execute(const core::SavePlacements& action) {
+  const auto& job = action.record.job;
+  auto record = action.record;
+  if (store::placements_bytes(record) > page_bytes_) record = {job, {}, false};
+  services_.writer.placements().put(job, store::placements_to_json(record),
+                                    store::placements_bytes(record), WritePriority::urgent,
+                                    Clock::now(), [this, job, version = action.version] {
+                                      events_.result(core::PlacementsSaved{job, version});
+                                      events_.run_core();
+                                    });
+}
+
+void ActionExecutor::execute(const core::MarkPlacements& /*action*/) { write_placements_mark(); }
+
+void ActionExecutor::write_placements_mark() {
+  store::Transaction transaction{{},
+                                 {{store::kPlacementsMark, Json{{"token", token_}}, std::nullopt}}};
+  services_.writer.commit(std::move(transaction), [this](const store::TransactionResult& result) {
+    if (result.outcome == Outcome::ok) {
+      spdlog::info("starts of gangs and services are recorded from here on");
+      return;
+    }
+    mark_timer_.expires_after(kMarkRetry);
+    mark_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
+      if (!error) write_placements_mark();
+    }));
+  });
+}
+
+void ActionExecutor::execute(const core::JobSuspected& action) {
+  spdlog::warn("job {} failed on {} machines and succeeded on none: next attempt in {:.0f} s",
+               action.job, action.machines, action.pause.count());
+}
+
+}  // namespace violetpulley
--- /dev/null
+++ b/src/leader/action_executor.hpp
@@ -0,0 +1,74 @@
+/// @file
+/// Carries out the actions of a leader's core: commands to agents, writes to the state service and
+/// requests to the cloud. Results return to the core as events. Owns no state but the pause before
+/// a repeated write.
+#pragma once
+
+#include "agent/command_sender.hpp"
+#include "async/lifetime.hpp"
+#include "cloud/cloud_client.hpp"
+#include "core/events.hpp"
+#include "store/election.hpp"
+#include "store/job_replica.hpp"
+#include "store/leader_writer.hpp"
+
+namespace violetpulley {
+
+class ActionExecutor {
+ public:
+  /// The objects that the actions are carried out with; all must outlive the executor.
+  struct Services {
+    asio::io_context& io;
+    store::Election& election;
+    store::JobReplica& job_replica;
+    store::LeaderWriter& writer;
+    agent::CommandSender& command_sender;
+    cloud::CloudClient& cloud;
+  };
+  struct Events {
+    /// The result of an action, for the core.
+    std::function<void(core::Event)> result;
+    /// The core should be run soon, since results may allow new decisions.
+    std::function<void()> run_core;
+    /// Commands are about to be sent.
+    std::function<void(const core::SendCommands&)> sending_commands;
+    /// The core resigns because no machine sends heartbeats to this controller.
+    std::function<void()> resigning_isolated;
+  };
+
+  /// `page_bytes`: a placement record that is larger is stored as unknown.
+  ActionExecutor(const Services& services, core::FencingToken token, std::size_t page_bytes,
+                 Events events);
+  ActionExecutor(const ActionExecutor&) = delete;
+  ActionExecutor& operator=(const ActionExecutor&) = delete;
+
+  /// Starts to carry out one action; does not wait for its result.
+  void dispatch(const core::Action& action);
+
+ private:
+  void execute(const core::SendCommands& action);
+  void execute(const core::SaveMachine& action);
+  void execute(const core::DeleteMachine& action);
+  void execute(const core::SaveProgress& action);
+  void execute(const core::FinishJob& action);
+  void execute(const core::DeleteProgress& action);
+  void execute(const core::ScaleOut& action);
+  void execute(const core::ScaleIn& action);
+  void execute(const core::Resign& action);
+  void execute(const core::SavePlacements& action);
+  void execute(const core::MarkPlacements& action);
+  void execute(const core::JobSuspected& action);
+
+  void finish_answered(const core::FinishJob& action, const store::TransactionResult& result);
+  void erase_progress(const core::JobId& job, const std::vector<core::TaskIndex>& chunks);
+  void write_placements_mark();
+
+  Services services_;
+  core::FencingToken token_;
+  std::size_t page_bytes_;
+  Events events_;
+  asio::steady_timer mark_timer_;
+  async::Lifetime lifetime_;
+};
+
+}  // namespace violetpulley
--- /dev/null
+++ b/src/leader/failover_log.cpp
@@ -0,0 +1,63 @@
+#include "leader/failover_log.hpp"
+
+#include <spdlog/spdlog.h>
+
+namespace violetpulley {
+
+using failover::Step;
+
+namespace {
+
+constexpr std::chrono::seconds kWaitForOlderTask{5};
+
+}  // namespace
+
+void FailoverLog::note_commands(const core::SendCommands& batch,
+                                const core::Controller& controller) {
+  if (timeline_logged_) return;
+  const auto now = core::Clock::now();
+  timeline_.note(Step::first_command, now);
+  for (const auto& command : batch.commands) {
+    if (command.type != core::CommandType::start) continue;
+    const auto job = controller.jobs().find(command.task.job);
+    if (job == controller.jobs().end()) continue;
+    const bool older = job->second.from_former_leader;
+    timeline_.note(older ? Step::first_start_of_older_task : Step::first_start_of_newer_task, now);
+  }
+}
+
+void FailoverLog::check_reconciled(const core::Controller& controller, core::TimePoint now) {
+  if (reconciled_at_ || controller.recovering()) return;
+  reconciled_at_ = now;
+  timeline_.note(Step::reconciled, now);
+  log_reconciliation(controller.reconciler(), controller.commands(), now);
+}
+
+void FailoverLog::check_timeline(core::TimePoint now) {
+  if (timeline_logged_ || !reconciled_at_) return;
+  if (!timeline_.reached(Step::first_start_of_older_task) &&
+      now - *reconciled_at_ < kWaitForOlderTask)
+    return;
+  timeline_logged_ = true;
+  spdlog::info("failover steps, seconds after the election: {}", timeline_.text());
+}
+
+void FailoverLog::log_reconciliation(const core::Reconciler& reconciler,
+                                     const core::CommandDispatcher& commands,
+                                     core::TimePoint now) const {
+  const auto& cost = reconciler.cost();
+  spdlog::info(
+      "reconciled {:.1f} s after the election; blocked beside free capacity: {:.0f} task-seconds "
+      "of arrays, {:.0f} of gangs, {:.0f} of services ({:.0f} of jobs that were seen nowhere)",
+      core::Seconds(now - elected_at_).count(), cost.arrays.count(), cost.gangs.count(),
+      cost.replicas.count(), cost.unseen.count());
+  const auto& stats = reconciler.stats();
+  spdlog::info(
+      "reconciliation: asked={} max_in_flight={} adopted={} ended_unstored={} stored_done={} "
+      "second_copies={} unknown_tasks={} unregistered={} new_epochs={} late={} declared_dead={}",
+      reconciler.asked(), commands.window().peak(), stats.adopted, stats.ended, stats.stored_done,
+      stats.second_copies, stats.of_no_job, stats.unregistered, stats.new_sessions, stats.late,
+      stats.returned);
+}
+
+}  // namespace violetpulley
--- /dev/null
+++ b/src/node/health.hpp
@@ -0,0 +1,46 @@
+/// @file
+/// Whether this node should get requests of users, from its own contact with the state service and
+/// from what its peers report about theirs. Owns when each node last had an answer of the state
+/// service.
+#pragma once
+
+#include <map>
+#include <string>
+
+#include "core/model/types.hpp"
+#include "net/http_types.hpp"
+
+namespace violetpulley {
+
+class HealthMonitor {
+ public:
+  /// Counts as if the state service had answered at `now`.
+  HealthMonitor(bool has_peers, core::TimePoint now)
+      : has_peers_(has_peers), store_answered_(now) {}
+
+  /// The state service has answered this node.
+  void note_store_answer(core::TimePoint now) { store_answered_ = now; }
+  /// A peer has sent its status; `store_silence`: since the state service last answered the peer.
+  void note_peer_status(const std::string& member, core::TimePoint now,
+                        std::chrono::milliseconds store_silence);
+  /// When the state service last answered this node.
+  core::TimePoint store_answered() const { return store_answered_; }
+
+  /// `replica_synced`: this node's job replica has been loaded.
+  bool healthy(bool replica_synced, core::TimePoint now) const;
+
+ private:
+  struct PeerView {
+    core::TimePoint last_status{};
+    core::TimePoint store_answered{};  ///< When the state service last answered the peer.
+  };
+
+  bool has_peers_;
+  core::TimePoint store_answered_;
+  std::map<std::string, PeerView> peers_;
+};
+
+/// The answer to a health check.
+net::Response health_response(bool healthy);
+
+}  // namespace violetpulley
--- /dev/null
+++ b/src/node/heartbeat_endpoint.cpp
@@ -0,0 +1,22 @@
+#include "node/heartbeat_endpoint.hpp"
+
+namespace violetpulley {
+
+namespace {
+
+/// Wire name: the member that leads, in the answer of a node that does not.
+constexpr const char* kLeaderField = "foreman";
+constexpr std::chrono::seconds kRetry{1};
+
+}  // namespace
+
+void HeartbeatEndpoint::handle(const net::Request& request, const net::Responder& respond) {
+  last_request_ = core::Clock::now();
+  if (auto* leader = ready_leader_()) return leader->handle_heartbeat(request, respond);
+  const auto leader_member = election_.current_member();
+  if (!leader_member.empty() && leader_member != member_)
+    return respond({421, store::Json{{kLeaderField, leader_member}}.dump(), {}});
+  respond({503, R"({"error":"no leader is known"})", kRetry});
+}
+
+}  // namespace violetpulley
--- /dev/null
+++ b/src/node/node.hpp
@@ -0,0 +1,93 @@
+/// @file
+/// One controller process: creates its parts, connects them and owns them. Owns the leader while
+/// this node leads.
+#pragma once
+
+#include "api/operator_api.hpp"
+#include "api/user_api.hpp"
+#include "async/lifetime.hpp"
+#include "leader/leader.hpp"
+#include "node/catalog_source.hpp"
+#include "node/health.hpp"
+#include "node/heartbeat_endpoint.hpp"
+#include "node/request_router.hpp"
+#include "peers/peer_network.hpp"
+
+namespace violetpulley {
+
+class Node {
+ public:
+  /// Starts the node. Throws std::system_error if an address cannot be listened at, and
+  /// std::invalid_argument if one cannot be parsed.
+  Node(asio::io_context& io, config::Settings settings, const config::Operators& operators,
+       config::HistorySettings history);
+  ~Node();
+  Node(const Node&) = delete;
+  Node& operator=(const Node&) = delete;
+
+ private:
+  using MachineTypes = std::vector<core::MachineType>;
+
+  // Construction: what the parts call.
+  store::JobReplica::Events replica_events();
+  store::Election::Events election_events();
+  api::UserApi::Environment user_environment();
+  peers::PeerNetwork::Events peer_events();
+  RequestRouter::Endpoints endpoints();
+  net::RequestHandler request_handler();
+  std::unique_ptr<history::Recorder> make_recorder() const;
+  std::unique_ptr<api::OperatorApi> make_operator_api(const asio::ip::tcp::endpoint& address);
+
+  // Leadership.
+  void won();
+  void lost();
+  /// The leader once it has recovered the state; null otherwise.
+  Leader* ready_leader() const;
+  /// Where the operators of the leading peer are served; null: this node leads, or no leader is
+  /// known.
+  std::optional<asio::ip::tcp::endpoint> leader_operator_address(asio::ip::port_type port) const;
+
+  // Once a second.
+  void schedule_second();
+  void run_second();
+  void check_store();
+  void broadcast_status();
+  void add_job_counts(peers::Status& status) const;
+  void share_sockets();
+
+  void handle_peer_status(const peers::Status& status);
+  core::JobCounts counts(const core::JobId& id) const;
+
+  asio::io_context& io_;
+  config::Settings settings_;
+  core::Tuning tuning_;
+  config::HistorySettings history_;
+  std::unique_ptr<history::Recorder> recorder_;  ///< Before the leader, which writes to it.
+  core::Leadership leadership_;
+  store::StoreClient store_;
+  store::JobReplica job_replica_;
+  store::Election election_;
+  cloud::CloudClient cloud_;
+  CatalogSource catalog_;
+  api::UserApi users_;
+  HeartbeatEndpoint heartbeats_;
+  HealthMonitor health_;
+  RequestRouter router_;
+  /// When a leader of this process last resigned as isolated; before the leader, which refers to
+  /// it.
+  std::optional<core::TimePoint> isolated_at_;
+  std::unique_ptr<Leader> leader_;              ///< Null: this node does not lead.
+  std::vector<std::unique_ptr<Leader>> ended_;  ///< Kept until their last callback has returned.
+  asio::steady_timer second_timer_;
+  /// By peer: the leader key under which the peer led when our connection to it last ended; 0: the
+  /// peer did not lead.
+  std::map<std::string, store::Revision> led_at_disconnect_;
+  /// Task counts of jobs as the leader has last reported them.
+  std::unordered_map<core::JobId, core::JobCounts> reported_counts_;
+  peers::PeerNetwork peer_network_;
+  net::HttpServer server_;
+  std::unique_ptr<api::OperatorApi> operators_;  ///< Null: not configured.
+  async::Lifetime lifetime_;                     ///< Last, so that it ends before all members.
+};
+
+}  // namespace violetpulley
--- /dev/null
+++ b/src/node/store_share.cpp
@@ -0,0 +1,38 @@
+#include "node/store_share.hpp"
+
+#include <algorithm>
+
+namespace violetpulley {
+
+namespace {
+
+// Parts of the platform's limits. Submissions come in bursts that rarely coincide, so the shares
+// may add up to more than the limit: a request that is refused with 429 is tried again.
+constexpr double kSingleNode = 0.9;
+constexpr double kLeaderReads = 0.5;
+constexpr double kLeaderWrites = 0.6;
+constexpr double kFollowersReads = 0.8;   // of all followers together
+constexpr double kFollowersWrites = 0.9;  // of all followers together
+constexpr double kMaxFollower = 0.45;     // of one follower
+
+store::StoreShare leader_share(bool single_node) {
+  if (single_node) return {kSingleNode, kSingleNode};
+  return {kLeaderReads, kLeaderWrites};
+}
+
+store::StoreShare follower_share(double followers) {
+  return {std::min(kMaxFollower, kFollowersReads / followers),
+          std::min(kMaxFollower, kFollowersWrites / followers)};
+}
+
+}  // namespace
+
+store::StoreShare store_share(const config::Settings& settings, bool leading) {
+  const auto nodes = static_cast<double>(settings.nodes());
+  const double followers = std::max(1.0, nodes - 1);
+  const auto share = leading ? leader_share(nodes <= 1) : follower_share(followers);
+  return {settings.state_requests_per_s * share.requests_per_s,
+          settings.state_writes_per_s * share.writes_per_s};
+}
+
+}  // namespace violetpulley
