--- a/src/api/answers.hpp
+++ b/src/api/answers.hpp
@@ -1,4 +1,5 @@
-// Answers that tell what is wrong.
+/// @file
+/// HTTP responses that report an error.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,7 +8,8 @@
 
 namespace violetpulley::api {
 
-// `retry`: when to come back.
+/// Returns a response with the text in the JSON field `error`. `retry`: after how long the client
+/// should repeat the request; null: the response does not say.
 inline net::Response error(int status, const std::string& text,
                            std::optional<std::chrono::seconds> retry = {}) {
   return {status, nlohmann::json{{"error", text}}.dump(), retry};
--- a/src/api/operator_api.cpp
+++ b/src/api/operator_api.cpp
@@ -73,7 +73,7 @@
   if (!questions_.take(now)) return respond(error(429, "too many questions at once", kRetry));
   const auto* controller = environment_.leading();
   if (controller == nullptr) {
-    // A question goes one step and no further, whoever leads by then.
+    // A request is forwarded once only, whichever controller leads by then.
     if (passed_on) return respond(error(503, "this controller does not lead", kRetry));
     return pass_on(id, respond);
   }
--- a/src/api/operator_api.hpp
+++ b/src/api/operator_api.hpp
@@ -1,6 +1,7 @@
-// What operators ask, at an address of their own: `GET /v1/jobs/{id}/why`. Only the leader knows;
-// other controllers pass the question on to the leader's host, same port. Bounded: a few questions
-// a second are taken, the rest is refused at once.
+/// @file
+/// The operators' HTTP interface, at an address of its own: `GET /v1/jobs/{id}/why` returns why a
+/// job waits. Only the leader can answer; other controllers forward the request to the leader's
+/// host, same port. A few requests a second are served, further ones are refused at once.
 #pragma once
 
 #include <map>
@@ -13,7 +14,7 @@
 
 namespace violetpulley::api {
 
-// As the answer holds it.
+/// Returns the diagnostics of a job as the JSON body of the answer.
 std::string advice_text(const diagnostics::Advice& diagnostics);
 
 class OperatorApi {
@@ -21,18 +22,19 @@
   struct Environment {
     std::vector<core::Team> teams;
     std::function<const std::vector<core::MachineType>&()> types;
-    // Null: this controller does not lead, or does not know its state yet.
+    /// The core; null: this controller does not lead, or has not recovered the state yet.
     std::function<const core::Controller*()> leading;
-    // Where the leader's operators ask; none: no leader is known, or it is this controller.
+    /// The operators' address of the leader; null: no leader is known, or this controller leads.
     std::function<std::optional<asio::ip::tcp::endpoint>()> leader;
   };
 
-  // Throws std::system_error if it cannot listen there.
+  /// Starts to serve. Throws std::system_error if the address `at` cannot be listened at.
   OperatorApi(asio::io_context& io, const asio::ip::tcp::endpoint& at, Environment environment);
   ~OperatorApi();
   OperatorApi(const OperatorApi&) = delete;
   OperatorApi& operator=(const OperatorApi&) = delete;
 
+  /// The address that is listened at, with the port if the system has chosen it.
   asio::ip::tcp::endpoint local_endpoint() const { return server_.local_endpoint(); }
 
  private:
@@ -43,7 +45,8 @@
   asio::io_context& io_;
   Environment environment_;
   core::RateLimiter questions_;
-  // One for each controller that has led: a question under way to an older one is still answered.
+  /// A client for each controller that has led: a request under way to a former leader is still
+  /// answered.
   std::map<asio::ip::tcp::endpoint, net::HttpClient> leaders_;
   net::HttpServer server_;
 };
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t kRemembered = 20'000;
-// A submission that would wait longer for the state service's budget is refused at once.
+/// A submission that would wait longer for this node's request budget is refused at once.
 constexpr std::chrono::milliseconds kLongestWait{1000};
 constexpr std::chrono::seconds kLongestRetry{25};
 
@@ -58,8 +58,9 @@
   respond({200, body.dump(), {}});
 }
 
-// A final state, once known, needs no barrier. Otherwise the mirror is brought to the present; a
-// job that it then lacks has ended or was never accepted, which its end key tells, read later.
+// A known final state needs no read barrier. Otherwise the barrier brings the job replica to the
+// present; a job that the replica then lacks has ended or was never accepted, which the job's end
+// key, read afterwards, shows.
 void UserApi::look_up(const core::JobId& id, Callback done) {
   const auto ended = ended_.find(id);
   if (ended != ended_.end())
@@ -67,7 +68,7 @@
   job_replica_.barrier(Urgency::user, [this, id, done = std::move(done)](bool fresh) {
     if (!fresh) return done(std::nullopt);
     if (job_replica_.find(id) != nullptr) return done(Known::open);
-    // A user waits for two seconds: behind a flood of questions it is told at once to come back.
+    // A user waits for two seconds: when too many reads are queued, the user is refused at once.
     if (store_.expected_read_wait() > kLongestWait) return done(std::nullopt);
     store_.get(store::kEndPrefix + id, Urgency::user,
                [this, id, done, alive = alive_](store::GetResult result) {
@@ -120,7 +121,7 @@
   accept(std::move(spec), respond);
 }
 
-// When to come back: those who were refused before have their turn first.
+// Submissions that were refused earlier are to be repeated earlier.
 std::chrono::seconds UserApi::turn(core::Duration wait) {
   const auto now = core::Clock::now();
   const auto each = store_.write_interval();
@@ -179,7 +180,7 @@
       try_cancel(id, tries - 1, respond);
     });
   }
-  // One transaction moves the job to its end, so done and withdrawn exclude each other.
+  // One transaction replaces the job by its end, so a job cannot be both done and withdrawn.
   store::Transaction transaction{
       {{store::kJobPrefix + id, record->revision}, {store::kEndPrefix + id, 0}},
       {{store::kJobPrefix + id, std::nullopt, std::nullopt},
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// The command line: parses options and subcommands and sets the log level.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -14,6 +16,7 @@
 
 using namespace violetpulley::commands;
 
+/// Sets up the log on standard error, with the level of LOG_LEVEL; false if that is unknown.
 bool set_log_level() {
   spdlog::set_default_logger(spdlog::stderr_logger_st("violetpulley"));
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
@@ -30,6 +33,7 @@
   return true;
 }
 
+/// Adds the options that serving and checking share.
 void add_serve_options(CLI::App& app, ServeOptions& options, bool required) {
   auto* config = app.add_option("--config", options.config, "the platform's settings file (TOML)");
   if (required) config->required();
