--- a/src/api/operator_api.cpp
+++ b/src/api/operator_api.cpp
@@ -8,16 +8,23 @@
 
 using Json = nlohmann::json;
 
-constexpr double kQuestionsPerSecond = 5;
-constexpr std::chrono::milliseconds kPassedOnFor{1500};
-constexpr std::size_t kPassedOnAtOnce = 2;
+// Wire names: the path of an explanation is /v1/jobs/{id}/why; the query marks a request that
+// another controller has forwarded.
+const std::string kJobsPrefix = "/v1/jobs/";
+const std::string kWhySuffix = "/why";
+const std::string kForwardedQuery = "?passed-on";
+
+constexpr double kRequestsPerSecond = 5;
+constexpr std::chrono::milliseconds kForwardTimeout{1500};
+constexpr std::size_t kMaxForwarded = 2;  // at once, to one leader
 constexpr std::chrono::seconds kRetry{1};
-const std::string kPassedOn = "?passed-on";
+constexpr std::size_t kMaxConnections = 16;
+constexpr std::size_t kMaxBodyBytes = 1024;
 
 net::ServerLimits limits() {
   net::ServerLimits out;
-  out.max_connections = 16;
-  out.max_body = 1024;
+  out.max_connections = kMaxConnections;
+  out.max_body = kMaxBodyBytes;
   return out;
 }
 
@@ -46,7 +53,7 @@
                          Environment environment)
     : io_(io),
       environment_(std::move(environment)),
-      questions_(kQuestionsPerSecond, kQuestionsPerSecond),
+      requests_(kRequestsPerSecond, kRequestsPerSecond),
       server_(io, at, limits(), [this](net::Request&& request, const net::Responder& respond) {
         route(request, respond);
       }) {}
@@ -54,28 +61,25 @@
 OperatorApi::~OperatorApi() = default;
 
 void OperatorApi::route(const net::Request& request, const net::Responder& respond) {
-  static const std::string jobs = "/v1/jobs/";
-  static const std::string suffix = "/why";
-  auto path = request.target;
-  const bool passed_on = path.ends_with(kPassedOn);
-  path = path.substr(0, path.find('?'));
-  if (!path.starts_with(jobs) || !path.ends_with(suffix) ||
-      path.size() <= jobs.size() + suffix.size())
+  const bool forwarded = request.target.ends_with(kForwardedQuery);
+  const auto path = request.target.substr(0, request.target.find('?'));
+  const auto affixes = kJobsPrefix.size() + kWhySuffix.size();
+  if (!path.starts_with(kJobsPrefix) || !path.ends_with(kWhySuffix) || path.size() <= affixes)
     return respond(error(404, "no such path"));
   if (request.method != "GET") return respond(error(405, "method not allowed"));
-  const auto id = path.substr(jobs.size(), path.size() - jobs.size() - suffix.size());
+  const auto id = path.substr(kJobsPrefix.size(), path.size() - affixes);
   if (id.find('/') != std::string::npos) return respond(error(404, "no such path"));
-  why(id, passed_on, respond);
+  explain(id, forwarded, respond);
 }
 
-void OperatorApi::why(const core::JobId& id, bool passed_on, const net::Responder& respond) {
+void OperatorApi::explain(const core::JobId& id, bool forwarded, const net::Responder& respond) {
   const auto now = core::Clock::now();
-  if (!questions_.take(now)) return respond(error(429, "too many questions at once", kRetry));
+  if (!requests_.take(now)) return respond(error(429, "too many questions at once", kRetry));
   const auto* controller = environment_.leading();
   if (controller == nullptr) {
     // A request is forwarded once only, whichever controller leads by then.
-    if (passed_on) return respond(error(503, "this controller does not lead", kRetry));
-    return pass_on(id, respond);
+    if (forwarded) return respond(error(503, "this controller does not lead", kRetry));
+    return forward(id, respond);
   }
   const auto diagnostics =
       diagnostics::why(*controller, environment_.teams, environment_.types(), id, now);
@@ -83,11 +87,11 @@
   respond({200, advice_text(*diagnostics), {}});
 }
 
-void OperatorApi::pass_on(const core::JobId& id, const net::Responder& respond) {
+void OperatorApi::forward(const core::JobId& id, const net::Responder& respond) {
   const auto leader = environment_.leader();
   if (!leader) return respond(error(503, "no leader is known", kRetry));
-  auto& client = leaders_.try_emplace(*leader, io_, *leader, kPassedOnAtOnce).first->second;
-  client.request({"GET", "/v1/jobs/" + id + "/why" + kPassedOn, ""}, kPassedOnFor,
+  auto& client = leaders_.try_emplace(*leader, io_, *leader, kMaxForwarded).first->second;
+  client.request({"GET", kJobsPrefix + id + kWhySuffix + kForwardedQuery, ""}, kForwardTimeout,
                  [respond](std::optional<net::Response> response) {
                    if (!response) return respond(error(503, "the leader did not answer", kRetry));
                    if (response->status == 429 || response->status == 503)
--- a/src/api/operator_api.hpp
+++ b/src/api/operator_api.hpp
@@ -39,12 +39,13 @@
 
  private:
   void route(const net::Request& request, const net::Responder& respond);
-  void why(const core::JobId& id, bool passed_on, const net::Responder& respond);
-  void pass_on(const core::JobId& id, const net::Responder& respond);
+  /// `forwarded`: another controller has sent the request on, so it is not forwarded again.
+  void explain(const core::JobId& id, bool forwarded, const net::Responder& respond);
+  void forward(const core::JobId& id, const net::Responder& respond);
 
   asio::io_context& io_;
   Environment environment_;
-  core::RateLimiter questions_;
+  core::RateLimiter requests_;
   /// A client for each controller that has led: a request under way to a former leader is still
   /// answered.
   std::map<asio::ip::tcp::endpoint, net::HttpClient> leaders_;
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -9,22 +9,43 @@
 namespace violetpulley::api {
 
 using core::FinalState;
+using std::chrono::seconds;
 using store::Outcome;
 using store::Urgency;
 
 namespace {
 
-constexpr std::size_t kRemembered = 20'000;
+constexpr std::size_t kMaxRemembered = 20'000;
 /// A submission that would wait longer for this node's request budget is refused at once.
-constexpr std::chrono::milliseconds kLongestWait{1000};
-constexpr std::chrono::seconds kLongestRetry{25};
-
-net::Response unavailable(const std::string& text, std::chrono::seconds retry) {
+constexpr std::chrono::milliseconds kMaxWait{1000};
+constexpr seconds kRetry{1};
+constexpr seconds kMaxRetry{25};
+constexpr int kCancelRetries = 3;
+
+/// Wire names of a job's status.
+constexpr const char* kQueued = "queued";
+constexpr const char* kRunning = "running";
+constexpr const char* kDone = "done";
+constexpr const char* kCancelled = "withdrawn";
+
+/// How a job has ended, as the state service holds it below `end/`.
+constexpr const char* kEndedDone = "done";
+constexpr const char* kEndedCancelled = "withdrawn";
+
+net::Response unavailable(const std::string& text, seconds retry) {
   return error(503, text, retry);
 }
 
-net::Response try_again() {
-  return unavailable("the state service does not answer", std::chrono::seconds(1));
+net::Response store_unavailable() {
+  return unavailable("the state service does not answer", kRetry);
+}
+
+net::Response no_such_job() { return error(404, "no such job"); }
+
+/// The id of a submission that may be malformed otherwise; empty if there is none.
+core::JobId id_of(const Json& body) {
+  const auto found = body.find("id");
+  return found != body.end() && found->is_string() ? found->get<std::string>() : core::JobId();
 }
 
 }  // namespace
@@ -33,65 +54,74 @@
                  store::JobReplica& job_replica, Environment environment)
     : store_(store), job_replica_(job_replica), environment_(std::move(environment)) {}
 
-UserApi::~UserApi() { *alive_ = false; }
+UserApi::~UserApi() = default;
 
 void UserApi::remember(const core::JobId& id, FinalState state) {
   if (!ended_.emplace(id, state).second) return;
   ended_order_.push_back(id);
-  if (ended_order_.size() > kRemembered) {
+  if (ended_order_.size() > kMaxRemembered) {
     ended_.erase(ended_order_.front());
     ended_order_.pop_front();
   }
 }
 
-void UserApi::answer(const core::JobId& id, Known known, const net::Responder& respond) {
-  if (known == Known::absent) return respond(error(404, "no such job"));
+void UserApi::answer(const core::JobId& id, Lookup found, const net::Responder& respond) {
+  if (found == Lookup::unavailable) return respond(store_unavailable());
+  if (found == Lookup::absent) return respond(no_such_job());
+  respond({200, status_of(id, found).dump(), {}});
+}
+
+Json UserApi::status_of(const core::JobId& id, Lookup found) const {
   Json body{{"id", id}};
-  if (known == Known::open) {
-    const auto counts = environment_.counts(id);
-    body["status"] = counts.running > 0 ? "running" : "queued";
-    body["done"] = counts.done;
-    body["running"] = counts.running;
-  } else {
-    body["status"] = known == Known::done ? "done" : "withdrawn";
+  if (found != Lookup::open) {
+    body["status"] = found == Lookup::done ? kDone : kCancelled;
+    return body;
   }
-  respond({200, body.dump(), {}});
+  const auto counts = environment_.counts(id);
+  body["status"] = counts.running > 0 ? kRunning : kQueued;
+  body["done"] = counts.done;
+  body["running"] = counts.running;
+  return body;
 }
 
 // A known final state needs no read barrier. Otherwise the barrier brings the job replica to the
 // present; a job that the replica then lacks has ended or was never accepted, which the job's end
 // key, read afterwards, shows.
-void UserApi::look_up(const core::JobId& id, Callback done) {
+void UserApi::look_up(const core::JobId& id, LookupHandler done) {
   const auto ended = ended_.find(id);
   if (ended != ended_.end())
-    return done(ended->second == FinalState::done ? Known::done : Known::cancelled);
-  job_replica_.barrier(Urgency::user, [this, id, done = std::move(done)](bool fresh) {
-    if (!fresh) return done(std::nullopt);
-    if (job_replica_.find(id) != nullptr) return done(Known::open);
-    // A user waits for two seconds: when too many reads are queued, the user is refused at once.
-    if (store_.expected_read_wait() > kLongestWait) return done(std::nullopt);
-    store_.get(store::kEndPrefix + id, Urgency::user,
-               [this, id, done, alive = alive_](store::GetResult result) {
-                 if (!*alive) return;
-                 if (result.outcome == Outcome::not_found) return done(Known::absent);
-                 if (result.outcome != Outcome::ok) return done(std::nullopt);
-                 const bool finished = result.item.value.value("state", "") == "done";
-                 remember(id, finished ? FinalState::done : FinalState::cancelled);
-                 done(finished ? Known::done : Known::cancelled);
-               });
-  });
+    return done(ended->second == FinalState::done ? Lookup::done : Lookup::cancelled);
+  job_replica_.barrier(Urgency::user,
+                       lifetime_.guard([this, id, done = std::move(done)](bool fresh) {
+                         if (!fresh) return done(Lookup::unavailable);
+                         if (job_replica_.find(id) != nullptr) return done(Lookup::open);
+                         look_up_end(id, done);
+                       }));
 }
 
-void UserApi::refuse_unless_known(const core::JobId& id, int status, const std::string& problem,
+void UserApi::look_up_end(const core::JobId& id, const LookupHandler& done) {
+  // A user waits for two seconds: when too many reads are queued, the user is refused at once.
+  if (store_.expected_read_wait() > kMaxWait) return done(Lookup::unavailable);
+  store_.get(store::kEndPrefix + id, Urgency::user,
+             lifetime_.guard(
+                 [this, id, done](const store::GetResult& result) { done(end_read(id, result)); }));
+}
+
+UserApi::Lookup UserApi::end_read(const core::JobId& id, const store::GetResult& result) {
+  if (result.outcome == Outcome::not_found) return Lookup::absent;
+  if (result.outcome != Outcome::ok) return Lookup::unavailable;
+  const bool finished = result.item.value.value("state", "") == kEndedDone;
+  remember(id, finished ? FinalState::done : FinalState::cancelled);
+  return finished ? Lookup::done : Lookup::cancelled;
+}
+
+void UserApi::refuse_unless_known(const core::JobId& id, const Refusal& refusal,
                                   const net::Responder& respond) {
-  if (!valid_job_id(id)) return respond(error(status, problem));
-  look_up(id, [this, id, status, problem, respond](std::optional<Known> known) {
-    if (!known) return respond(try_again());
-    if (*known == Known::absent) {
-      spdlog::info("job {} refused with {}: {}", id, status, problem);
-      return respond(error(status, problem));
-    }
-    answer(id, *known, respond);
+  if (!valid_job_id(id)) return respond(error(refusal.status, refusal.problem));
+  look_up(id, [this, id, refusal, respond](Lookup found) {
+    if (found != Lookup::absent) return answer(id, found, respond);
+    spdlog::info("job {} refused with {}: {}", id, refusal.status, refusal.problem);
+    respond(error(refusal.status, refusal.problem));
   });
 }
 
@@ -99,109 +129,115 @@
   const auto body = Json::parse(request.body, nullptr, false);
   if (body.is_discarded()) return respond(error(400, "the body is not JSON"));
   if (!body.is_object()) return respond(error(400, "the body must be a JSON object"));
-  core::JobId id;
-  if (const auto found = body.find("id"); found != body.end() && found->is_string())
-    id = found->get<std::string>();
-  // A known id is recognised before the submission is looked at anew.
+  const auto id = id_of(body);
+  // A known id is recognised before the rest of the submission is examined.
   if (ended_.contains(id) || job_replica_.find(id) != nullptr)
-    return refuse_unless_known(id, 400, "", respond);
-  if (const auto wait = store_.expected_wait(); wait > kLongestWait)
-    return respond(unavailable("too many submissions wait for the state service", turn(wait)));
+    return refuse_unless_known(id, {400, ""}, respond);
+  if (shed_load(respond)) return;
   core::JobSpec spec;
   try {
     spec = parse_job(body);
   } catch (const BadRequest& problem) {
-    return refuse_unless_known(id, 400, problem.what(), respond);
+    return refuse_unless_known(id, {400, problem.what()}, respond);
   }
   const auto& types = environment_.types();
-  if (types.empty())
-    return respond(unavailable("the machine types are not known yet", std::chrono::seconds(1)));
+  if (types.empty()) return respond(unavailable("the machine types are not known yet", kRetry));
   if (const auto problem = never_runs(spec, environment_.teams, types, environment_.zones))
-    return refuse_unless_known(id, 422, *problem, respond);
+    return refuse_unless_known(id, {422, *problem}, respond);
   accept(std::move(spec), respond);
 }
 
+bool UserApi::shed_load(const net::Responder& respond) {
+  const auto wait = store_.expected_wait();
+  if (wait <= kMaxWait) return false;
+  respond(unavailable("too many submissions wait for the state service", retry_after(wait)));
+  return true;
+}
+
 // Submissions that were refused earlier are to be repeated earlier.
-std::chrono::seconds UserApi::turn(core::Duration wait) {
+seconds UserApi::retry_after(core::Duration wait) {
   const auto now = core::Clock::now();
-  const auto each = store_.write_interval();
-  next_turn_ = std::max(next_turn_ + each, now + wait);
-  const auto seconds = std::chrono::ceil<std::chrono::seconds>(next_turn_ - now);
-  return std::clamp(seconds, std::chrono::seconds(1), kLongestRetry);
+  next_retry_ = std::max(next_retry_ + store_.write_interval(), now + wait);
+  return std::clamp(std::chrono::ceil<seconds>(next_retry_ - now), seconds(1), kMaxRetry);
 }
 
 void UserApi::accept(core::JobSpec spec, const net::Responder& respond) {
-  core::JobRecord record{std::move(spec), wall_now(), 0};
+  const core::JobRecord record{std::move(spec), wall_now(), 0};
   const auto& id = record.spec.id;
-  store::Transaction transaction{{{store::kJobPrefix + id, 0}, {store::kEndPrefix + id, 0}},
-                                 {{store::kJobPrefix + id, record_to_json(record), std::nullopt}}};
-  store_.commit(
-      transaction, Urgency::user,
-      [this, record, respond, came = core::Clock::now(),
-       alive = alive_](store::TransactionResult result) mutable {
-        if (!*alive) return;
-        const auto& job = record.spec.id;
-        if (result.outcome == Outcome::conflict)
-          return refuse_unless_known(job, 503, "ask again", respond);
-        if (result.outcome != Outcome::ok) {
-          spdlog::debug("job {} not accepted: the state service did not {}", job,
-                        result.outcome == Outcome::unknown ? "answer" : "take it");
-          return respond(try_again());
-        }
-        record.revision = result.revision;
-        job_replica_.note_opened(record);
-        spdlog::debug(
-            "job {} accepted in {} ms", job,
-            std::chrono::ceil<std::chrono::milliseconds>(core::Clock::now() - came).count());
-        respond({201, Json{{"id", job}, {"status", "queued"}}.dump(), {}});
-      });
+  const store::Transaction transaction{
+      {{store::kJobPrefix + id, 0}, {store::kEndPrefix + id, 0}},
+      {{store::kJobPrefix + id, record_to_json(record), std::nullopt}}};
+  store_.commit(transaction, Urgency::user,
+                lifetime_.guard([this, record, respond, received = core::Clock::now()](
+                                    const store::TransactionResult& result) {
+                  accept_answered(record, received, result, respond);
+                }));
+}
+
+void UserApi::accept_answered(core::JobRecord record, core::TimePoint received,
+                              const store::TransactionResult& result,
+                              const net::Responder& respond) {
+  const auto& id = record.spec.id;
+  if (result.outcome == Outcome::conflict)
+    return refuse_unless_known(id, {503, "ask again"}, respond);
+  if (result.outcome != Outcome::ok) {
+    const auto* cause = result.outcome == Outcome::unknown ? "answer" : "take it";
+    spdlog::debug("job {} not accepted: the state service did not {}", id, cause);
+    return respond(store_unavailable());
+  }
+  record.revision = result.revision;
+  job_replica_.note_opened(record);
+  const auto taken = core::Clock::now() - received;
+  spdlog::debug("job {} accepted in {} ms", id,
+                std::chrono::ceil<std::chrono::milliseconds>(taken).count());
+  respond({201, Json{{"id", id}, {"status", kQueued}}.dump(), {}});
 }
 
 void UserApi::poll(const core::JobId& id, const net::Responder& respond) {
-  if (!valid_job_id(id)) return respond(error(404, "no such job"));
-  look_up(id, [this, id, respond](std::optional<Known> known) {
-    if (!known) return respond(try_again());
-    answer(id, *known, respond);
-  });
+  if (!valid_job_id(id)) return respond(no_such_job());
+  look_up(id, [this, id, respond](Lookup found) { answer(id, found, respond); });
 }
 
 void UserApi::cancel(const core::JobId& id, const net::Responder& respond) {
-  if (!valid_job_id(id)) return respond(error(404, "no such job"));
-  try_cancel(id, 3, respond);
+  if (!valid_job_id(id)) return respond(no_such_job());
+  try_cancel(id, kCancelRetries, respond);
 }
 
-void UserApi::try_cancel(const core::JobId& id, int tries, const net::Responder& respond) {
+void UserApi::look_up_and_cancel(const core::JobId& id, int tries_left,
+                                 const net::Responder& respond) {
+  look_up(id, [this, id, tries_left, respond](Lookup found) {
+    if (found != Lookup::open) return answer(id, found, respond);
+    if (tries_left == 0) return respond(store_unavailable());
+    try_cancel(id, tries_left - 1, respond);
+  });
+}
+
+void UserApi::try_cancel(const core::JobId& id, int tries_left, const net::Responder& respond) {
   const auto* record = job_replica_.find(id);
-  if (record == nullptr) {
-    return look_up(id, [this, id, tries, respond](std::optional<Known> known) {
-      if (!known) return respond(try_again());
-      if (*known != Known::open) return answer(id, *known, respond);
-      if (tries == 0) return respond(try_again());
-      try_cancel(id, tries - 1, respond);
-    });
-  }
+  if (record == nullptr) return look_up_and_cancel(id, tries_left, respond);
   // One transaction replaces the job by its end, so a job cannot be both done and withdrawn.
-  store::Transaction transaction{
+  const store::Transaction transaction{
       {{store::kJobPrefix + id, record->revision}, {store::kEndPrefix + id, 0}},
       {{store::kJobPrefix + id, std::nullopt, std::nullopt},
-       {store::kEndPrefix + id, Json{{"state", "withdrawn"}}, std::nullopt}}};
-  store_.commit(transaction, Urgency::safety,
-                [this, id, tries, respond, alive = alive_](store::TransactionResult result) {
-                  if (!*alive) return;
-                  if (result.outcome == Outcome::ok) {
-                    remember(id, FinalState::cancelled);
-                    job_replica_.note_closed(id, result.revision);
-                    spdlog::info("job {} cancelled", id);
-                    return answer(id, Known::cancelled, respond);
-                  }
-                  if (result.outcome != Outcome::conflict || tries == 0)
-                    return respond(try_again());
-                  look_up(id, [this, id, tries, respond](std::optional<Known> known) {
-                    if (!known) return respond(try_again());
-                    if (*known != Known::open) return answer(id, *known, respond);
-                    try_cancel(id, tries - 1, respond);
-                  });
-                });
+       {store::kEndPrefix + id, Json{{"state", kEndedCancelled}}, std::nullopt}}};
+  store_.commit(
+      transaction, Urgency::safety,
+      lifetime_.guard([this, id, tries_left, respond](const store::TransactionResult& result) {
+        cancel_answered(id, tries_left, result, respond);
+      }));
+}
+
+void UserApi::cancel_answered(const core::JobId& id, int tries_left,
+                              const store::TransactionResult& result,
+                              const net::Responder& respond) {
+  if (result.outcome == Outcome::ok) {
+    remember(id, FinalState::cancelled);
+    job_replica_.note_closed(id, result.revision);
+    spdlog::info("job {} cancelled", id);
+    return answer(id, Lookup::cancelled, respond);
+  }
+  if (result.outcome != Outcome::conflict || tries_left == 0) return respond(store_unavailable());
+  look_up_and_cancel(id, tries_left, respond);
 }
 
 }  // namespace violetpulley::api
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -5,6 +5,7 @@
 
 #include <deque>
 
+#include "async/lifetime.hpp"
 #include "core/controller.hpp"
 #include "net/http_server.hpp"
 #include "store/job_replica.hpp"
@@ -36,19 +37,36 @@
   void cancel(const core::JobId& id, const net::Responder& respond);
 
  private:
-  /// What the state service holds about a job id.
-  enum class Known { open, done, cancelled, absent };
-  /// Null: the state service could not be read in time.
-  using Callback = std::function<void(std::optional<Known>)>;
-  void look_up(const core::JobId& id, Callback done);
-  void answer(const core::JobId& id, Known known, const net::Responder& respond);
+  /// What the state service holds about a job id; `unavailable`: it could not be read in time.
+  enum class Lookup { open, done, cancelled, absent, unavailable };
+  using LookupHandler = std::function<void(Lookup)>;
+  struct Refusal {
+    int status = 0;
+    std::string problem;
+  };
+
+  void look_up(const core::JobId& id, LookupHandler done);
+  void look_up_end(const core::JobId& id, const LookupHandler& done);
+  Lookup end_read(const core::JobId& id, const store::GetResult& result);
+  void answer(const core::JobId& id, Lookup found, const net::Responder& respond);
+  nlohmann::json status_of(const core::JobId& id, Lookup found) const;
+
+  /// Refuses a submission that cannot be taken now; true if it was refused.
+  bool shed_load(const net::Responder& respond);
   /// Returns after how long a refused submission should be repeated; each call gets a later time.
-  std::chrono::seconds turn(core::Duration wait);
+  std::chrono::seconds retry_after(core::Duration wait);
   void accept(core::JobSpec spec, const net::Responder& respond);
-  void try_cancel(const core::JobId& id, int tries, const net::Responder& respond);
-  /// Answers with the error unless the job id is known: then with the job's status.
-  void refuse_unless_known(const core::JobId& id, int status, const std::string& problem,
+  void accept_answered(core::JobRecord record, core::TimePoint received,
+                       const store::TransactionResult& result, const net::Responder& respond);
+  /// Answers with the refusal unless the job id is known: then with the job's status.
+  void refuse_unless_known(const core::JobId& id, const Refusal& refusal,
                            const net::Responder& respond);
+
+  void try_cancel(const core::JobId& id, int tries_left, const net::Responder& respond);
+  void cancel_answered(const core::JobId& id, int tries_left,
+                       const store::TransactionResult& result, const net::Responder& respond);
+  /// Answers if the job has ended, and tries again to cancel it if it is open.
+  void look_up_and_cancel(const core::JobId& id, int tries_left, const net::Responder& respond);
   /// Keeps a final state, which never changes, and drops the oldest beyond a bound.
   void remember(const core::JobId& id, core::FinalState state);
 
@@ -57,8 +75,8 @@
   Environment environment_;
   std::unordered_map<core::JobId, core::FinalState> ended_;
   std::deque<core::JobId> ended_order_;
-  core::TimePoint next_turn_{};  ///< When the last refused submission may be repeated.
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  core::TimePoint next_retry_{};  ///< When the last refused submission may be repeated.
+  async::Lifetime lifetime_;
 };
 
 }  // namespace violetpulley::api
