--- /dev/null
+++ b/tests/golden/golden_test.cpp
@@ -0,0 +1,328 @@
+/// @file
+/// Messages and stored records: the codecs read what the program wrote before December 2026 to the
+/// same values and write the same bytes.
+#include "agent/agent_codec.hpp"
+#include "api/job_codec.hpp"
+#include "api/operator_api.hpp"
+#include "config/settings.hpp"
+#include "golden/golden_files.hpp"
+#include "peers/peer_network.hpp"
+#include "store/learned_state_store.hpp"
+#include "store/record_codec.hpp"
+
+namespace violetpulley::golden {
+namespace {
+
+using core::Seconds;
+using std::chrono::milliseconds;
+
+TEST(GoldenJobs, SubmissionsAndRecordsAreReadAndWrittenAsBefore) {
+  for (const auto& item : cases_of("jobs.json")) {
+    SCOPED_TRACE(text_at(item, "name"));
+    const auto spec = api::parse_job(Json::parse(text_at(item, "submission")));
+    EXPECT_EQ(packed_hex(spec), text_at(item, "spec"));
+    EXPECT_EQ(api::job_to_json(spec).dump(), text_at(item, "spec_as_json"));
+    const core::JobRecord record{spec, core::WallTime(milliseconds(1764633600123)), 77};
+    EXPECT_EQ(api::record_to_json(record).dump(), text_at(item, "record"));
+    const auto read = api::record_from_json(Json::parse(text_at(item, "record")), 77);
+    EXPECT_EQ(packed_hex(read), text_at(item, "record_spec"));
+    EXPECT_EQ(packed_hex(unpacked_hex<core::JobSpec>(item.at("spec"))), text_at(item, "spec"));
+  }
+}
+
+TEST(GoldenJobs, TheFieldsOfASubmissionHaveTheirMeaning) {
+  const auto item = cases_of("jobs.json").at(1);
+  ASSERT_EQ(text_at(item, "name"), "array_with_all_fields");
+  const auto spec = api::parse_job(Json::parse(text_at(item, "submission")));
+  EXPECT_EQ(spec.id, "req-000412");
+  EXPECT_EQ(spec.job_class, "render");
+  EXPECT_EQ(spec.team, "blue");
+  EXPECT_EQ(spec.shape, core::Shape::array);
+  EXPECT_EQ(spec.priority, core::Priority::normal);
+  EXPECT_EQ(spec.tasks, 12U);
+  EXPECT_EQ(spec.per_task.cpus, 1.5);
+  EXPECT_EQ(spec.per_task.gpus, 0.0);
+  EXPECT_EQ(spec.per_task.memory_gb, 4.0);
+  EXPECT_EQ(spec.image, "img/render:7");
+  EXPECT_EQ(spec.image_gb, 2.25);
+  EXPECT_EQ(spec.types, (std::vector<std::string>{"small", "large"}));
+  EXPECT_EQ(spec.zone, "a");
+  EXPECT_TRUE(spec.same_zone);
+  EXPECT_FALSE(spec.spread);
+  EXPECT_TRUE(spec.spot_allowed);
+  EXPECT_EQ(spec.estimate, Seconds(93.5));
+  EXPECT_EQ(spec.checkpoint_every, Seconds(30));
+  EXPECT_EQ(spec.checkpoint_time, Seconds(2.5));
+  EXPECT_EQ(spec.deadline, Seconds(600.125));
+}
+
+TEST(GoldenJobs, RecordsOfAnOlderProgramAreReadAsBefore) {
+  for (const auto& item : cases_of("jobs.json", "older_records")) {
+    const auto record = api::record_from_json(Json::parse(text_at(item, "record")),
+                                              item.at("revision").get<core::Revision>());
+    EXPECT_EQ(packed_hex(record), text_at(item, "record_spec"));
+  }
+}
+
+TEST(GoldenJobs, MalformedSubmissionsAreRefusedWithTheSameText) {
+  for (const auto& item : cases_of("jobs.json", "refused")) {
+    SCOPED_TRACE(text_at(item, "input"));
+    try {
+      api::parse_job(Json::parse(text_at(item, "input")));
+      ADD_FAILURE() << "not refused";
+    } catch (const api::BadRequest& problem) {
+      EXPECT_EQ(problem.what(), text_at(item, "error"));
+    }
+  }
+}
+
+TEST(GoldenAgents, HeartbeatsAreReadAsBefore) {
+  for (const auto& item : cases_of("heartbeats.json")) {
+    SCOPED_TRACE(text_at(item, "name"));
+    const auto heartbeat = agent::parse_heartbeat(text_at(item, "body"));
+    EXPECT_EQ(packed_hex(heartbeat), text_at(item, "heartbeat"));
+  }
+}
+
+TEST(GoldenAgents, TheFieldsOfAHeartbeatHaveTheirMeaning) {
+  const auto item = cases_of("heartbeats.json").at(0);
+  ASSERT_EQ(text_at(item, "name"), "every_state_and_cause");
+  const auto heartbeat = agent::parse_heartbeat(text_at(item, "body"));
+  EXPECT_EQ(heartbeat.machine, "m-1");
+  EXPECT_EQ(heartbeat.endpoint, "10.0.0.1:9000");
+  EXPECT_EQ(heartbeat.type, "small");
+  EXPECT_EQ(heartbeat.zone, "a");
+  EXPECT_TRUE(heartbeat.spot);
+  EXPECT_EQ(heartbeat.epoch, 3U);
+  EXPECT_EQ(heartbeat.heartbeat_sequence, 41U);
+  EXPECT_EQ(heartbeat.token, 17U);
+  EXPECT_EQ(heartbeat.notice, Seconds(12.5));
+  using core::ExitCause;
+  using core::TaskState;
+  const std::vector<std::pair<TaskState, ExitCause>> expected{
+      {TaskState::fetching, ExitCause::none},     {TaskState::waiting, ExitCause::none},
+      {TaskState::running, ExitCause::none},      {TaskState::checkpointing, ExitCause::none},
+      {TaskState::exited, ExitCause::done},       {TaskState::exited, ExitCause::stopped},
+      {TaskState::exited, ExitCause::peers_gone}, {TaskState::exited, ExitCause::incomplete},
+      {TaskState::exited, ExitCause::error},      {TaskState::exited, ExitCause::no_capacity},
+      {TaskState::exited, ExitCause::busy},       {TaskState::exited, ExitCause::unknown}};
+  ASSERT_EQ(heartbeat.tasks.size(), expected.size());
+  for (std::size_t index = 0; index < expected.size(); ++index) {
+    const auto& task = heartbeat.tasks[index];
+    EXPECT_EQ(task.task.index, index);
+    EXPECT_EQ(task.attempt, index + 1);
+    EXPECT_EQ(task.state, expected[index].first);
+    EXPECT_EQ(task.cause, expected[index].second);
+    EXPECT_EQ(task.stored, index >= 4 && index % 2 == 1);
+  }
+}
+
+TEST(GoldenAgents, MalformedHeartbeatsAreRefused) {
+  for (const auto& item : cases_of("heartbeats.json", "refused"))
+    EXPECT_ANY_THROW(agent::parse_heartbeat(text_at(item, "input"))) << text_at(item, "input");
+}
+
+TEST(GoldenAgents, CommandsAreWrittenAsBefore) {
+  for (const auto& item : cases_of("commands.json")) {
+    const auto commands = unpacked_hex<std::vector<core::Command>>(item.at("commands"));
+    EXPECT_EQ(packed_hex(commands), text_at(item, "commands"));
+    const auto token = item.at("token").get<core::FencingToken>();
+    EXPECT_EQ(agent::response_body(token, commands), text_at(item, "response_body"));
+    EXPECT_EQ(agent::commands_body(token, item.at("epoch").get<std::uint64_t>(), commands),
+              text_at(item, "commands_body"));
+  }
+}
+
+TEST(GoldenOperators, ExplanationsAreWrittenAsBefore) {
+  const auto texts = read_json("users.json").at("why");
+  EXPECT_EQ(api::advice_text({}), text_at(texts, "empty"));
+  diagnostics::Advice advice;
+  advice.job = "req-7";
+  advice.waiting = 3;
+  advice.on_machines = 1;
+  advice.done = 2;
+  advice.bound = 1;
+  advice.impossible = true;
+  advice.causes = {{"no_room", "there is no room"}, {"zone", "only in a"}};
+  advice.fits_in = Seconds(12.345);
+  advice.machines = 7;
+  advice.set_aside = {{"draining", 2}, {"silent", 1}};
+  advice.rentable_types = {"small", "large"};
+  EXPECT_EQ(api::advice_text(advice), text_at(texts, "full"));
+}
+
+TEST(GoldenRecords, MachinesAreReadAndWrittenAsBefore) {
+  for (const auto& item : cases_of("records.json", "machines")) {
+    const auto record = unpacked_hex<core::MachineRecord>(item.at("record"));
+    EXPECT_EQ(record.id, text_at(item, "id"));
+    EXPECT_EQ(store::machine_to_json(record).dump(), text_at(item, "value"));
+    const auto read = store::machine_from_json(record.id, Json::parse(text_at(item, "value")));
+    EXPECT_EQ(packed_hex(read), text_at(item, "read"));
+  }
+}
+
+TEST(GoldenRecords, ProgressIsReadAndWrittenAsBefore) {
+  for (const auto& item : cases_of("records.json", "progress")) {
+    const auto record = unpacked_hex<core::ProgressRecord>(item.at("record"));
+    const auto tasks = item.at("tasks_in_chunk").get<std::size_t>();
+    const auto name = store::progress_name(record.job, record.chunk);
+    EXPECT_EQ(name, text_at(item, "name"));
+    EXPECT_EQ(store::progress_to_json(record, tasks).dump(), text_at(item, "value"));
+    const auto read = store::progress_from_json(name, Json::parse(text_at(item, "value")));
+    EXPECT_EQ(packed_hex(read), text_at(item, "read"));
+    EXPECT_EQ(store::progress_bytes(name, tasks), item.at("reserved_bytes").get<std::size_t>());
+  }
+}
+
+TEST(GoldenRecords, PlacementsAreReadAndWrittenAsBefore) {
+  for (const auto& item : cases_of("records.json", "placements")) {
+    const auto record = unpacked_hex<core::PlacementRecord>(item.at("record"));
+    EXPECT_EQ(store::placements_to_json(record).dump(), text_at(item, "value"));
+    const auto read =
+        store::placements_from_json(text_at(item, "job"), Json::parse(text_at(item, "value")));
+    EXPECT_EQ(packed_hex(read), text_at(item, "read"));
+    EXPECT_EQ(store::placements_bytes(record), item.at("reserved_bytes").get<std::size_t>());
+  }
+  EXPECT_EQ(store::kPlacementsMark,
+            read_json("records.json").at("placements_mark_key").get<std::string>());
+}
+
+/// The changes that the generator made to each record table before it took the pages.
+store::PagedRecords::Batch pages_of_sample_table(const std::string& prefix) {
+  const core::TimePoint now{std::chrono::hours(5)};
+  store::PagedRecords table(prefix, 600, core::Duration(std::chrono::seconds(1)));
+  table.load({prefix + "4", Json{{"loaded", Json{1, "x"}}}, 31},
+             [](const std::string&, const Json&) { return std::size_t(100); });
+  for (int index = 0; index < 7; ++index) {
+    const auto priority =
+        index % 3 == 0 ? store::WritePriority::urgent : store::WritePriority::deferred;
+    table.put("id-" + std::to_string(index), Json{index, "value"}, 200, priority, now, {});
+  }
+  table.put("loaded", Json{2, "y"}, 100, store::WritePriority::urgent, now, {});
+  table.erase("id-2", now);
+  store::PagedRecords::Batch batch;
+  table.take(now + std::chrono::seconds(2), 12, std::size_t{60} * 1024, batch);
+  return batch;
+}
+
+TEST(GoldenRecords, PagesAreWrittenAsBefore) {
+  for (const auto& item : cases_of("records.json", "pages")) {
+    const auto batch = pages_of_sample_table(text_at(item, "prefix"));
+    Json conditions = Json::array();
+    for (const auto& condition : batch.conditions)
+      conditions.push_back({{"key", condition.key}, {"revision", condition.revision}});
+    Json writes = Json::array();
+    for (const auto& write : batch.writes)
+      writes.push_back({{"key", write.key}, {"value", write.value.value().dump()}});
+    EXPECT_EQ(conditions, item.at("conditions"));
+    EXPECT_EQ(writes, item.at("writes"));
+    EXPECT_EQ(batch.bytes, item.at("bytes").get<std::size_t>());
+  }
+  for (const auto& item : cases_of("records.json", "page_sizes")) {
+    config::Settings settings;
+    settings.state_value_kib = item.at("value_kib").get<double>();
+    EXPECT_EQ(store::page_bytes(settings), item.at("page_bytes").get<std::size_t>());
+  }
+}
+
+store::LearnedStateSettings learned_state_settings(const Json& set) {
+  store::LearnedStateSettings settings;
+  settings.value_bytes = set.at("value_bytes").get<std::size_t>();
+  if (set.at("signed").get<bool>()) settings.key = history::parse_key(std::string(64, '7'));
+  return settings;
+}
+
+TEST(GoldenRecords, LearnedStateIsReadAndWrittenAsBefore) {
+  for (const auto& set : cases_of("learned_state.json", "sets")) {
+    const auto settings = learned_state_settings(set);
+    const auto learned_state = unpacked_hex<core::LearnedState>(set.at("learned_state"));
+    const auto written = store::encode_learned_state(
+        learned_state, text_at(set, "slot"), set.at("token").get<core::FencingToken>(), settings);
+    Json items = Json::array();
+    for (const auto& piece : written.pieces)
+      items.push_back({{"key", piece.key}, {"value", piece.value.value().dump()}});
+    items.push_back({{"key", written.head.key}, {"value", written.head.value.value().dump()}});
+    EXPECT_EQ(items, set.at("items"));
+    std::vector<store::Item> stored;
+    for (const auto& item : set.at("items"))
+      stored.push_back({text_at(item, "key"), Json::parse(text_at(item, "value")), 1});
+    const auto wall = learned_state.as_of + std::chrono::seconds(5);
+    const auto decoded = store::decode_learned_state(stored, settings, wall);
+    ASSERT_TRUE(decoded.learned_state) << decoded.problem;
+    EXPECT_EQ(decoded.slot, text_at(set, "slot"));
+    EXPECT_EQ(packed_hex(*decoded.learned_state), text_at(set, "read"));
+  }
+}
+
+TEST(GoldenRecords, TheFieldsOfLearnedStateHaveTheirMeaning) {
+  const auto set = cases_of("learned_state.json", "sets").at(0);
+  const auto state = unpacked_hex<core::LearnedState>(set.at("learned_state"));
+  EXPECT_EQ(state.as_of, core::WallTime(milliseconds(1764633600123)));
+  core::JobSpec spec;
+  spec.job_class = "render";
+  spec.estimate = Seconds(10);
+  EXPECT_EQ(state.estimates.estimate(spec), Seconds(32.5));
+  ASSERT_EQ(state.jobs.size(), 61U);
+  const auto& job = state.jobs.back();
+  EXPECT_EQ(job.id, "req-9");
+  EXPECT_EQ(job.waited, Seconds(40));
+  const std::vector<std::pair<core::TaskIndex, Seconds>> saved{{1, Seconds(7)}, {3, Seconds(0.5)}};
+  EXPECT_EQ(job.saved, saved);
+  EXPECT_EQ(job.failed_on, std::vector<core::MachineId>{"m-1"});
+  EXPECT_EQ(job.failures, 2);
+  EXPECT_EQ(job.pause, Seconds(8));
+  ASSERT_EQ(state.machines.size(), 1U);
+  EXPECT_EQ(state.machines[0].id, "m-1");
+  EXPECT_EQ(state.machines[0].errors, 2);
+  EXPECT_EQ(state.machines[0].error_jobs, (std::vector<core::JobId>{"req-1", "req-9"}));
+  EXPECT_TRUE(state.machines[0].quarantined);
+  ASSERT_EQ(state.cooldowns.size(), 1U);
+  EXPECT_EQ(state.cooldowns[0].option, (core::OfferingKey{"large", "a", true}));
+  EXPECT_EQ(state.cooldowns[0].left, Seconds(12));
+}
+
+peers::Status status_of(const Json& item) {
+  peers::Status status;
+  status.version = item.at("version").get<std::uint32_t>();
+  status.member = text_at(item, "member");
+  status.store_silence_ms = item.at("store_silence_ms").get<std::uint64_t>();
+  status.token = item.at("token").get<std::uint64_t>();
+  for (const auto& count : item.at("counts"))
+    status.counts.push_back({text_at(count, "job"), count.at("done").get<std::uint32_t>(),
+                             count.at("running").get<std::uint32_t>()});
+  status.follows = item.at("follows").get<std::uint64_t>();
+  status.workers_silence_ms = item.at("agents_silence_ms").get<std::uint64_t>();
+  return status;
+}
+
+TEST(GoldenPeers, StatusMessagesAreReadAndWrittenAsBefore) {
+  for (const auto& item : cases_of("peers.json")) {
+    SCOPED_TRACE(text_at(item, "name"));
+    EXPECT_EQ(to_hex(peers::encode(status_of(item))), text_at(item, "frame"));
+    const auto frame = from_hex(text_at(item, "frame"));
+    const auto read = peers::decode(frame.data() + 4, frame.size() - 4);
+    EXPECT_EQ(to_hex(peers::encode(read)), text_at(item, "frame"));
+    EXPECT_EQ(read.member, text_at(item, "member"));
+    EXPECT_EQ(read.token, item.at("token").get<std::uint64_t>());
+  }
+}
+
+TEST(GoldenPeers, OlderFormsAreReadAsBefore) {
+  for (const auto& item : cases_of("peers.json", "older_forms")) {
+    const auto message = from_hex(text_at(item, "message"));
+    const auto read = peers::decode(message.data(), message.size());
+    EXPECT_EQ(to_hex(peers::encode(read)), text_at(item, "read_and_written_again"));
+    EXPECT_EQ(read.follows, item.at("fields").get<int>() > 5 ? 8U : 0U);
+    EXPECT_EQ(read.workers_silence_ms, peers::kNever);
+  }
+}
+
+TEST(GoldenPeers, OtherMessagesAreRefused) {
+  for (const auto& item : cases_of("peers.json", "refused")) {
+    const auto message = from_hex(item.get<std::string>());
+    EXPECT_ANY_THROW(peers::decode(message.data(), message.size())) << item;
+  }
+}
+
+}  // namespace
+}  // namespace violetpulley::golden
