--- a/src/commands/history.cpp
+++ b/src/commands/history.cpp
@@ -34,8 +34,8 @@
   return config::load_key(file, option);
 }
 
-// What was found wrong, in the form that was asked for.
-int damaged(const Options& options, const history::CorruptionError& problem) {
+// Prints the damage as JSON or text.
+int report_damage(const Options& options, const history::CorruptionError& problem) {
   if (options.json)
     std::cout << Json{{"ok", false},
                       {"file", problem.file},
@@ -53,7 +53,7 @@
   try {
     return work();
   } catch (const history::CorruptionError& problem) {
-    return damaged(options, problem);
+    return report_damage(options, problem);
   } catch (const config::SettingsError& problem) {
     std::cerr << "violetpulley: " << problem.what() << "\n";
   } catch (const history::FileError& problem) {
@@ -62,7 +62,8 @@
   return kBadSettings;
 }
 
-history::Contents checked(history::Reader& reader) {
+// Checks all files; a torn tail is only reported.
+history::Contents check_contents(history::Reader& reader) {
   auto contents = reader.check();
   if (const auto* last = contents.last(); last != nullptr && last->torn_bytes > 0)
     std::cerr << "violetpulley: the last " << last->torn_bytes << " bytes of " << last->name
@@ -70,47 +71,52 @@
   return contents;
 }
 
-int verify(const Options& options) {
-  history::Directory files(options.directory, false);
-  history::Reader reader(files, key_of(options.key_file, "--key"));
-  const auto contents = checked(reader);
-  if (options.json) {
-    Json segments = Json::array();
-    for (const auto& segment : contents.segments)
-      segments.push_back({{"name", segment.name},
-                          {"first", segment.head.first_event},
-                          {"records", segment.records},
-                          {"bytes", segment.bytes},
-                          {"torn_bytes", segment.torn_bytes}});
-    Json snapshots = Json::array();
-    for (const auto& save : contents.snapshots)
-      snapshots.push_back({{"name", save.name},
-                           {"records", save.head.events},
-                           {"bytes", save.bytes},
-                           {"state", history::hex(save.state_digest)}});
-    std::cout << Json{{"ok", true},
-                      {"history", contents.history},
-                      {"records", contents.events()},
-                      {"segments", std::move(segments)},
-                      {"saves", std::move(snapshots)}}
-                     .dump()
-              << "\n";
-    return kFine;
-  }
+Json json_of(const history::Contents& contents) {
+  Json segments = Json::array();
+  for (const auto& segment : contents.segments)
+    segments.push_back({{"name", segment.name},
+                        {"first", segment.head.first_event},
+                        {"records", segment.records},
+                        {"bytes", segment.bytes},
+                        {"torn_bytes", segment.torn_bytes}});
+  Json snapshots = Json::array();
+  for (const auto& snapshot : contents.snapshots)
+    snapshots.push_back({{"name", snapshot.name},
+                         {"records", snapshot.head.events},
+                         {"bytes", snapshot.bytes},
+                         {"state", history::hex(snapshot.state_digest)}});
+  return {{"ok", true},
+          {"history", contents.history},
+          {"records", contents.events()},
+          {"segments", std::move(segments)},
+          {"saves", std::move(snapshots)}};
+}
+
+void print_table(const history::Contents& contents) {
   for (const auto& segment : contents.segments)
     std::cout << segment.name << "  records " << segment.head.first_event << " to "
               << segment.head.first_event + segment.records << ", " << segment.bytes << " bytes\n";
-  for (const auto& save : contents.snapshots)
-    std::cout << save.name << "  covers records up to " << save.head.events << ", state "
-              << history::hex(save.state_digest) << ", " << save.bytes << " bytes\n";
+  for (const auto& snapshot : contents.snapshots)
+    std::cout << snapshot.name << "  covers records up to " << snapshot.head.events << ", state "
+              << history::hex(snapshot.state_digest) << ", " << snapshot.bytes << " bytes\n";
   std::cout << "good: " << contents.events() << " records\n";
+}
+
+int verify(const Options& options) {
+  history::Directory files(options.directory, false);
+  history::Reader reader(files, key_of(options.key_file, "--key"));
+  const auto contents = check_contents(reader);
+  if (options.json)
+    std::cout << json_of(contents).dump() << "\n";
+  else
+    print_table(contents);
   return kFine;
 }
 
 int show(const Options& options) {
   history::Directory files(options.directory, false);
   history::Reader reader(files, key_of(options.key_file, "--key"));
-  const auto contents = checked(reader);
+  const auto contents = check_contents(reader);
   std::optional<core::TimePoint> begun;
   const auto wanted = [](const auto& names, const std::string& name) {
     return name.empty() || std::find(names.begin(), names.end(), name) != names.end();
@@ -141,7 +147,7 @@
 int replay(const Options& options) {
   history::Directory files(options.directory, false);
   history::Reader reader(files, key_of(options.key_file, "--key"));
-  const auto contents = checked(reader);
+  const auto contents = check_contents(reader);
   history::Replay replay;
   reader.replay(contents, replay, options.from_start,
                 options.until_given ? std::optional(options.until) : std::nullopt);
@@ -167,15 +173,14 @@
   return difference ? kCheckFailed : kFine;
 }
 
-// Everything into one save, and nothing of before; with another key, the new files are signed by
-// it.
+// Replaces the history by one snapshot; with a new key, the new files are signed with that key.
 int compact(const Options& options) {
   history::Directory files(options.directory, true);
   const auto key = key_of(options.key_file, "--key");
   const auto new_key =
       options.new_key_file.empty() ? key : key_of(options.new_key_file, "--new-key");
   history::Reader reader(files, key);
-  const auto contents = checked(reader);
+  const auto contents = check_contents(reader);
   history::Replay replay;
   reader.replay(contents, replay);
   if (replay.controller() == nullptr) {
--- a/src/commands/history.hpp
+++ b/src/commands/history.hpp
@@ -1,11 +1,12 @@
-// `violetpulley history show/verify/replay/compact`: a history that a controller wrote, offline.
+/// @file
+/// `violetpulley history show/verify/replay/compact`: works offline on a recorded history.
 #pragma once
 
 #include <CLI/CLI.hpp>
 
 namespace violetpulley::commands {
 
-// Adds the command; `result` gets its exit code when it was called.
+/// Adds the command. `result` receives the exit code when the command was called.
 void add_history(CLI::App& app, int& result);
 
 }  // namespace violetpulley::commands
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -25,7 +25,7 @@
   return out;
 }
 
-// Runs `work` over the settings; a complaint about them has its own exit code.
+// Runs `work` with the settings; malformed settings have an exit code of their own.
 template <class Work>
 int with_settings(const ServeOptions& options, const Work& work) {
   AllSettings settings;
--- a/src/history/describe.cpp
+++ b/src/history/describe.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-void add_report(Subjects& out, const core::Heartbeat& heartbeat) {
+void add_heartbeat(Subjects& out, const core::Heartbeat& heartbeat) {
   out.machines.push_back(heartbeat.machine);
   for (const auto& task : heartbeat.tasks) out.jobs.push_back(task.task.job);
 }
 
-std::string report_line(const core::Heartbeat& heartbeat) {
+std::string heartbeat_line(const core::Heartbeat& heartbeat) {
   std::map<std::string, int> states;
   for (const auto& task : heartbeat.tasks) {
     static constexpr const char* kStates[] = {"fetching", "waiting", "running", "saving", "exited"};
@@ -41,7 +41,7 @@
     else if constexpr (std::is_same_v<T, core::JobClosed>)
       out << e.id;
     else if constexpr (std::is_same_v<T, core::HeartbeatReceived>)
-      out << report_line(e.heartbeat);
+      out << heartbeat_line(e.heartbeat);
     else if constexpr (std::is_same_v<T, core::CommandsAnswered>)
       out << e.machine << (e.heartbeat ? "" : " gave no answer");
     else if constexpr (std::is_same_v<T, core::MachineSaved>)
@@ -87,7 +87,7 @@
     else if constexpr (std::is_same_v<T, core::ProgressSaved>)
       out.jobs.push_back(e.saved.record.job);
     else if constexpr (std::is_same_v<T, core::HeartbeatReceived>)
-      add_report(out, e.heartbeat);
+      add_heartbeat(out, e.heartbeat);
     else if constexpr (std::is_same_v<T, core::MachineSaved>)
       out.machines.push_back(e.id);
     else if constexpr (std::is_same_v<T, core::ScaleOutAnswered>)
@@ -96,7 +96,7 @@
       out.machines = e.machines;
     else if constexpr (std::is_same_v<T, core::CommandsAnswered>) {
       if (e.heartbeat)
-        add_report(out, *e.heartbeat);
+        add_heartbeat(out, *e.heartbeat);
       else
         out.machines.push_back(e.machine);
     }
--- a/src/history/digest.hpp
+++ b/src/history/digest.hpp
@@ -1,5 +1,6 @@
-// Running digest of values: equal sequences of states or actions give equal digests, on every
-// machine of one byte order.
+/// @file
+/// Running digest of values: equal sequences of states or actions give equal digests on every
+/// machine of the same byte order.
 #pragma once
 
 #include <xxhash.h>
@@ -11,10 +12,12 @@
 
 namespace violetpulley::history {
 
+/// XXH3 (64 bits) over the bytes added so far.
 class Digest {
  public:
   Digest() : state_(XXH3_createState(), &XXH3_freeState) { XXH3_64bits_reset(state_.get()); }
 
+  /// Adds the msgpack form of a value (history/pack.hpp).
   template <class T>
   void add(const T& value) {
     sink_.clear();
@@ -25,6 +28,7 @@
   void add_bytes(std::string_view bytes) {
     XXH3_64bits_update(state_.get(), bytes.data(), bytes.size());
   }
+  /// The digest of these bytes alone.
   static std::uint64_t of_bytes(std::string_view bytes) {
     Digest digest;
     digest.add_bytes(bytes);
@@ -37,6 +41,7 @@
   Sink sink_;
 };
 
+/// 16 hexadecimal digits.
 inline std::string hex(std::uint64_t value) {
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(value));
--- a/src/history/event_log.cpp
+++ b/src/history/event_log.cpp
@@ -25,19 +25,21 @@
   if (const auto* last = contents.last()) {
     segment_ = last->head.segment;
     previous_tail_ = last->tail;
-    if (last->torn_bytes > 0) {
-      // The torn tail goes by writing the whole part beside it and renaming that.
-      const auto whole = files_.read(last->name).substr(0, last->bytes);
-      const auto beside = last->name + ".part";
-      files_.append(beside, whole);
-      files_.sync(beside);
-      files_.rename(beside, last->name);
-      files_.sync_names();
-    }
+    if (last->torn_bytes > 0) cut_torn_tail(*last);
   }
   begin_segment(wall);
 }
 
+// The whole frames are written to a second file, which then replaces the first.
+void EventLog::cut_torn_tail(const SegmentInfo& segment) {
+  const auto whole = files_.read(segment.name).substr(0, segment.bytes);
+  const auto beside = segment.name + ".part";
+  files_.append(beside, whole);
+  files_.sync(beside);
+  files_.rename(beside, segment.name);
+  files_.sync_names();
+}
+
 void EventLog::begin_segment(core::WallTime wall) {
   ++segment_;
   frames_.emplace(FileKind::events, key_);
@@ -142,7 +144,7 @@
 
 void EventLog::write_slice() {
   const auto bytes = snapshot_->frames.take();
-  snapshot_->written.add_bytes(bytes);
+  snapshot_->written_digest.add_bytes(bytes);
   files_.append(part_name(snapshot_->segment), bytes);
 }
 
@@ -162,18 +164,19 @@
   snapshot.complete = true;
 }
 
-// What was written is read back before it counts: a save that cannot be read must not replace one
-// that can.
+// The bytes are read back before the snapshot counts: an unreadable snapshot must not replace a
+// readable one.
 void EventLog::check_back() {
   auto& snapshot = *snapshot_;
   const auto name = part_name(snapshot.segment);
-  const auto bytes = files_.read(name, snapshot.checked, kReadBack);
-  snapshot.back.add_bytes(bytes);
-  snapshot.checked += bytes.size();
-  if (snapshot.checked < snapshot.frames.written() && !bytes.empty()) return;
-  if (snapshot.checked != snapshot.frames.written() ||
-      snapshot.back.value() != snapshot.written.value())
-    throw CorruptionError(name, snapshot.checked, "what was read back is not what was written");
+  const auto bytes = files_.read(name, snapshot.bytes_read_back, kReadBack);
+  snapshot.read_back_digest.add_bytes(bytes);
+  snapshot.bytes_read_back += bytes.size();
+  if (snapshot.bytes_read_back < snapshot.frames.written() && !bytes.empty()) return;
+  if (snapshot.bytes_read_back != snapshot.frames.written() ||
+      snapshot.read_back_digest.value() != snapshot.written_digest.value())
+    throw CorruptionError(name, snapshot.bytes_read_back,
+                          "what was read back is not what was written");
   finish_snapshot();
 }
 
@@ -193,7 +196,8 @@
     if (const auto number = snapshot_number(name)) snapshots.push_back(*number);
   if (snapshots.size() < snapshots_kept) return;
   const auto oldest = snapshots[snapshots.size() - snapshots_kept];
-  // Saves go before the events after them: killed in between, no save is left without its events
+  // Snapshots are removed before the events after them: if the process ends in between, no snapshot
+  // is left without its events
   // (History.KilledAtAnyCallItGoesOnFromWhatWasWritten found the other order).
   for (const auto& name : names)
     if (const auto snapshot = snapshot_number(name); snapshot && *snapshot < oldest)
--- a/src/history/files.cpp
+++ b/src/history/files.cpp
@@ -86,13 +86,13 @@
   }
 }
 
-std::string Directory::read(const std::string& name, std::size_t from, std::size_t most) {
+std::string Directory::read(const std::string& name, std::size_t from, std::size_t max_bytes) {
   const Descriptor file(full(name), O_RDONLY);
-  std::string out(most, '\0');
+  std::string out(max_bytes, '\0');
   std::size_t have = 0;
-  while (have < most) {
+  while (have < max_bytes) {
     const auto got =
-        ::pread(file.get(), out.data() + have, most - have, static_cast<off_t>(from + have));
+        ::pread(file.get(), out.data() + have, max_bytes - have, static_cast<off_t>(from + have));
     if (got < 0 && errno == EINTR) continue;
     if (got < 0) fail("cannot read " + full(name));
     if (got == 0) break;
--- a/src/history/files.hpp
+++ b/src/history/files.hpp
@@ -1,5 +1,6 @@
-// The directory that a history lives in, as few calls: tests put one in its place that fails at the
-// n-th call or loses what was not synced.
+/// @file
+/// File access of a history, as an interface of few calls: tests replace the directory by one that
+/// fails at the n-th call or loses bytes that were not synced.
 #pragma once
 
 #include <map>
@@ -11,11 +12,13 @@
 
 namespace violetpulley::history {
 
-// What the operating system said: the disk is full, read-only, or the file is not there.
+/// An error of the operating system: the disk is full or read-only, or a file does not exist. A log
+/// that meets this error cannot continue.
 struct FileError : std::system_error {
   using std::system_error::system_error;
 };
 
+/// The files of one history. Names are without a directory.
 class Files {
  public:
   Files() = default;
@@ -23,31 +26,36 @@
   Files(const Files&) = delete;
   Files& operator=(const Files&) = delete;
 
-  // Every call throws FileError when it cannot be done; an append may then have written a part.
+  /// Names of all files, sorted. Every call throws FileError when the operation fails; an append
+  /// may then have written some of the bytes.
   virtual std::vector<std::string> list() = 0;
+  /// The whole file.
   virtual std::string read(const std::string& name) = 0;
-  // At most so many bytes from a place on; fewer at the end.
-  virtual std::string read(const std::string& name, std::size_t from, std::size_t most) = 0;
+  /// At most `max_bytes` bytes from the offset `from`; fewer at the end of the file.
+  virtual std::string read(const std::string& name, std::size_t from, std::size_t max_bytes) = 0;
+  /// Creates the file if it does not exist.
   virtual void append(const std::string& name, std::string_view bytes) = 0;
-  // What was appended so far outlives a power cut from here on.
+  /// The bytes appended so far outlive a power cut once this call returns.
   virtual void sync(const std::string& name) = 0;
-  // Atomic: after a crash there is one name or the other.
+  /// Atomic: after a crash the file has one name or the other.
   virtual void rename(const std::string& from, const std::string& to) = 0;
+  /// A file that does not exist is no error.
   virtual void remove(const std::string& name) = 0;
-  // Names made, changed and removed outlive a power cut from here on.
+  /// Created, changed and removed names outlive a power cut once this call returns.
   virtual void sync_names() = 0;
 };
 
-// A directory of this machine, locked against a second process.
+/// A directory of this machine, locked against a second writer.
 class Directory : public Files {
  public:
-  // Makes the directory if need be. `writing`: takes the lock; readers need none.
+  /// `writing`: creates the directory if it does not exist and takes the lock; readers take none.
+  /// Throws FileError, also when another process holds the lock.
   Directory(std::string path, bool writing);
   ~Directory() override;
 
   std::vector<std::string> list() override;
   std::string read(const std::string& name) override;
-  std::string read(const std::string& name, std::size_t from, std::size_t most) override;
+  std::string read(const std::string& name, std::size_t from, std::size_t max_bytes) override;
   void append(const std::string& name, std::string_view bytes) override;
   void sync(const std::string& name) override;
   void rename(const std::string& from, const std::string& to) override;
@@ -61,7 +69,7 @@
 
   std::string path_;
   int lock_ = -1;
-  std::map<std::string, int> open_;  // files being appended to: an event log and a save
+  std::map<std::string, int> open_;  // files being appended to: a segment and a snapshot
 };
 
 }  // namespace violetpulley::history
--- a/src/history/frames.cpp
+++ b/src/history/frames.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr std::string_view kMagic = "VPHIST";
-constexpr std::size_t kHead = 10;    // magic, kind, version, signed
-constexpr std::size_t kFront = 20;   // length, checksum, synced
-constexpr std::size_t kSynced = 12;  // where the last of these begins
+constexpr std::size_t kHeadBytes = 10;     // magic, kind, version, signed
+constexpr std::size_t kFrontBytes = 20;    // length, checksum, synced
+constexpr std::size_t kSyncedOffset = 12;  // where the last of these begins
 constexpr std::uint32_t kMaxPayload = 64U << 20U;
 
 template <class T>
@@ -68,38 +68,38 @@
 }
 
 FrameWriter::FrameWriter(FileKind kind, std::optional<Key> key)
-    : chain_(key), waiting_(file_head(kind, key.has_value())), written_(waiting_.size()) {
-  chain_.extend(waiting_);
+    : chain_(key), pending_(file_head(kind, key.has_value())), written_bytes_(pending_.size()) {
+  chain_.extend(pending_);
 }
 
 void FrameWriter::add(std::string_view payload) {
   if (payload.size() > kMaxPayload) throw std::length_error("a record is too large");
   const auto length = static_cast<std::uint32_t>(payload.size());
-  const auto before = waiting_.size();
-  put(waiting_, length);
-  put(waiting_, std::uint64_t{0});  // the checksum, when what it covers stands behind it
-  put(waiting_, synced_);
-  waiting_.append(payload);
-  const auto covered = std::string_view(waiting_).substr(before + kSynced);
+  const auto before = pending_.size();
+  put(pending_, length);
+  put(pending_, std::uint64_t{0});  // the checksum, when what it covers stands behind it
+  put(pending_, synced_bytes_);
+  pending_.append(payload);
+  const auto covered = std::string_view(pending_).substr(before + kSyncedOffset);
   auto sum = checksum(length, covered, number_++);
   for (std::size_t i = 0; i < sizeof sum; ++i, sum >>= 8U)
-    waiting_[before + sizeof length + i] = static_cast<char>(sum & 0xFF);
+    pending_[before + sizeof length + i] = static_cast<char>(sum & 0xFF);
   if (chain_.keyed()) {
-    waiting_.append(text_of(chain_.extend(covered)));
+    pending_.append(text_of(chain_.extend(covered)));
   }
-  written_ += waiting_.size() - before;
+  written_bytes_ += pending_.size() - before;
 }
 
 std::string FrameWriter::take() {
-  taken_ += waiting_.size();
-  return std::exchange(waiting_, {});
+  taken_bytes_ += pending_.size();
+  return std::exchange(pending_, {});
 }
 
 FrameReader::FrameReader(std::string name, std::string_view bytes, FileKind kind,
                          std::optional<Key> key)
     : name_(std::move(name)), bytes_(bytes), key_(key), chain_(key) {
-  if (bytes_.size() < kHead) {
-    torn_ = bytes_.size();
+  if (bytes_.size() < kHeadBytes) {
+    torn_bytes_ = bytes_.size();
     torn_cause_ = "the head of the file is cut off";
     return;
   }
@@ -116,22 +116,22 @@
     throw CorruptionError(name_, 9, "neither signed nor unsigned");
   signed_ = bytes_[9] == 1;
   if (key && !signed_) throw CorruptionError(name_, 9, "it is not signed, although a key is set");
-  chain_.extend(bytes_.substr(0, kHead));
-  offset_ = kHead;
+  chain_.extend(bytes_.substr(0, kHeadBytes));
+  offset_ = kHeadBytes;
 }
 
 std::optional<FrameReader::Frame> FrameReader::frame_at(std::size_t at, std::uint64_t number,
                                                         const char*& why) const {
   const auto left = bytes_.size() - at;
   why = "a frame is cut off";
-  if (left < kFront) return std::nullopt;
+  if (left < kFrontBytes) return std::nullopt;
   const auto length = get<std::uint32_t>(bytes_, at);
-  const std::size_t whole = kFront + length + (signed_ ? Tag{}.size() : 0);
+  const std::size_t whole = kFrontBytes + length + (signed_ ? Tag{}.size() : 0);
   if (length > kMaxPayload || whole > left) return std::nullopt;
   Frame frame;
-  frame.covered = bytes_.substr(at + kSynced, 8 + length);
-  frame.payload = bytes_.substr(at + kFront, length);
-  frame.synced = get<std::uint64_t>(bytes_, at + kSynced);
+  frame.covered = bytes_.substr(at + kSyncedOffset, 8 + length);
+  frame.payload = bytes_.substr(at + kFrontBytes, length);
+  frame.synced = get<std::uint64_t>(bytes_, at + kSyncedOffset);
   frame.end = at + whole;
   why = "a checksum is wrong";
   if (get<std::uint64_t>(bytes_, at + 4) != checksum(length, frame.covered, number))
@@ -144,11 +144,11 @@
 bool FrameReader::proved_synced(std::size_t at) const {
   constexpr std::uint64_t kMaxLost = 64;
   const char* why = nullptr;
-  for (auto from = at; from + kFront <= bytes_.size(); ++from) {
+  for (auto from = at; from + kFrontBytes <= bytes_.size(); ++from) {
     const auto length = get<std::uint32_t>(bytes_, from);
     if (length > kMaxPayload || length > bytes_.size() - from) continue;
-    if (get<std::uint64_t>(bytes_, from + kSynced) <= at) continue;  // would prove nothing
-    if (get<std::uint64_t>(bytes_, from + kSynced) > from) continue;
+    if (get<std::uint64_t>(bytes_, from + kSyncedOffset) <= at) continue;  // would prove nothing
+    if (get<std::uint64_t>(bytes_, from + kSyncedOffset) > from) continue;
     for (auto lost = std::uint64_t{0}; lost <= kMaxLost; ++lost)
       if (frame_at(from, number_ + lost, why)) return true;
   }
@@ -156,12 +156,12 @@
 }
 
 std::optional<std::string_view> FrameReader::next() {
-  if (torn_ > 0 || offset_ >= bytes_.size()) return std::nullopt;
+  if (torn_bytes_ > 0 || offset_ >= bytes_.size()) return std::nullopt;
   const char* why = nullptr;
   const auto frame = frame_at(offset_, number_, why);
   if (!frame) {
     if (proved_synced(offset_)) throw CorruptionError(name_, offset_, why);
-    torn_ = bytes_.size() - offset_;
+    torn_bytes_ = bytes_.size() - offset_;
     torn_cause_ = why;
     return std::nullopt;
   }
--- a/src/history/heartbeat_changes.cpp
+++ b/src/history/heartbeat_changes.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Whether only what changes express differs.
+// Whether the heartbeats differ in nothing but the fields that HeartbeatChanges can express.
 bool same_machine(const core::Heartbeat& a, const core::Heartbeat& b) {
   return a.endpoint == b.endpoint && a.type == b.type && a.zone == b.zone && a.spot == b.spot &&
          a.notice == b.notice;
@@ -54,7 +54,8 @@
   changes_.token = heartbeat.token;
   changes_.gone.clear();
   changes_.come.clear();
-  // Lists keep their order, so one pass finds what stays; another order only costs bytes.
+  // Lists keep their order, so one pass finds the unchanged entries; another order only costs
+  // bytes.
   std::size_t old = 0;
   for (std::size_t place = 0; place < now_.size(); ++place) {
     if (old < before.size() && before[old] == now_[place]) {
@@ -79,7 +80,7 @@
 core::Heartbeat& HeartbeatChangesReader::apply(const HeartbeatChanges& changes) {
   const auto found = last_.find(changes.machine);
   if (found == last_.end())
-    throw DecodeError("changes of " + changes.machine + " come before any whole report of it");
+    throw DecodeError("changes of " + changes.machine + " come before any whole heartbeat");
   auto& last = found->second;
   last.epoch = changes.epoch;
   last.heartbeat_sequence = changes.heartbeat_sequence;
@@ -101,7 +102,7 @@
   }
   take_new();
   if (gone != changes.gone.end() || come != changes.come.end())
-    throw DecodeError("changes of " + changes.machine + " do not fit its last report");
+    throw DecodeError("changes of " + changes.machine + " do not fit the last heartbeat");
   last.tasks = std::move(tasks);
   return last;
 }
--- a/src/history/heartbeat_changes.hpp
+++ b/src/history/heartbeat_changes.hpp
@@ -1,7 +1,9 @@
-// Reports as changes: the reader of a segment holds the last report of every machine in it, the
-// writer a fingerprint of each entry, an eighth of that. A new segment begins with none, so that it
-// can be read by itself. Two entries with one fingerprint (64 bits) would make a replay differ from
-// what was recorded, and be named as that.
+/// @file
+/// Heartbeats as differences: the reader of a segment holds the last heartbeat of every machine in
+/// the segment, the writer a fingerprint of each task status, an eighth of the memory. A new
+/// segment begins without any, so that it can be read by itself. Two task statuses with the same
+/// fingerprint (64 bits) would make a replay differ from the recorded actions, which the replay
+/// reports.
 #pragma once
 
 #include <unordered_map>
@@ -10,10 +12,11 @@
 
 namespace violetpulley::history {
 
+/// Turns the heartbeats of one segment into differences.
 class HeartbeatChangesWriter {
  public:
-  // What is to be written instead of the report; null: the report as it is. Valid until the next
-  // call.
+  /// What is to be written in place of the heartbeat; null: the heartbeat as it is. `answer`: the
+  /// heartbeat is the response to commands. Valid until the next call.
   const HeartbeatChanges* changes(const core::Heartbeat& heartbeat, bool answer);
 
  private:
@@ -26,9 +29,10 @@
   HeartbeatChanges changes_;
 };
 
+/// Restores the heartbeats of one segment.
 class HeartbeatChangesReader {
  public:
-  // The record that was given to the writer. Throws DecodeError if changes do not fit.
+  /// The record that was given to the writer. Throws DecodeError if changes do not fit.
   Record whole(WrittenRecord&& written);
 
  private:
@@ -36,7 +40,7 @@
   std::unordered_map<core::MachineId, core::Heartbeat> last_;
 };
 
-// The report that an event holds, or null.
+/// The heartbeat that an event holds, or null.
 const core::Heartbeat* heartbeat_of(const core::Event& event);
 
 }  // namespace violetpulley::history
--- a/src/history/pack.hpp
+++ b/src/history/pack.hpp
@@ -1,7 +1,8 @@
-// Values of the core as msgpack, and back. A struct is an array of what its `fields` names, in that
-// order; a map is an array of pairs, sorted by key, so that equal states give equal bytes (digests
-// rely on it). Times are counted in nanoseconds, durations of `Seconds` are doubles to the last
-// bit.
+/// @file
+/// Values of the core as msgpack, and back. A struct is an array of the fields that its `fields`
+/// names, in that order; a map is an array of pairs, sorted by key, so that equal states give equal
+/// bytes (digests rely on this). Times are counted in nanoseconds, durations of `Seconds` are
+/// doubles to the last bit.
 #pragma once
 
 #include <algorithm>
@@ -21,7 +22,7 @@
 
 namespace violetpulley::history {
 
-// What was read is not what this version writes.
+/// Bytes that are not msgpack, or a value of another type or kind than this version writes.
 struct DecodeError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -80,6 +81,7 @@
 
 }  // namespace detail
 
+/// Appends a value.
 template <class T>
 void write(Out& out, const T& value) {
   if constexpr (std::is_enum_v<T>) {
@@ -123,14 +125,15 @@
 
 namespace detail {
 
-inline const msgpack::object_array& array_of(const msgpack::object& from, std::size_t least) {
-  if (from.type != msgpack::type::ARRAY || from.via.array.size < least)
-    throw DecodeError("an array of " + std::to_string(least) + " values was expected");
+inline const msgpack::object_array& array_of(const msgpack::object& from, std::size_t min_size) {
+  if (from.type != msgpack::type::ARRAY || from.via.array.size < min_size)
+    throw DecodeError("an array of " + std::to_string(min_size) + " values was expected");
   return from.via.array;
 }
 
 }  // namespace detail
 
+/// Reads a value. Throws DecodeError.
 template <class T>
 void read(const msgpack::object& from, T& value) {
   if constexpr (std::is_enum_v<T>) {
@@ -198,6 +201,7 @@
   }
 }
 
+/// The msgpack form of a value.
 template <class T>
 std::string packed(const T& value) {
   Sink sink;
@@ -206,6 +210,7 @@
   return {sink.data(), sink.size()};
 }
 
+/// The value of a msgpack form. Throws DecodeError.
 template <class T>
 T unpacked(std::string_view bytes) {
   T value{};
--- a/src/history/reader.hpp
+++ b/src/history/reader.hpp
@@ -1,5 +1,6 @@
-// A history as it lies in its directory: what is whole, what is torn, what is damaged. Reading
-// changes nothing; `EventLog` cuts a torn tail when it goes on from here.
+/// @file
+/// Reads a history from its directory and checks which files are whole, torn or damaged. Reading
+/// changes nothing; `EventLog` cuts off a torn tail when it continues the history.
 #pragma once
 
 #include <functional>
@@ -9,6 +10,7 @@
 
 namespace violetpulley::history {
 
+/// What was read of a segment of events.
 struct SegmentInfo {
   std::string name;
   SegmentHeader head;
@@ -19,6 +21,7 @@
   Tag tail{};
 };
 
+/// What was read of a snapshot.
 struct SnapshotInfo {
   std::string name;
   SnapshotHeader head;
@@ -26,35 +29,41 @@
   std::uint64_t state_digest = 0;
 };
 
+/// The files of a history in the order of their numbers.
 struct Contents {
   HistoryId history;  // empty: there is none yet
   std::vector<SegmentInfo> segments;
   std::vector<SnapshotInfo> snapshots;
-  std::vector<std::string> unfinished;  // saves that were never completed
+  std::vector<std::string> unfinished;  // files that were never completed
 
+  /// The newest segment, null if there is none.
   const SegmentInfo* last() const { return segments.empty() ? nullptr : &segments.back(); }
-  // After the last record.
+  /// Number of records from the history's first to the last.
   std::uint64_t events() const;
 };
 
+/// Reads over `files`, which must outlive the reader. With a key every file must be signed.
 class Reader {
  public:
   Reader(Files& files, std::optional<Key> key) : files_(files), key_(key) {}
 
-  // Reads and checks everything. Throws Damaged at the first damage, FileError.
+  /// Reads and checks all files. Throws CorruptionError at the first damage, and FileError.
   Contents check();
 
-  // Calls `each` for the records of a segment until it says false.
+  /// Calls `each` with the records of a segment and their numbers until `each` returns false.
+  /// Throws CorruptionError and FileError.
   SegmentInfo read_segment(const std::string& name,
                            const std::function<bool(const Record&, std::uint64_t)>& each);
 
-  // What a process needs that goes on from here: the newest save that is whole and the events after
-  // it, replayed. Older ones are not read. `note` is told of a save that is damaged and passed over
-  // for the one before it. Throws Damaged if that leaves nothing to go by, FileError.
+  /// Restores the newest snapshot that is whole and replays the events after it, for a process that
+  /// continues the history; older files are not read. `note` is called for each damaged snapshot
+  /// that is skipped for the one before it. Throws CorruptionError if no usable one is left, and
+  /// FileError.
   Contents recover(Replay& replay, const std::function<void(const CorruptionError&)>& note);
 
-  // The newest save, then all events after it, into the replay. With `from_start` no save is used,
-  // as far as events still go back. `until`: no record with this number or a later one.
+  /// Replays the newest snapshot and the events after it. With `from_start`, replays all events,
+  /// from the oldest snapshot if the first events were removed. `until`: stops before the record of
+  /// this number. Throws CorruptionError and FileError.
   void replay(const Contents& contents, Replay& replay, bool from_start = false,
               std::optional<std::uint64_t> until = {});
 
@@ -63,13 +72,18 @@
     SnapshotInfo info;
     Parts parts;
   };
-  // A whole save. Throws Damaged, also when it is not complete.
+  /// Throws CorruptionError, also when the snapshot is not complete.
   Loaded load_snapshot(const std::string& name);
-  // Both throw Damaged for what cannot be replayed.
+  /// Both throw CorruptionError for what cannot be replayed.
   SnapshotInfo restore(const std::string& name, Replay& replay);
   SegmentInfo replay_segment(const std::string& name, Replay& replay,
                              std::optional<std::uint64_t> until);
+  /// The checks between files; each throws CorruptionError. A segment without a head is moved from
+  /// `contents.segments` to `contents.unfinished`.
   void check_links(Contents& contents) const;
+  void check_segment(Contents& contents, std::size_t index) const;
+  void check_snapshot(Contents& contents, const SnapshotInfo& snapshot) const;
+  static void check_history(Contents& contents, const std::string& name, const HistoryId& history);
 
   Files& files_;
   std::optional<Key> key_;
--- a/src/history/recorder.cpp
+++ b/src/history/recorder.cpp
@@ -49,7 +49,7 @@
   Replay replay;
   Reader reader(*files_, settings.key);
   const auto contents = reader.recover(replay, [](const CorruptionError& problem) {
-    spdlog::error("history: a save is damaged, the one before it is used: {}", problem.what());
+    spdlog::error("history: a snapshot is damaged, the one before it is used: {}", problem.what());
   });
   if (const auto* last = contents.last(); last != nullptr && last->torn_bytes > 0)
     spdlog::warn("history: {} is torn, {} bytes are cut off: {}", last->name, last->torn_bytes,
@@ -100,7 +100,7 @@
 std::string Recorder::summary() const {
   if (!log_) return "history off";
   return "history: " + std::to_string(log_->events()) + " events, " +
-         std::to_string(log_->snapshots_made()) + " saves";
+         std::to_string(log_->snapshots_made()) + " snapshots";
 }
 
 }  // namespace violetpulley::history
--- a/src/history/recorder.hpp
+++ b/src/history/recorder.hpp
@@ -1,6 +1,8 @@
-// The history of one controller in a directory: goes on from what is there, records what enters the
-// core while this process leads, saves in slices. Whatever fails here ends the history and not the
-// service: the cause is logged and the process goes on without (docs/operations.md, "History").
+/// @file
+/// The history of one controller in a directory: continues an existing history, records the events
+/// that enter the core while this process leads, and writes snapshots in slices. An error here ends
+/// the history and not the service: the cause is logged and the process continues without a history
+/// (docs/operations.md, "History").
 #pragma once
 
 #include <memory>
@@ -9,6 +11,7 @@
 
 namespace violetpulley::history {
 
+/// Owns the files and the event log of this process.
 class Recorder {
  public:
   struct Settings {
@@ -16,32 +19,36 @@
     std::optional<Key> key;
     LogSettings log;
   };
-  // Reads what is there and replays it. Never throws.
+  /// Reads and replays the existing history. Never throws: after an error `on()` is false.
   Recorder(const Settings& settings, core::WallTime wall);
-  // The same over other files, for tests.
+  /// The same over other files, for tests.
   Recorder(std::unique_ptr<Files> files, const Settings& settings, core::WallTime wall);
 
+  /// Whether events are recorded.
   bool on() const { return log_ != nullptr; }
-  // What was known when the last leader of this history ended; empty if none is known.
+  /// The learned state when the last leader of this history ended; empty if there is none.
   const core::LearnedState& learned_state() const { return learned_state_; }
-  // When a leader of this process ends.
+  /// Called when a leader of this process ends.
   void leader_ends(core::LearnedState learned_state);
-  // A save is being made: what would change every machine at once should wait.
+  /// A snapshot is in progress: a change of all machines at once should wait.
   bool snapshotting() const { return log_ && log_->snapshotting(); }
 
+  /// The first event of a leader of this process.
   void leader_elected(core::TimePoint at, const core::LeaderElected& event);
+  /// An event, before the core applies it.
   void record(core::TimePoint at, const core::Event& event);
+  /// The actions that the core has returned; an empty list is not recorded.
   void record_actions(core::TimePoint at, const std::vector<core::Action>& actions);
-  // Writes what is due. Call it when `controller` holds all that was recorded and its actions were
-  // taken.
+  /// Writes what is due. Must be called when all recorded events are applied to `controller` and
+  /// its actions were taken.
   void pump(core::Controller& controller, core::TimePoint now, core::WallTime wall);
 
-  // Bytes and events so far, for the log line.
+  /// Events and snapshots so far, for the log line.
   std::string summary() const;
 
  private:
   void start(const Settings& settings, core::WallTime wall);
-  // Runs `work`, and ends the history if that fails.
+  /// Runs `work`; an exception ends the history.
   template <class Work>
   void guarded(const Work& work);
 
--- a/src/history/records.cpp
+++ b/src/history/records.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr std::string_view kSegment = "events-";
-constexpr std::string_view kSegmentEnd = ".vph";
-constexpr std::string_view kSave = "save-";
-constexpr std::string_view kSaveEnd = ".vps";
+constexpr std::string_view kSegmentPrefix = "events-";
+constexpr std::string_view kSegmentSuffix = ".vph";
+constexpr std::string_view kSnapshotPrefix = "save-";
+constexpr std::string_view kSnapshotSuffix = ".vps";
 constexpr std::size_t kDigits = 12;
 
 std::string name(std::string_view front, std::uint64_t number, std::string_view end) {
@@ -68,13 +68,17 @@
   return digest.value();
 }
 
-std::string segment_name(std::uint64_t number) { return name(kSegment, number, kSegmentEnd); }
-std::string snapshot_name(std::uint64_t segment) { return name(kSave, segment, kSaveEnd); }
+std::string segment_name(std::uint64_t number) {
+  return name(kSegmentPrefix, number, kSegmentSuffix);
+}
+std::string snapshot_name(std::uint64_t segment) {
+  return name(kSnapshotPrefix, segment, kSnapshotSuffix);
+}
 std::optional<std::uint64_t> segment_number(const std::string& name) {
-  return number(name, kSegment, kSegmentEnd);
+  return number(name, kSegmentPrefix, kSegmentSuffix);
 }
 std::optional<std::uint64_t> snapshot_number(const std::string& name) {
-  return number(name, kSave, kSaveEnd);
+  return number(name, kSnapshotPrefix, kSnapshotSuffix);
 }
 
 }  // namespace violetpulley::history
--- a/src/history/records.hpp
+++ b/src/history/records.hpp
@@ -1,7 +1,8 @@
-// What is in the frames of a history.
-//
-// Events file: a `SegmentHeader`, then records in the order in which they entered the core.
-// Save: a `SnapshotHeader`, the parts of the core's state in slices, a `SnapshotEnd`.
+/// @file
+/// The payloads of a history's frames.
+///
+/// Segment of events: a `SegmentHeader`, then records in the order in which they entered the core.
+/// Snapshot: a `SnapshotHeader`, the parts of the core's state in slices, a `SnapshotEnd`.
 #pragma once
 
 #include "core/events.hpp"
@@ -10,9 +11,10 @@
 
 namespace violetpulley::history {
 
-// Names one history, so that files of two are not mixed.
+/// Names one history, so that files of two histories are not mixed.
 using HistoryId = std::string;
 
+/// First frame of a segment.
 struct SegmentHeader {
   HistoryId history;
   std::uint64_t segment = 0;
@@ -26,7 +28,8 @@
   }
 };
 
-// What the shells were given after the events before it: a replay must come to the same.
+/// Digest of the actions that the core returned after the events before this record: a replay must
+/// come to the same.
 struct ActionsRecorded {
   std::uint64_t digest = 0;
   template <class S, class F>
@@ -35,6 +38,7 @@
   }
 };
 
+/// An event or the digest of a batch of actions, with the leader's token and the time.
 struct Record {
   core::FencingToken token = 0;
   core::TimePoint at{};  // steady clock of the process that wrote it
@@ -46,11 +50,11 @@
   }
 };
 
-// A machine's report, by what differs from the last one recorded of it in this segment: most of a
-// report is as before, and writing it whole each time cost the most of a history.
+/// A machine's heartbeat as the difference to the last one recorded in this segment: most of a
+/// heartbeat is as before, and whole heartbeats took most bytes of a history.
 struct HeartbeatChanges {
   core::MachineId machine;
-  bool answer = false;  // to orders
+  bool answer = false;  // to commands
   std::uint64_t epoch = 0;
   std::uint64_t heartbeat_sequence = 0;
   core::FencingToken token = 0;
@@ -63,7 +67,7 @@
   }
 };
 
-// A record as it is in the file. Reports are first whole, then changes.
+/// A record as it is in the file. Heartbeats are whole at first, then differences.
 struct WrittenRecord {
   core::FencingToken token = 0;
   core::TimePoint at{};
@@ -75,7 +79,7 @@
   }
 };
 
-// A save's place: all events before `segment` are in it.
+/// First frame of a snapshot, which covers all events before `segment`.
 struct SnapshotHeader {
   HistoryId history;
   std::uint64_t segment = 0;
@@ -83,7 +87,7 @@
   core::TimePoint at{};
   core::WallTime wall{};
   core::TimePoint elected_at{};
-  core::LeaderElected origin;  // without what it inherited
+  core::LeaderElected origin;  // without the recovered state
   std::string events_tail;     // last MAC of the segment before, if signed
 
   template <class S, class F>
@@ -92,7 +96,7 @@
   }
 };
 
-// Parts are cut into slices of bytes; the last one of a part says so.
+/// A part of the state is cut into slices; `last` marks the last slice of a part.
 struct SnapshotSlice {
   std::string part;
   bool last = false;
@@ -104,6 +108,7 @@
   }
 };
 
+/// Last frame of a snapshot.
 struct SnapshotEnd {
   std::uint64_t state_digest = 0;
 
@@ -115,16 +120,17 @@
 
 using SnapshotPiece = std::variant<SnapshotHeader, SnapshotSlice, SnapshotEnd>;
 
-// The core's state, part by part in the order of `Controller::each_part`.
+/// The core's state, part by part (name, bytes) in the order of `Controller::each_part`.
 using Parts = std::vector<std::pair<std::string, std::string>>;
 Parts parts_of(const core::Controller& controller);
-// Throws DecodeError if a part is missing or cannot be read.
+/// Throws DecodeError if a part is missing or cannot be read.
 void restore_parts(core::Controller& controller, const Parts& parts);
 std::uint64_t digest_of(const Parts& parts);
 
+/// File names: "events-<12 digits>.vph" and "save-<12 digits>.vps".
 std::string segment_name(std::uint64_t number);
 std::string snapshot_name(std::uint64_t segment);
-// The number in a name of that kind, or none.
+/// The number in a file name of that kind, or none.
 std::optional<std::uint64_t> segment_number(const std::string& name);
 std::optional<std::uint64_t> snapshot_number(const std::string& name);
 
--- a/src/history/replay.cpp
+++ b/src/history/replay.cpp
@@ -31,10 +31,10 @@
     return;
   }
   const auto& event = std::get<core::Event>(record.what);
-  if (const auto* takeover = std::get_if<core::LeaderElected>(&event)) {
-    controller_ = core::make_controller(*takeover, record.at);
+  if (const auto* elected = std::get_if<core::LeaderElected>(&event)) {
+    controller_ = core::make_controller(*elected, record.at);
     elected_at_ = record.at;
-    origin_ = {takeover->settings, takeover->token, takeover->former_leases_end, {}};
+    origin_ = {elected->settings, elected->token, elected->former_leases_end, {}};
     return;
   }
   if (!controller_) throw DecodeError("an event comes before any takeover");
--- a/src/history/replay.hpp
+++ b/src/history/replay.hpp
@@ -1,4 +1,5 @@
-// The core run over recorded events. What it does is compared with what was recorded, by digest.
+/// @file
+/// Runs the core over recorded events and compares its actions with the recorded ones, by digest.
 #pragma once
 
 #include "history/digest.hpp"
@@ -6,32 +7,39 @@
 
 namespace violetpulley::history {
 
-// The first record at which a replay came to other actions than the process that wrote it.
+/// The first record at which the replayed actions differ from those of the process that wrote it.
 struct Difference {
   std::uint64_t record = 0;  // counted from the history's first
   std::uint64_t recorded = 0;
   std::uint64_t replayed = 0;
 };
 
+/// Owns the controller that the events are applied to.
 class Replay {
  public:
-  // Starts from a save. Throws DecodeError.
+  /// Starts from a snapshot. Throws DecodeError if the parts cannot be read.
   void restore(const SnapshotHeader& head, const Parts& parts);
-  // Throws DecodeError if an event comes before any takeover.
+  /// Applies an event, or compares the actions. Throws DecodeError if a record comes before the
+  /// first LeaderElected event.
   void apply(const Record& record);
 
+  /// Null before the first LeaderElected event or snapshot.
   const core::Controller* controller() const { return controller_.get(); }
   core::Controller* controller() { return controller_.get(); }
+  /// Time of the last record, by the steady clock of the process that wrote it.
   core::TimePoint now() const { return now_; }
-  // The time of day that belongs to `now`, by what the last takeover said.
+  /// The time of day at `now`, counted from the last LeaderElected event.
   core::WallTime wall_now() const;
+  /// Number of records from the history's first to the last applied one.
   std::uint64_t events() const { return events_; }
+  /// Of all batches of actions replayed so far.
   std::uint64_t actions_digest() const { return actions_.value(); }
-  // 0 without a controller.
+  /// 0 without a controller.
   std::uint64_t state_digest() const;
+  /// None as long as all actions were the recorded ones.
   const std::optional<Difference>& difference() const { return difference_; }
 
-  // For saves that are made offline.
+  /// The leader's first event without the recovered state, for snapshots that are made offline.
   const core::LeaderElected& origin() const { return origin_; }
   core::TimePoint elected_at() const { return elected_at_; }
 
@@ -45,7 +53,7 @@
   std::optional<Difference> difference_;
 };
 
-// The digest of a batch of actions, as `Acted` holds it.
+/// The digest of a batch of actions, as `ActionsRecorded` holds it.
 std::uint64_t digest_of(const std::vector<core::Action>& actions);
 
 }  // namespace violetpulley::history
--- a/src/history/state_capture.hpp
+++ b/src/history/state_capture.hpp
@@ -1,6 +1,7 @@
-// The core's state as it was at one moment, written in slices while events go on: whoever changes a
-// machine or a job tells first, and it is written then, as it still was. The bytes are those of
-// `parts_of` at that moment, in the same order.
+/// @file
+/// The core's state at one moment, written in slices while further events are applied: a machine or
+/// a job that is about to change is encoded first, in its old state. The bytes are those of
+/// `parts_of` at that moment, in the same order.
 #pragma once
 
 #include <memory>
@@ -10,26 +11,26 @@
 
 namespace violetpulley::history {
 
+/// Owns the encoded machines and jobs that changed before their turn.
 class StateCapture {
  public:
-  // The moment. `controller` must outlive the last call of `next`.
+  /// Captures the state now. `controller` must outlive the last call of `next`.
   explicit StateCapture(core::Controller& controller);
 
-  // The next bytes, about so many: whole machines and jobs are written at once. None after the
-  // last.
+  /// The next slice of about `bytes` bytes: machines and jobs are not split. None after the last.
   std::optional<SnapshotSlice> next(std::size_t bytes);
-  // Of everything returned so far, as `digest_of(Parts)`.
+  /// Digest of all slices returned so far, as `digest_of(Parts)`.
   std::uint64_t digest() const { return digest_.value(); }
 
  private:
-  // Machines or jobs that were there at the moment, by name, and the bytes of those that were
-  // written early; erased when they are in the save.
+  /// Machines or jobs that existed at the moment of capture, by name, and the bytes of those that
+  /// were encoded early; erased once returned in a slice.
   using Items = std::map<std::string, std::optional<std::string>>;
   struct Shared {
     Items machines;
     Items jobs;
   };
-  // A part whose items are written one by one between a front and an end.
+  /// A part whose items are written one by one between a front and an end.
   struct Plan {
     std::string name;
     std::string front;
--- a/tests/history/history_test.cpp
+++ b/tests/history/history_test.cpp
@@ -1,5 +1,7 @@
-// Histories: what a core was told is written down, and a replay comes to the same. Each hard case
-// is compared with a clean run over the same events, by digest of the state after every record.
+/// @file
+/// Histories: events that entered a core are recorded, and a replay reaches the same state. Each
+/// fault is compared with a clean run over the same events, by digest of the state after each
+/// record.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -22,8 +24,8 @@
 const Key kKey = parse_key(std::string(64, '7'));
 const Key kOtherKey = parse_key(std::string(64, '8'));
 
-// What leaders were told and did in a seeded world with all its troubles, and the digest of the
-// state before each record.
+/// Events and actions of the leaders of a seeded simulation with all its faults, and the digest of
+/// the state before each record.
 struct Story {
   std::vector<Record> records;
   std::vector<std::uint64_t> states;  // one more than records
@@ -53,13 +55,13 @@
   return story;
 }
 
-// A process that writes a story's records as a leader's shell does.
+/// A process that writes the records of a story as a leader does.
 class Writer {
  public:
   Writer(Files& files, LogSettings settings, std::optional<Key> key = {})
       : files_(files), settings_(settings), key_(key) {}
 
-  // Recovers and returns how many records are there.
+  /// Recovers and returns the number of records in the history.
   std::uint64_t open() {
     replay_ = std::make_unique<Replay>();
     const auto contents =
@@ -109,8 +111,8 @@
   return name;
 }
 
-// What is there now is the state of a clean run after as many records, and going on from there
-// comes to the clean run's end.
+/// The recovered state is that of a clean run after as many records, and continuing from that state
+/// reaches the clean run's end.
 void expect_clean(Files& files, const Story& story, std::uint64_t least,
                   std::optional<Key> key = {}) {
   Writer writer(files, often(), key);
@@ -121,13 +123,13 @@
   for (auto i = there; i < story.records.size(); ++i) writer.write(story.records[i]);
   EXPECT_EQ(writer.replay().state_digest(), story.states.back());
   EXPECT_FALSE(writer.replay().difference());
-  // And it is whole for whoever reads it next.
+  // The history is whole for the next reader.
   EXPECT_EQ(Reader(files, key).check().events(), story.records.size());
 }
 
 class Replays : public ::testing::TestWithParam<int> {};
 
-TEST_P(Replays, FromSavesAndFromTheStartComeToTheLiveState) {
+TEST_P(Replays, FromSnapshotsAndFromTheStartComeToTheLiveState) {
   const auto story = tell(static_cast<std::uint64_t>(GetParam()), Seconds(120));
   MemoryFiles files;
   Writer writer(files, often(), kKey);
@@ -138,7 +140,7 @@
   const auto contents = reader.check();
   EXPECT_EQ(contents.events(), story.records.size());
   EXPECT_EQ(contents.snapshots.size(), 2U);
-  // Both saves are the state of a clean run, and covered events are gone.
+  // Both snapshots are the state of a clean run, and covered events are gone.
   for (const auto& save : contents.snapshots)
     EXPECT_EQ(save.state_digest, story.states[save.head.events]);
   EXPECT_EQ(contents.segments.front().head.segment, contents.snapshots.front().head.segment);
@@ -156,7 +158,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Replays, ::testing::Range(31, 35));
 
-// A save in slices holds what the state was at its moment, whatever happened meanwhile.
+/// A snapshot written in slices holds the state at the moment of capture, whatever events follow.
 class Captures : public ::testing::TestWithParam<int> {};
 
 TEST_P(Captures, AreTheStateOfOneMoment) {
@@ -257,7 +259,7 @@
   }
 }
 
-// What a reader makes of a history: refused, or a prefix of the records.
+/// The outcome of reading a history: refused, or a prefix of the records.
 enum class Verdict { refused, prefix };
 
 Verdict judge(MemoryFiles& files, const Story& story, std::optional<Key> key) {
@@ -285,18 +287,18 @@
   std::size_t records = 0;
 };
 
-// A history whose last segment is short, as a process leaves it that ended now.
+/// A history whose last segment is short, as a process that ends now leaves the files.
 void write_story(Written& out, const Story& story, std::optional<Key> key) {
   Writer writer(out.files, often(), key);
   writer.open();
-  std::uint64_t saves = 0;
+  std::uint64_t snapshots = 0;
   std::size_t behind = 0;
   for (const auto& record : story.records) {
     writer.write(record);
     ++out.records;
-    if (writer.log().snapshots_made() > saves) behind = 0;
-    saves = writer.log().snapshots_made();
-    if (saves >= 2 && ++behind == 25) break;
+    if (writer.log().snapshots_made() > snapshots) behind = 0;
+    snapshots = writer.log().snapshots_made();
+    if (snapshots >= 2 && ++behind == 25) break;
   }
   out.last = last_segment(out.files);
 }
@@ -347,10 +349,10 @@
   };
   using Map = std::map<std::string, std::string>;
   std::vector<std::string> segments;
-  std::vector<std::string> saves;
+  std::vector<std::string> snapshots;
   for (const auto& [name, bytes] : files) {
     if (segment_number(name)) segments.push_back(name);
-    if (snapshot_number(name)) saves.push_back(name);
+    if (snapshot_number(name)) snapshots.push_back(name);
   }
   ASSERT_GE(segments.size(), 2U);
   refuses(
@@ -360,13 +362,13 @@
   refuses(
       "swapped", [&](Map& m) { std::swap(m[segments[0]], m[segments[1]]); }, kKey);
   refuses(
-      "swapped", [&](Map& m) { std::swap(m[saves[0]], m[saves[1]]); }, kKey);
+      "swapped", [&](Map& m) { std::swap(m[snapshots[0]], m[snapshots[1]]); }, kKey);
   refuses(
-      "checksum", [&](Map& m) { m[saves[1]][m[saves[1]].size() / 2] ^= 1; }, kKey);
+      "checksum", [&](Map& m) { m[snapshots[1]][m[snapshots[1]].size() / 2] ^= 1; }, kKey);
   refuses(
       "no save covers",
       [&](Map& m) {
-        for (const auto& s : saves) m.erase(s);
+        for (const auto& s : snapshots) m.erase(s);
       },
       kKey);
   refuses(
@@ -374,15 +376,15 @@
   refuses(
       "format version 9 is unknown", [&](Map& m) { m[segments[0]][7] = 9; }, kKey);
   refuses(
-      "format version 9 is unknown", [&](Map& m) { m[saves[1]][7] = 9; }, kKey);
-  // Someone without the key writes a history anew, checksums and all.
+      "format version 9 is unknown", [&](Map& m) { m[snapshots[1]][7] = 9; }, kKey);
+  // An attacker without the key writes a history anew, checksums included.
   Written unsigned_one;
   write_story(unsigned_one, story, std::nullopt);
   refuses(
       "not signed", [&](Map& m) { m = unsigned_one.files.snapshot(); }, kKey);
 }
 
-TEST(History, ASegmentLeftOutOrASaveThatIsNotTheirsIsRefused) {
+TEST(History, ASegmentLeftOutOrASnapshotOfAnotherHistoryIsRefused) {
   const auto& story = short_story();
   auto settings = often();
   settings.snapshot_interval = Seconds(1000);
@@ -399,7 +401,7 @@
   EXPECT_THROW(Reader(files, kKey).recover(replay, [](const CorruptionError&) {}), CorruptionError);
 }
 
-// A record changed together with its checksum: only the MAC tells.
+/// A record changed together with its checksum is found by the MAC alone.
 TEST(History, AChangedRecordWithARightChecksumIsTampering) {
   FrameWriter good(FileKind::events, kKey);
   FrameWriter other(FileKind::events, kOtherKey);
@@ -416,8 +418,8 @@
   EXPECT_FALSE(reader.next());
 }
 
-// Reports are written as changes: whatever a worker lists, in whatever order, is read as it was.
-TEST(History, ReportsAsChangesAreReadWhole) {
+/// Heartbeats are written as differences: any task list in any order is read as it was.
+TEST(History, HeartbeatsAsChangesAreReadWhole) {
   std::mt19937_64 random(77);
   const auto pick = [&](std::uint64_t below) { return random() % below; };
   HeartbeatChangesWriter writer;
@@ -469,14 +471,14 @@
   EXPECT_THROW(reader.whole({7, {}, unknown}), DecodeError);
 }
 
-TEST(History, ADamagedNewestSaveLeavesTheOneBefore) {
+TEST(History, ADamagedNewestSnapshotLeavesTheOneBefore) {
   const auto& story = short_story();
   Written written;
   write_story(written, story, kKey);
-  std::vector<std::string> saves;
+  std::vector<std::string> snapshots;
   for (const auto& name : written.files.list())
-    if (snapshot_number(name)) saves.push_back(name);
-  written.files.bytes(saves.back())[100] ^= 4;
+    if (snapshot_number(name)) snapshots.push_back(name);
+  written.files.bytes(snapshots.back())[100] ^= 4;
   int notes = 0;
   Replay replay;
   const auto contents =
@@ -518,7 +520,7 @@
   Writer writer(files, often());
   EXPECT_EQ(writer.open(), 0U);
   EXPECT_EQ(Writer(files, often()).open(), 0U);
-  // Times that step back neither stop saves for ever nor end the log.
+  // Times that step back neither stop snapshots for ever nor end the log.
   auto story = short_story();
   MemoryFiles back;
   Writer stepping(back, often());
@@ -538,7 +540,7 @@
   std::filesystem::remove_all(path);
 }
 
-// A hundred thousand tasks in one job go through a save and come back.
+/// A hundred thousand tasks in one job are written to a snapshot and read back.
 TEST(History, AJobOfAHundredThousandTasks) {
   core::LeaderElected takeover;
   takeover.settings.teams = {{"t", 0, 0, 0, 0}};
@@ -569,7 +571,7 @@
   EXPECT_EQ(again.replay().controller()->jobs().at("req-1").waiting.size(), 100'000U);
 }
 
-// A real process on a real disk, killed at seeded points of its event count.
+/// A real process on a real disk, killed at seeded points of its event count.
 TEST(History, ARealProcessKilledAtSeededPoints) {
   const auto& story = short_story();
   const auto path = ::testing::TempDir() + "violetpulley-killed-" + std::to_string(getpid());
@@ -600,7 +602,7 @@
   std::filesystem::remove_all(path);
 }
 
-// The command as operators use it: looking back, changing the key, finding damage.
+/// The command as operators use it: verify, replay, compact, change the key, find damage.
 TEST(HistoryCommand, VerifiesReplaysCompactsAndFindsDamage) {
   const auto path = ::testing::TempDir() + "violetpulley-command-" + std::to_string(getpid());
   std::filesystem::remove_all(path);
--- a/tests/history/memory_files.hpp
+++ b/tests/history/memory_files.hpp
@@ -1,5 +1,7 @@
-// A directory in memory that can fail at any call and lose power. What was not synced may be lost
-// page by page; names that were not synced may be as they were before, from some change on.
+/// @file
+/// A directory in memory that can fail at any call and lose power. Bytes that were not synced may
+/// be lost page by page; names that were not synced may be as they were before, from some change
+/// on.
 #pragma once
 
 #include <cerrno>
@@ -25,10 +27,10 @@
     call();
     return find(name).bytes;
   }
-  std::string read(const std::string& name, std::size_t from, std::size_t most) override {
+  std::string read(const std::string& name, std::size_t from, std::size_t max_bytes) override {
     call();
     const auto& bytes = find(name).bytes;
-    return from >= bytes.size() ? "" : bytes.substr(from, most);
+    return from >= bytes.size() ? "" : bytes.substr(from, max_bytes);
   }
   void append(const std::string& name, std::string_view bytes) override {
     if (fails_next()) {
