--- a/tests/history/history_test.cpp
+++ b/tests/history/history_test.cpp
@@ -2,6 +2,7 @@
 /// Histories: events that entered a core are recorded, and a replay reaches the same state. Each
 /// fault is compared with a clean run over the same events, by digest of the state after each
 /// record.
+#include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
