--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -39,7 +39,7 @@
   return value;
 }
 
-double number_at(const toml::table& table, const std::string& where, const char* key, double least,
+double number_at(const toml::table& table, const std::string& where, const char* key, double min,
                  std::optional<double> fallback = {}) {
   const std::string field = where + key;
   const auto* node = table.get(key);
@@ -49,9 +49,9 @@
   }
   if (!node->is_number()) fail(field, "must be a number");
   const double value = *node->value<double>();
-  if (!std::isfinite(value) || value < least || value > 1e12) {
+  if (!std::isfinite(value) || value < min || value > 1e12) {
     std::ostringstream problem;
-    problem << "must be a number of at least " << least;
+    problem << "must be a number of at least " << min;
     fail(field, problem.str());
   }
   return value;
@@ -71,95 +71,133 @@
   if (!node->is_array()) fail(where + key, "must be a list of tables");
   std::size_t index = 0;
   for (const auto& item : *node->as_array()) {
-    const std::string at = where + key + "[" + std::to_string(index++) + "].";
-    if (!item.is_table()) fail(at, "must be a table");
-    each(*item.as_table(), at);
+    const std::string path = where + key + "[" + std::to_string(index++) + "].";
+    if (!item.is_table()) fail(path, "must be a table");
+    each(*item.as_table(), path);
   }
 }
 
-Settings from_table(const toml::table& root) {
-  Settings out;
-  out.member = text_at(root, "", "member");
-  out.zone = text_at(root, "", "site");
-  out.public_address = address_at(root, "", "public_addr");
-  out.peer_address = address_at(root, "", "mesh_addr");
-  std::set<std::string> members{out.member};
-  each_table(root, "", "siblings", [&](const toml::table& item, const std::string& at) {
-    out.peers.push_back({text_at(item, at, "member"), text_at(item, at, "site"),
-                         address_at(item, at, "peer_addr")});
-    if (!members.insert(out.peers.back().member).second)
-      fail(at + "member", "'" + out.peers.back().member + "' is named twice");
+void read_addresses(const toml::table& root, Settings& settings) {
+  settings.member = text_at(root, "", "member");
+  settings.zone = text_at(root, "", "site");
+  settings.public_address = address_at(root, "", "public_addr");
+  settings.peer_address = address_at(root, "", "mesh_addr");
+}
+
+void read_peers(const toml::table& root, Settings& settings) {
+  std::set<std::string> members{settings.member};
+  each_table(root, "", "siblings", [&](const toml::table& item, const std::string& path) {
+    settings.peers.push_back({text_at(item, path, "member"), text_at(item, path, "site"),
+                              address_at(item, path, "peer_addr")});
+    const auto& member = settings.peers.back().member;
+    if (!members.insert(member).second) fail(path + "member", "'" + member + "' is named twice");
   });
+}
+
+void read_services(const toml::table& root, Settings& settings) {
   const auto& services = table_at(root, "", "services");
-  out.cloud_address = address_at(services, "services.", "cloud");
-  out.state_address = address_at(services, "services.", "state");
+  settings.cloud_address = address_at(services, "services.", "cloud");
+  settings.state_address = address_at(services, "services.", "state");
+}
 
-  const auto& settings = table_at(root, "", "settings");
-  const auto nodes = number_at(settings, "settings.", "nodes", 1);
-  if (static_cast<std::size_t>(nodes) != out.nodes())
-    fail("settings.nodes", "does not match the number of siblings");
-  const auto* zones = settings.get("zones");
+void read_zones(const toml::table& table, Settings& settings) {
+  const auto* zones = table.get("zones");
   if (zones == nullptr || !zones->is_array()) fail("settings.zones", "must be a list of zones");
   for (const auto& zone : *zones->as_array()) {
     if (!zone.is_string()) fail("settings.zones", "must hold strings");
-    out.zones.push_back(*zone.value<std::string>());
+    settings.zones.push_back(*zone.value<std::string>());
   }
-  if (out.zones.empty()) fail("settings.zones", "must not be empty");
-  out.clock_skew = std::chrono::milliseconds(
-      static_cast<long>(std::ceil(number_at(settings, "settings.", "skew_ms", 0))));
+  if (settings.zones.empty()) fail("settings.zones", "must not be empty");
+}
+
+void read_deployment(const toml::table& table, Settings& settings) {
+  const auto nodes = number_at(table, "settings.", "nodes", 1);
+  if (static_cast<std::size_t>(nodes) != settings.nodes())
+    fail("settings.nodes", "does not match the number of siblings");
+  read_zones(table, settings);
+  settings.clock_skew = std::chrono::milliseconds(
+      static_cast<long>(std::ceil(number_at(table, "settings.", "skew_ms", 0))));
+}
 
-  std::set<std::string> teams;
-  each_table(settings, "settings.", "teams", [&](const toml::table& item, const std::string& at) {
+void read_teams(const toml::table& table, Settings& settings) {
+  std::set<std::string> names;
+  each_table(table, "settings.", "teams", [&](const toml::table& item, const std::string& path) {
     core::Team team;
-    team.name = text_at(item, at, "name");
-    team.guaranteed_cpus = number_at(item, at, "cpus", 0, 0.0);
-    team.max_cpus = number_at(item, at, "cpus_max", 0, 0.0);
-    team.guaranteed_gpus = number_at(item, at, "gpus", 0, 0.0);
-    team.max_gpus = number_at(item, at, "gpus_max", 0, 0.0);
-    if (!teams.insert(team.name).second) fail(at + "name", "'" + team.name + "' is named twice");
-    out.teams.push_back(team);
+    team.name = text_at(item, path, "name");
+    team.guaranteed_cpus = number_at(item, path, "cpus", 0, 0.0);
+    team.max_cpus = number_at(item, path, "cpus_max", 0, 0.0);
+    team.guaranteed_gpus = number_at(item, path, "gpus", 0, 0.0);
+    team.max_gpus = number_at(item, path, "gpus_max", 0, 0.0);
+    if (!names.insert(team.name).second) fail(path + "name", "'" + team.name + "' is named twice");
+    settings.teams.push_back(team);
   });
-  if (out.teams.empty()) fail("settings.teams", "must not be empty");
-  each_table(settings, "settings.", "objectives",
-             [&](const toml::table& item, const std::string& at) {
+  if (settings.teams.empty()) fail("settings.teams", "must not be empty");
+}
+
+void read_objectives(const toml::table& table, Settings& settings) {
+  each_table(table, "settings.", "objectives",
+             [&](const toml::table& item, const std::string& path) {
                Objective objective;
-               objective.kind = text_at(item, at, "kind");
+               objective.kind = text_at(item, path, "kind");
                objective.job_class = item["class"].value_or(std::string());
-               objective.within = core::Seconds(number_at(item, at, "within_s", 0, 0.0));
-               objective.share = number_at(item, at, "share", 0, 0.0);
-               objective.times = number_at(item, at, "times", 0, 1.0);
-               out.objectives.push_back(objective);
+               objective.within = core::Seconds(number_at(item, path, "within_s", 0, 0.0));
+               objective.share = number_at(item, path, "share", 0, 0.0);
+               objective.times = number_at(item, path, "times", 0, 1.0);
+               settings.objectives.push_back(objective);
              });
+}
 
-  const auto& workers = table_at(settings, "settings.", "workers");
-  const std::string w = "settings.workers.";
-  out.workers.heartbeat_interval = core::Seconds(number_at(workers, w, "report_s", 0.1));
-  out.workers.lease = core::Seconds(number_at(workers, w, "lease_s", 1));
-  out.workers.cancel = core::Seconds(number_at(workers, w, "cancel_s", 1));
-  out.workers.gang_wait = core::Seconds(number_at(workers, w, "gang_wait_s", 0, 30.0));
-  out.workers.gang_peer = core::Seconds(number_at(workers, w, "gang_peer_s", 0, 4.0));
-  const auto least = core::Leadership::min_cancel_time(out.workers, out.clock_skew);
-  if (out.workers.cancel < least) {
-    std::ostringstream problem;
-    problem << "must be at least " << std::fixed << std::setprecision(1)
-            << std::ceil(least.count() * 10) / 10 << " with this lease_s and skew_ms, or a leader "
-            << "that loses the state service could break it";
-    fail(w + "cancel_s", problem.str());
-  }
+// A cancellation must leave a leader time to serve, see Leadership::min_cancel_time.
+void check_cancel_time(const Settings& settings, const std::string& field) {
+  const auto min_time = core::Leadership::min_cancel_time(settings.workers, settings.clock_skew);
+  if (settings.workers.cancel >= min_time) return;
+  std::ostringstream problem;
+  problem << "must be at least " << std::fixed << std::setprecision(1)
+          << std::ceil(min_time.count() * 10) / 10 << " with this lease_s and skew_ms, or a leader "
+          << "that loses the state service could break it";
+  fail(field, problem.str());
+}
 
-  const auto& state = table_at(settings, "settings.", "state");
-  out.state_requests_per_s = number_at(state, "settings.state.", "rps", 1);
-  out.state_writes_per_s = number_at(state, "settings.state.", "write_rps", 1);
-  out.state_value_kib = number_at(state, "settings.state.", "value_kb", 1);
-  out.state_changes_per_transaction =
+void read_workers(const toml::table& table, Settings& settings) {
+  const std::string path = "settings.workers.";
+  const auto& workers = table_at(table, "settings.", "workers");
+  auto& times = settings.workers;
+  times.heartbeat_interval = core::Seconds(number_at(workers, path, "report_s", 0.1));
+  times.lease = core::Seconds(number_at(workers, path, "lease_s", 1));
+  times.cancel = core::Seconds(number_at(workers, path, "cancel_s", 1));
+  times.gang_wait = core::Seconds(number_at(workers, path, "gang_wait_s", 0, 30.0));
+  times.gang_peer = core::Seconds(number_at(workers, path, "gang_peer_s", 0, 4.0));
+  check_cancel_time(settings, path + "cancel_s");
+}
+
+void read_service_limits(const toml::table& table, Settings& settings) {
+  const auto& state = table_at(table, "settings.", "state");
+  settings.state_requests_per_s = number_at(state, "settings.state.", "rps", 1);
+  settings.state_writes_per_s = number_at(state, "settings.state.", "write_rps", 1);
+  settings.state_value_kib = number_at(state, "settings.state.", "value_kb", 1);
+  settings.state_changes_per_transaction =
       static_cast<std::size_t>(number_at(state, "settings.state.", "txn_ops", 3));
-  const auto& cloud = table_at(settings, "settings.", "cloud");
-  out.cloud_requests_per_s = number_at(cloud, "settings.cloud.", "rps", 0.1);
-  out.cloud_list_lag = core::Seconds(number_at(cloud, "settings.cloud.", "list_lag_s", 0));
-  const auto& limits = table_at(settings, "settings.", "limits");
-  out.max_sockets =
+  const auto& cloud = table_at(table, "settings.", "cloud");
+  settings.cloud_requests_per_s = number_at(cloud, "settings.cloud.", "rps", 0.1);
+  settings.cloud_list_lag = core::Seconds(number_at(cloud, "settings.cloud.", "list_lag_s", 0));
+  const auto& limits = table_at(table, "settings.", "limits");
+  settings.max_sockets =
       static_cast<std::size_t>(number_at(limits, "settings.limits.", "max_sockets", 50));
-  return out;
+}
+
+// The first fault in the order of the file is the one that is reported.
+Settings from_table(const toml::table& root) {
+  Settings settings;
+  read_addresses(root, settings);
+  read_peers(root, settings);
+  read_services(root, settings);
+  const auto& table = table_at(root, "", "settings");
+  read_deployment(table, settings);
+  read_teams(table, settings);
+  read_objectives(table, settings);
+  read_workers(table, settings);
+  read_service_limits(table, settings);
+  return settings;
 }
 
 std::string read_file(const std::filesystem::path& path) {
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,4 +1,6 @@
-// The platform's settings file (TOML) and the operators' own settings (YAML), both checked.
+/// @file
+/// The platform's settings file (TOML) and the operators' own settings (YAML), both checked. The
+/// names in the files are those of the deployment guide; this header uses the project's terms.
 #pragma once
 
 #include <filesystem>
@@ -8,24 +10,28 @@
 
 namespace violetpulley::config {
 
-// Names the field that is missing or wrong.
+/// A settings file that cannot be used. The message names the field that is missing or wrong.
 class SettingsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+/// Another controller of the deployment.
 struct Peer {
   std::string member;
   std::string zone;
   std::string peer_address;
 };
 
+/// A service-level objective of the operators.
 struct Objective {
+  /// "finished", "deadline" and others; unknown kinds are ignored.
   std::string kind;
   std::string job_class;
   core::Seconds within{0};
   double share = 0;
-  double times = 1;  // of the deadline
+  /// Multiple of the job's deadline.
+  double times = 1;
 };
 
 struct Settings {
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -10,6 +10,15 @@
 using asio::ip::tcp;
 using std::chrono::steady_clock;
 
+namespace {
+// Extension of a deadline that passed while this process was behind with its work, and the longest
+// total extension.
+constexpr std::chrono::milliseconds kDeadlineExtension{200};
+constexpr std::chrono::seconds kMaxDeadlineExtension{3};
+constexpr std::size_t kMaxPortDigits = 5;
+constexpr int kMaxPort = 65535;
+}  // namespace
+
 std::string text_of(const asio::ip::tcp::endpoint& at) {
   return at.address().to_string() + ":" + std::to_string(at.port());
 }
@@ -20,46 +29,31 @@
   asio::error_code error;
   const auto address = asio::ip::make_address_v4(text.substr(0, colon), error);
   const std::string port = text.substr(colon + 1);
-  if (error || port.empty() || port.size() > 5 ||
-      port.find_first_not_of("0123456789") != std::string::npos || std::stoi(port) > 65535)
+  if (error || port.empty() || port.size() > kMaxPortDigits ||
+      port.find_first_not_of("0123456789") != std::string::npos || std::stoi(port) > kMaxPort)
     throw std::invalid_argument("'" + text + "' is not IP:PORT");
   return {address, static_cast<std::uint16_t>(std::stoi(port))};
 }
 
-namespace {
-constexpr std::chrono::milliseconds kHeldUp{200};
-constexpr std::chrono::seconds kMaxHeldUp{3};
-}  // namespace
-
+// One connection to the endpoint. Callbacks keep the connection alive until they have run.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   explicit ClientConnection(HttpClient& client)
       : client_(&client), socket_(client.io_), timer_(client.io_) {}
 
-  void run(HttpClient::Waiting&& work) {
+  // Sends a request and calls its handler with the response.
+  void run(HttpClient::PendingRequest&& work) {
     work_ = std::move(work);
     response_ = Response{};
     http_parser_init(&parser_, HTTP_RESPONSE);
     parser_.data = this;
     complete_ = false;
-    output_ = work_.request.method + " " + work_.request.target +
-              " HTTP/1.1\r\nHost: " + client_->host_ + "\r\n";
-    if (!work_.request.body.empty() || work_.request.method != "GET")
-      output_ += "Content-Type: application/json\r\nContent-Length: " +
-                 std::to_string(work_.request.body.size()) + "\r\n";
-    output_ += "\r\n" + work_.request.body;
-    auto self = shared_from_this();
+    encode_request();
     working_ = true;
     written_ = false;
     wait_until(work_.deadline);
     if (socket_.is_open()) return write();
-    socket_.async_connect(client_->peer_, [self](const asio::error_code& error) {
-      if (self->gone()) return;
-      if (error) return self->finish(std::nullopt, false);
-      asio::error_code ignored;
-      self->socket_.set_option(tcp::no_delay(true), ignored);
-      self->write();
-    });
+    connect();
   }
 
   void detach() {
@@ -69,8 +63,8 @@
     socket_.close(ignored);
   }
 
+  // An idle connection must have nothing to read: bytes or an end mean that it is stale.
   bool usable() {
-    // An idle connection must have nothing to read: bytes or an end mean that it is stale.
     if (!socket_.is_open()) return false;
     char byte = 0;
     asio::error_code error;
@@ -80,11 +74,32 @@
   }
 
  private:
-  bool gone() const { return client_ == nullptr || !working_; }
+  void encode_request() {
+    const auto& request = work_.request;
+    output_ =
+        request.method + " " + request.target + " HTTP/1.1\r\nHost: " + client_->host_ + "\r\n";
+    if (!request.body.empty() || request.method != "GET")
+      output_ += "Content-Type: application/json\r\nContent-Length: " +
+                 std::to_string(request.body.size()) + "\r\n";
+    output_ += "\r\n" + request.body;
+  }
 
-  // A process that is behind with its work finds the deadline passed and the answer unread beside
-  // it: that is no reason to take the peer for dead.
-  bool held_up_here() {
+  void connect() {
+    auto self = shared_from_this();
+    socket_.async_connect(client_->peer_, [self](const asio::error_code& error) {
+      if (self->detached()) return;
+      if (error) return self->finish(std::nullopt, false);
+      asio::error_code ignored;
+      self->socket_.set_option(tcp::no_delay(true), ignored);
+      self->write();
+    });
+  }
+
+  bool detached() const { return client_ == nullptr || !working_; }
+
+  // A process that is behind with its work finds the deadline passed although the response has
+  // arrived unread: that is no reason to take the peer for dead.
+  bool delayed_locally() {
     asio::error_code error;
     if (!written_) {
       socket_.remote_endpoint(error);
@@ -97,11 +112,11 @@
     auto self = shared_from_this();
     timer_.expires_at(deadline);
     timer_.async_wait([self](const asio::error_code& error) {
-      if (error || self->gone()) return;
-      if (!self->held_up_here()) return self->finish(std::nullopt, false);
-      if (steady_clock::now() - self->work_.deadline > kMaxHeldUp)
+      if (error || self->detached()) return;
+      if (!self->delayed_locally()) return self->finish(std::nullopt, false);
+      if (steady_clock::now() - self->work_.deadline > kMaxDeadlineExtension)
         return self->finish(std::nullopt, false);
-      self->wait_until(steady_clock::now() + kHeldUp);
+      self->wait_until(steady_clock::now() + kDeadlineExtension);
     });
   }
 
@@ -109,7 +124,7 @@
     auto self = shared_from_this();
     asio::async_write(socket_, asio::buffer(output_),
                       [self](const asio::error_code& error, std::size_t) {
-                        if (self->gone()) return;
+                        if (self->detached()) return;
                         if (error) return self->finish(std::nullopt, false);
                         self->written_ = true;
                         self->read();
@@ -120,7 +135,7 @@
     auto self = shared_from_this();
     socket_.async_read_some(asio::buffer(input_),
                             [self](const asio::error_code& error, std::size_t size) {
-                              if (self->gone()) return;
+                              if (self->detached()) return;
                               if (error) return self->finish(std::nullopt, false);
                               self->parse(size);
                             });
@@ -150,9 +165,10 @@
     auto handler = std::exchange(work_.handler, nullptr);
     auto* client = client_;
     if (!keep) client_ = nullptr;
-    auto alive = client->alive_;
+    // The handler may destroy the client.
+    auto dispatch_next = client->lifetime_.guard([client] { client->dispatch(); });
     handler(std::move(response));
-    if (*alive) client->dispatch();
+    dispatch_next();
   }
 
   static const http_parser_settings& settings() {
@@ -180,7 +196,7 @@
   http_parser parser_{};
   std::array<char, 8192> input_{};
   std::string output_;
-  HttpClient::Waiting work_;
+  HttpClient::PendingRequest work_;
   Response response_;
   bool working_ = false;
   bool written_ = false;  // the request is on its way
@@ -196,7 +212,7 @@
       max_response_(max_response) {}
 
 HttpClient::~HttpClient() {
-  *alive_ = false;
+  lifetime_.end();
   for (const auto& connection : busy_) connection->detach();
   for (const auto& connection : idle_) connection->detach();
 }
@@ -204,25 +220,25 @@
 void HttpClient::request(Request request, std::chrono::milliseconds timeout,
                          ResponseHandler handler) {
   queue_.push_back({std::move(request), steady_clock::now() + timeout, std::move(handler)});
-  asio::post(io_, [this, alive = alive_] {
-    if (*alive) dispatch();
-  });
+  asio::post(io_, lifetime_.guard([this] { dispatch(); }));
+}
+
+// The connection that became idle last, if it is still usable; otherwise a new one.
+std::shared_ptr<ClientConnection> HttpClient::take_connection() {
+  while (!idle_.empty()) {
+    auto connection = std::move(idle_.back());
+    idle_.pop_back();
+    if (connection->usable()) return connection;
+    connection->detach();
+  }
+  return std::make_shared<ClientConnection>(*this);
 }
 
 void HttpClient::dispatch() {
   while (!queue_.empty() && busy_.size() < max_connections_) {
     auto work = std::move(queue_.front());
     queue_.pop_front();
-    std::shared_ptr<ClientConnection> connection;
-    while (!idle_.empty() && !connection) {
-      connection = std::move(idle_.back());
-      idle_.pop_back();
-      if (!connection->usable()) {
-        connection->detach();
-        connection.reset();
-      }
-    }
-    if (!connection) connection = std::make_shared<ClientConnection>(*this);
+    auto connection = take_connection();
     busy_.insert(connection);
     connection->run(std::move(work));
   }
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,4 +1,5 @@
-// HTTP/1.1 client for one endpoint: keeps connections open, one request at a time on each.
+/// @file
+/// HTTP/1.1 client for one endpoint: keeps connections open, one request at a time on each.
 #pragma once
 
 #include <asio.hpp>
@@ -6,52 +7,58 @@
 #include <memory>
 #include <unordered_set>
 
+#include "async/lifetime.hpp"
 #include "net/http_types.hpp"
 
 namespace violetpulley::net {
 
-// No response: the request may or may not have been executed.
+/// Receives the response; without a response the request may or may not have been executed.
 using ResponseHandler = std::function<void(std::optional<Response>)>;
 
 class ClientConnection;
 
+/// Owns the queue of requests and the connections to the endpoint.
 class HttpClient {
  public:
+  /// `max_response`: largest response body in bytes; a larger one counts as no response.
   HttpClient(asio::io_context& io, asio::ip::tcp::endpoint peer, std::size_t max_connections,
-             std::size_t max_response = 16 * 1024 * 1024);
+             std::size_t max_response = kMaxResponse);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // The handler is called exactly once, never from within this call, and not after the client's
-  // end.
+  /// Queues a request. `timeout` counts from this call. The handler is called exactly once, never
+  /// from within this call, and not after the client has ended.
   void request(Request request, std::chrono::milliseconds timeout, ResponseHandler handler);
 
-  // Nothing is under way: ending the client loses no answer.
+  /// No request is queued or in flight, so destroying the client loses no response.
   bool idle() const { return queue_.empty() && busy_.empty(); }
 
  private:
   friend class ClientConnection;
-  struct Waiting {
+  static constexpr std::size_t kMaxResponse = std::size_t{16} * 1024 * 1024;
+  struct PendingRequest {
     Request request;
     std::chrono::steady_clock::time_point deadline;
     ResponseHandler handler;
   };
   void dispatch();
+  std::shared_ptr<ClientConnection> take_connection();
 
   asio::io_context& io_;
   asio::ip::tcp::endpoint peer_;
   std::string host_;
   std::size_t max_connections_;
   std::size_t max_response_;
-  std::deque<Waiting> queue_;
+  std::deque<PendingRequest> queue_;
   std::unordered_set<std::shared_ptr<ClientConnection>> busy_;
   std::vector<std::shared_ptr<ClientConnection>> idle_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  async::Lifetime lifetime_;
 };
 
+/// Parses "127.0.0.1:7400" (IPv4). Throws std::invalid_argument that quotes the text.
 asio::ip::tcp::endpoint parse_endpoint(const std::string& text);
-// "127.0.0.1:7400"
+/// The form that parse_endpoint reads.
 std::string text_of(const asio::ip::tcp::endpoint& at);
 
 }  // namespace violetpulley::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -10,7 +10,14 @@
 using asio::ip::tcp;
 
 namespace {
+// Connections accepted in one go, before other handlers run.
 constexpr int kMaxAccepted = 64;
+constexpr std::size_t kMaxTarget = 4096;
+// Header lines are not kept, but an endless header is refused.
+constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
+constexpr std::chrono::milliseconds kAcceptRetry{50};
+constexpr std::chrono::seconds kSweepInterval{2};
+constexpr std::chrono::seconds kRefusalLogInterval{1};
 
 const char* reason(int status) {
   switch (status) {
@@ -43,6 +50,7 @@
 
 }  // namespace
 
+// One connection of a client. Callbacks keep the connection alive until they have run.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
   ServerConnection(tcp::socket socket, HttpServer& server)
@@ -79,9 +87,9 @@
 
   bool overdue(std::chrono::steady_clock::time_point now, const ServerLimits& limits) const {
     if (awaiting_answer_) return false;
-    const auto quiet = now - touched_;
-    if (receiving_ || writing_) return quiet > limits.receive;
-    return quiet > (peer_ == Peer::worker ? limits.idle_worker : limits.idle);
+    const auto silence = now - touched_;
+    if (receiving_ || writing_) return silence > limits.receive;
+    return silence > (peer_ == Peer::worker ? limits.idle_worker : limits.idle);
   }
 
  private:
@@ -136,8 +144,8 @@
     server_->handler_(std::move(request), Responder(weak_from_this(), request_));
   }
 
-  // Nobody is shut out by those who came first, and what is closed is chosen: a connection that is
-  // answered, of the kind that has too many.
+  // Clients that came first shut out no later ones: a connection of the kind that has too many is
+  // closed once its request is answered.
   bool beyond_share() const {
     const auto kind = static_cast<std::size_t>(peer_);
     return server_ != nullptr && server_->open_[kind] > server_->limits_.kept[kind];
@@ -176,13 +184,12 @@
       s.on_url = [](http_parser* p, const char* at, std::size_t n) {
         auto& self = *static_cast<ServerConnection*>(p->data);
         self.current_.target.append(at, n);
-        return self.current_.target.size() > 4096 ? 1 : 0;
+        return self.current_.target.size() > kMaxTarget ? 1 : 0;
       };
-      // Guards memory: header lines are not kept, but an endless header is refused.
       auto count_header = [](http_parser* p, const char*, std::size_t n) {
         auto& self = *static_cast<ServerConnection*>(p->data);
         self.header_bytes_ += n;
-        return self.header_bytes_ > 16 * 1024 ? 1 : 0;
+        return self.header_bytes_ > kMaxHeaderBytes ? 1 : 0;
       };
       s.on_header_field = count_header;
       s.on_header_value = count_header;
@@ -248,7 +255,7 @@
 HttpServer::~HttpServer() { stop(); }
 
 void HttpServer::stop() {
-  *alive_ = false;
+  lifetime_.end();
   asio::error_code ignored;
   acceptor_.close(ignored);
   sweep_timer_.cancel();
@@ -258,28 +265,32 @@
 }
 
 void HttpServer::accept() {
-  acceptor_.async_accept([this, alive = alive_](const asio::error_code& error, tcp::socket socket) {
-    if (!*alive) return;
-    if (error) {
-      // Out of sockets: wait a little rather than spin.
-      accept_retry_.expires_after(std::chrono::milliseconds(50));
-      accept_retry_.async_wait([this, alive](const asio::error_code& e) {
-        if (*alive && !e) accept();
-      });
-      return;
-    }
+  acceptor_.async_accept(lifetime_.guard([this](const asio::error_code& error, tcp::socket socket) {
+    if (error) return retry_accept();
     admit(std::move(socket));
-    // All that wait, up to a bound: one at a time, each behind everything else that is ready,
-    // thousands of workers that look for their leader would wait longer than their patience.
-    for (int more = 0; more < kMaxAccepted; ++more) {
-      asio::error_code none;
-      tcp::socket next(acceptor_.get_executor());
-      acceptor_.accept(next, none);
-      if (none) break;
-      admit(std::move(next));
-    }
+    accept_pending();
     accept();
-  });
+  }));
+}
+
+// Out of sockets: a short pause rather than a busy loop.
+void HttpServer::retry_accept() {
+  accept_retry_.expires_after(kAcceptRetry);
+  accept_retry_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
+    if (!error) accept();
+  }));
+}
+
+// All connections that wait, up to a bound: if each were accepted behind every other handler that
+// is ready, thousands of agents that look for their leader would wait longer than their timeout.
+void HttpServer::accept_pending() {
+  for (int accepted = 0; accepted < kMaxAccepted; ++accepted) {
+    asio::error_code none;
+    tcp::socket next(acceptor_.get_executor());
+    acceptor_.accept(next, none);
+    if (none) break;
+    admit(std::move(next));
+  }
 }
 
 void HttpServer::admit(tcp::socket socket) {
@@ -292,33 +303,34 @@
   connection->start();
 }
 
-void HttpServer::set_limits(std::size_t most, std::size_t kept_workers, std::size_t kept_users) {
-  limits_.max_connections = most;
+void HttpServer::set_limits(std::size_t max_connections, std::size_t kept_workers,
+                            std::size_t kept_users) {
+  limits_.max_connections = max_connections;
   limits_.kept[static_cast<std::size_t>(Peer::worker)] = kept_workers;
   limits_.kept[static_cast<std::size_t>(Peer::user)] = kept_users;
 }
 
-// One line a second at most: refusals come by the thousand, when they come.
+// At most one log line a second: refusals come by the thousand.
 void HttpServer::refuse() {
   ++refused_;
   const auto now = std::chrono::steady_clock::now();
-  if (now - refusals_told_ < std::chrono::seconds(1)) return;
-  refusals_told_ = now;
+  if (now - refusals_logged_ < kRefusalLogInterval) return;
+  refusals_logged_ = now;
   spdlog::warn("{} connections refused: {} are open, of workers {}, of users {}",
                std::exchange(refused_, 0), open(), open(Peer::worker), open(Peer::user));
 }
 
 void HttpServer::sweep() {
-  sweep_timer_.expires_after(std::chrono::seconds(2));
-  sweep_timer_.async_wait([this, alive = alive_](const asio::error_code& error) {
-    if (!*alive || error) return;
+  sweep_timer_.expires_after(kSweepInterval);
+  sweep_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
+    if (error) return;
     const auto now = std::chrono::steady_clock::now();
     std::vector<std::shared_ptr<ServerConnection>> overdue;
     for (const auto& connection : connections_)
       if (connection->overdue(now, limits_)) overdue.push_back(connection);
     for (const auto& connection : overdue) connection->close();
     sweep();
-  });
+  }));
 }
 
 }  // namespace violetpulley::net
--- a/src/net/http_types.hpp
+++ b/src/net/http_types.hpp
@@ -1,3 +1,5 @@
+/// @file
+/// HTTP messages as the client and the server hand them on: no headers but Retry-After.
 #pragma once
 
 #include <chrono>
@@ -8,7 +10,9 @@
 namespace violetpulley::net {
 
 struct Request {
+  /// "GET", "POST", "DELETE".
   std::string method;
+  /// Path and query, as in the request line.
   std::string target;
   std::string body;
 };
@@ -16,9 +20,11 @@
 struct Response {
   int status = 200;
   std::string body;
+  /// Sent by the server as Retry-After; the client does not read the header.
   std::optional<std::chrono::seconds> retry_after;
 };
 
-inline constexpr std::size_t kMaxBody = 64 * 1024;
+/// Largest request body that is accepted, in bytes (PROTOCOL).
+inline constexpr std::size_t kMaxBody = std::size_t{64} * 1024;
 
 }  // namespace violetpulley::net
--- a/tests/peers/peer_network_test.cpp
+++ b/tests/peers/peer_network_test.cpp
@@ -1,4 +1,5 @@
-// When a sibling counts as gone. Real sockets on loopback.
+/// @file
+/// When the process of a peer counts as ended. Real sockets on loopback.
 #include "peers/peer_network.hpp"
 
 #include <gtest/gtest.h>
@@ -11,15 +12,15 @@
   return probe.local_endpoint();
 }
 
-struct Three {
+struct ThreeNodes {
   asio::io_context io;
   std::array<asio::ip::tcp::endpoint, 3> at{free_port(io), free_port(io), free_port(io)};
   std::array<std::unique_ptr<PeerNetwork>, 3> nodes;
-  std::set<std::string> heard;
-  std::set<std::string> ended;  // connections, as node 0 sees it
-  std::set<std::string> gone;
+  std::set<std::string> status_from;
+  std::set<std::string> disconnected;  // as node 0 sees the connections
+  std::set<std::string> process_ended;
 
-  Three() {
+  ThreeNodes() {
     for (std::size_t i = 0; i < 3; ++i) {
       std::vector<config::Peer> peers;
       for (std::size_t j = 0; j < 3; ++j)
@@ -28,12 +29,12 @@
       PeerNetwork::Events events{[](const Status&) {}, [](const std::string&) {},
                                  [](const std::string&) {}};
       if (i == 0)
-        events = {[this](const Status& status) { heard.insert(status.member); },
-                  [this](const std::string& member) { ended.insert(member); },
-                  [this](const std::string& member) { gone.insert(member); }};
+        events = {[this](const Status& status) { status_from.insert(status.member); },
+                  [this](const std::string& member) { disconnected.insert(member); },
+                  [this](const std::string& member) { process_ended.insert(member); }};
       nodes[i] = std::make_unique<PeerNetwork>(io, at[i], peers, events);
     }
-    while (heard.size() < 2) {
+    while (status_from.size() < 2) {
       for (std::size_t i = 1; i < 3; ++i) {
         Status status;
         status.member = std::to_string(i);
@@ -42,26 +43,26 @@
       io.run_one();
       io.poll();
     }
-    io.run_for(std::chrono::milliseconds(1000));  // links that came too early connect again
+    io.run_for(std::chrono::milliseconds(1000));  // links whose first attempt failed reconnect
   }
 };
 
-TEST(PeerNetwork, ASiblingThatEndsAloneIsGone) {
-  Three peers;
+TEST(PeerNetwork, APeerThatEndsAloneIsReportedAsEnded) {
+  ThreeNodes peers;
   peers.nodes[1].reset();
-  for (int i = 0; i < 100 && peers.gone.empty(); ++i)
+  for (int i = 0; i < 100 && peers.process_ended.empty(); ++i)
     peers.io.run_for(std::chrono::milliseconds(50));
-  EXPECT_EQ(peers.gone, (std::set<std::string>{"1"}));
+  EXPECT_EQ(peers.process_ended, (std::set<std::string>{"1"}));
 }
 
 // Found in an incident: a filter between the controllers reset and refused all their connections,
-// both followers took the leader for dead and ended its hold, and the whole fleet was taken over.
-TEST(PeerNetwork, SiblingsThatAllRefuseAreNotTakenForGone) {
-  Three peers;
+// both followers took the leader for dead and revoked its lease, and the whole fleet failed over.
+TEST(PeerNetwork, PeersThatAllRefuseAreNotReportedAsEnded) {
+  ThreeNodes peers;
   peers.nodes[1].reset();
   peers.nodes[2].reset();
   peers.io.run_for(std::chrono::milliseconds(1200));
-  EXPECT_TRUE(peers.gone.empty());
+  EXPECT_TRUE(peers.process_ended.empty());
 }
 
 }  // namespace
