--- a/bench/history_bench.cpp
+++ b/bench/history_bench.cpp
@@ -5,11 +5,11 @@
 // A yard of workers that do at once what they are told stands in for a deployment; it has no
 // troubles, since what counts here is size.
 #include <sys/resource.h>
-#include <time.h>
 #include <unistd.h>
 
 #include <algorithm>
 #include <cstdio>
+#include <ctime>
 #include <filesystem>
 #include <fstream>
 
@@ -54,7 +54,7 @@
     for (int i = 0; i < machines; ++i) {
       char name[16];
       std::snprintf(name, sizeof name, "m-%06d", i);
-      origin_.inheritance.machines.push_back(
+      origin_.recovered.machines.push_back(
           {name, "10.0.0.1:1", "big", i % 2 ? "a" : "b", true, {}});
       auto& worker = workers_[name];
       worker.heartbeat = {name, "10.0.0.1:1", "big", i % 2 ? "a" : "b", true, 1, 0, 7, {}, {}};
@@ -140,7 +140,7 @@
         task.cause = core::ExitCause::done;
       }
     }
-    ++worker.heartbeat.sequence;
+    ++worker.heartbeat.heartbeat_sequence;
     feed(core::HeartbeatReceived{worker.heartbeat});
   }
   void execute(const core::SendCommands& batch) {
@@ -159,7 +159,7 @@
         worker.ends.erase(command.task);
       }
     }
-    ++worker.heartbeat.sequence;
+    ++worker.heartbeat.heartbeat_sequence;
     feed(core::CommandsAnswered{batch.machine, worker.heartbeat});
   }
   void execute(const core::SaveMachine& save) {
@@ -319,9 +319,9 @@
     Yard* yard_at = nullptr;
     Yard yard(
         machines, tasks, on, [&](const Record& record, core::Controller& controller, bool between) {
-          static const core::LeaderElected none;
+          static const core::LeaderElected kNone;
           if (recorder)
-            (*recorder)(record, controller, between, yard_at != nullptr ? yard_at->origin() : none,
+            (*recorder)(record, controller, between, yard_at != nullptr ? yard_at->origin() : kNone,
                         yard_at != nullptr ? yard_at->elected_at() : TimePoint{});
         });
     yard_at = &yard;
--- a/bench/solver_bench.cpp
+++ b/bench/solver_bench.cpp
@@ -49,7 +49,7 @@
   return out;
 }
 
-void heartbeat(benchmark::State& state, const Problem& problem, const Found& found) {
+void report_counters(benchmark::State& state, const Problem& problem, const Found& found) {
   const auto bound = bound_of(problem);
   Amount placed = 0;
   Amount most = 0;
@@ -65,18 +65,18 @@
   return fragmented(state.range(0), state.range(1), static_cast<std::uint32_t>(state.range(2)));
 }
 
-void BM_Fill(benchmark::State& state) {
+void benchmark_fill(benchmark::State& state) {
   const auto problem = sized(state);
   Found found;
   for (auto _ : state) found = fill(problem);
-  heartbeat(state, problem, found);
+  report_counters(state, problem, found);
 }
 
-void BM_Fast(benchmark::State& state) {
+void benchmark_fast_search(benchmark::State& state) {
   const auto problem = sized(state);
   Found found;
   for (auto _ : state) found = search_fast(problem, {1, 2, 1});
-  heartbeat(state, problem, found);
+  report_counters(state, problem, found);
 }
 
 void sizes(benchmark::internal::Benchmark* bench) {
@@ -84,8 +84,8 @@
   bench->Args({10, 10, 20})->Args({100, 40, 100})->Args({500, 100, 200})->Args({1700, 400, 20});
   bench->Args({1700, 400, 250})->Args({2000, 400, 250});
 }
-BENCHMARK(BM_Fill)->Apply(sizes);
-BENCHMARK(BM_Fast)->Apply(sizes)->Iterations(1);
+BENCHMARK(benchmark_fill)->Apply(sizes);
+BENCHMARK(benchmark_fast_search)->Apply(sizes)->Iterations(1);
 
 }  // namespace
 }  // namespace violetpulley::solver
--- a/src/config/history_settings.hpp
+++ b/src/config/history_settings.hpp
@@ -1,4 +1,5 @@
-// The operators' settings of the history (deploy/history.yaml, docs/history.md).
+/// @file
+/// The operators' settings of the history (deploy/history.yaml, docs/history.md).
 #pragma once
 
 #include <filesystem>
@@ -9,6 +10,7 @@
 
 namespace violetpulley::config {
 
+/// Where the history is kept.
 enum class HistoryHome { off, directory, state_service };
 
 struct HistorySettings {
@@ -16,13 +18,14 @@
   std::string directory;
   std::optional<history::Key> key;
   history::LogSettings log;
-  core::Seconds max_age{3600};  // older beliefs are not gone by
+  /// Learned state older than this is not used.
+  core::Seconds max_age{3600};
 };
 
-// Throws SettingsError with the field at fault. `key_file` is read and checked here.
+/// Throws SettingsError with the field at fault. `key_file` is read and checked here.
 HistorySettings load_history_settings(const std::filesystem::path& path);
 HistorySettings parse_history_settings(const std::string& yaml);
-// Reads a key; throws SettingsError that names `field`.
+/// Reads a key; throws SettingsError that names `field`.
 history::Key load_key(const std::filesystem::path& path, const std::string& field);
 
 }  // namespace violetpulley::config
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -34,7 +34,9 @@
   double times = 1;
 };
 
+/// The platform's settings.
 struct Settings {
+  /// Name of this controller.
   std::string member;
   std::string zone;
   std::string public_address;
@@ -58,15 +60,17 @@
   std::size_t nodes() const { return peers.size() + 1; }
 };
 
-// The operators' own file.
+/// The operators' own file.
 struct Operators {
   core::Tuning tuning;
-  std::string why_address;  // where they ask why a job waits; empty: nowhere
+  /// Address of the diagnostics endpoint; empty: none.
+  std::string why_address;
 };
 
+/// The functions below throw SettingsError at the first fault. `source` names the file in messages.
 Settings load_settings(const std::filesystem::path& path);
 Settings parse_settings(const std::string& text, const std::string& source);
 Operators load_operators(const std::filesystem::path& path);
-Operators parse_operators(const std::string& text);
+Operators parse_operators(const std::string& yaml);
 
 }  // namespace violetpulley::config
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -1,5 +1,7 @@
-// The operators' own settings, in YAML. Unknown names are refused: a misspelt one would otherwise
-// change nothing and tell nobody.
+/// @file
+/// The operators' own settings, in YAML. Unknown names are refused: a misspelt name would otherwise
+/// change nothing without notice. The YAML names are older than the project's terms and stay, since
+/// operators have files that use them; this file maps them.
 #include "config/yaml_fields.hpp"
 #include "net/http_client.hpp"
 
@@ -8,63 +10,72 @@
 namespace {
 
 std::string text_of_address(const YAML::Node& node, const std::string& name) {
-  const auto out = text(node, name);
+  auto address = text(node, name);
   try {
-    net::parse_endpoint(out);
+    net::parse_endpoint(address);
   } catch (const std::exception&) {
     throw SettingsError(name + ": must be an address and a port, as 127.0.0.1:7400" +
                         line_of(node));
   }
-  return out;
+  return address;
+}
+
+FieldSetter number_field(double& field, Range range) {
+  return [&field, range](const YAML::Node& node, const std::string& name) {
+    field = number(node, name, range);
+  };
+}
+
+// A whole number, cut off after the point.
+template <class Integer>
+FieldSetter count_field(Integer& field, Range range) {
+  return [&field, range](const YAML::Node& node, const std::string& name) {
+    field = static_cast<Integer>(number(node, name, range));
+  };
+}
+
+FieldSetter flag_field(bool& field) {
+  return [&field](const YAML::Node& node, const std::string& name) { field = flag(node, name); };
+}
+
+FieldSetter address_field(std::string& field) {
+  return [&field](const YAML::Node& node, const std::string& name) {
+    field = text_of_address(node, name);
+  };
+}
+
+FieldSetters setters_of(Operators& operators) {
+  auto& tuning = operators.tuning;
+  return {
+      {"bin_unit_s", seconds_field(tuning.bin_unit, {0.01, 3600})},
+      {"round_s", seconds_field(tuning.round, {0.1, 60})},
+      {"quick_round_s", seconds_field(tuning.quick_round, {0.02, 60})},
+      {"clearing_wait_s", seconds_field(tuning.consolidation_wait, {1, 3600})},
+      {"clearing_use", number_field(tuning.consolidation_threshold, {0, 1})},
+      {"idle_wait_s", seconds_field(tuning.idle_wait, {0, 3600})},
+      {"boot_late_factor", number_field(tuning.boot_late_factor, {1, 100})},
+      {"refused_rest_s", seconds_field(tuning.refused_cooldown, {0.5, 3600})},
+      {"silent_after_s", seconds_field(tuning.silent_after, {2, 3600})},
+      {"lost_after_takeover_s", seconds_field(tuning.lost_after_failover, {3, 3600})},
+      {"lost_after_s", seconds_field(tuning.lost_after, {3, 3600})},
+      {"dear_patience_s", seconds_field(tuning.on_demand_patience, {0, 3600})},
+      {"dear_idle_wait_s", seconds_field(tuning.on_demand_idle_wait, {0, 3600})},
+      {"quarantine_errors", count_field(tuning.quarantine_errors, {1, 1000})},
+      {"most_given_up", number_field(tuning.max_declared_dead_share, {0, 1})},
+      {"begin_within_s", seconds_field(tuning.begin_within, {10, 86'400})},
+      {"still_alive", number_field(tuning.still_alive, {0, 1})},
+      {"most_orders", count_field(tuning.max_commands_in_flight, {8, 100'000})},
+      {"commit_starts", flag_field(tuning.commit_starts)},
+      {"bound_tasks_may_move", flag_field(tuning.bound_tasks_may_move)},
+      {"why_address", address_field(operators.why_address)},
+  };
 }
 
 }  // namespace
 
 Operators parse_operators(const std::string& yaml) {
   Operators operators;
-  auto& out = operators.tuning;
-  const auto plain = [](double& field, Range range) -> FieldSetter {
-    return [&field, range](const YAML::Node& node, const std::string& name) {
-      field = number(node, name, range);
-    };
-  };
-  const FieldSetters setters{
-      {"bin_unit_s", seconds_field(out.bin_unit, {0.01, 3600})},
-      {"round_s", seconds_field(out.round, {0.1, 60})},
-      {"quick_round_s", seconds_field(out.quick_round, {0.02, 60})},
-      {"clearing_wait_s", seconds_field(out.consolidation_wait, {1, 3600})},
-      {"clearing_use", plain(out.consolidation_threshold, {0, 1})},
-      {"idle_wait_s", seconds_field(out.idle_wait, {0, 3600})},
-      {"boot_late_factor", plain(out.boot_late_factor, {1, 100})},
-      {"refused_rest_s", seconds_field(out.refused_cooldown, {0.5, 3600})},
-      {"silent_after_s", seconds_field(out.silent_after, {2, 3600})},
-      {"lost_after_takeover_s", seconds_field(out.lost_after_failover, {3, 3600})},
-      {"lost_after_s", seconds_field(out.lost_after, {3, 3600})},
-      {"dear_patience_s", seconds_field(out.on_demand_patience, {0, 3600})},
-      {"dear_idle_wait_s", seconds_field(out.on_demand_idle_wait, {0, 3600})},
-      {"quarantine_errors",
-       [&out](const YAML::Node& node, const std::string& name) {
-         out.quarantine_errors = static_cast<int>(number(node, name, {1, 1000}));
-       }},
-      {"most_given_up", plain(out.max_declared_dead_share, {0, 1})},
-      {"begin_within_s", seconds_field(out.begin_within, {10, 86'400})},
-      {"still_alive", plain(out.still_alive, {0, 1})},
-      {"most_orders",
-       [&out](const YAML::Node& node, const std::string& name) {
-         out.max_commands_in_flight = static_cast<std::size_t>(number(node, name, {8, 100'000}));
-       }},
-      {"commit_starts", [&out](const YAML::Node& node,
-                               const std::string& name) { out.commit_starts = flag(node, name); }},
-      {"bound_tasks_may_move",
-       [&out](const YAML::Node& node, const std::string& name) {
-         out.bound_tasks_may_move = flag(node, name);
-       }},
-      {"why_address",
-       [&operators](const YAML::Node& node, const std::string& name) {
-         operators.why_address = text_of_address(node, name);
-       }},
-  };
-  read_fields(yaml, "operators' settings", setters);
+  read_fields(yaml, "operators' settings", setters_of(operators));
   return operators;
 }
 
--- a/src/config/yaml_fields.hpp
+++ b/src/config/yaml_fields.hpp
@@ -1,5 +1,6 @@
-// Fields of the operators' YAML files, checked: every complaint names the file's line and the
-// field.
+/// @file
+/// Fields of the operators' YAML files, checked: every message of a fault names the line and the
+/// field. Throws SettingsError throughout.
 #pragma once
 
 #include <yaml-cpp/yaml.h>
@@ -13,14 +14,17 @@
 
 namespace violetpulley::config {
 
+/// Allowed values, both bounds included.
 struct Range {
-  double least;
-  double most;
+  double min;
+  double max;
 };
 
+/// Reads one field from a node; the text is the name of the field.
 using FieldSetter = std::function<void(const YAML::Node&, const std::string&)>;
 using FieldSetters = std::map<std::string, FieldSetter>;
 
+/// " (line 3)", or nothing if the node has no position.
 inline std::string line_of(const YAML::Node& node) {
   return node.Mark().line < 0 ? "" : " (line " + std::to_string(node.Mark().line + 1) + ")";
 }
@@ -32,9 +36,9 @@
   } catch (const YAML::Exception&) {
     throw SettingsError(name + ": must be a number" + line_of(node));
   }
-  if (!std::isfinite(value) || value < range.least || value > range.most)
-    throw SettingsError(name + ": must lie between " + std::to_string(range.least) + " and " +
-                        std::to_string(range.most) + line_of(node));
+  if (!std::isfinite(value) || value < range.min || value > range.max)
+    throw SettingsError(name + ": must lie between " + std::to_string(range.min) + " and " +
+                        std::to_string(range.max) + line_of(node));
   return value;
 }
 
@@ -58,7 +62,7 @@
   };
 }
 
-// Reads a map whose names are all known; `what` names the file in complaints.
+/// Reads a map whose names are all known; `what` names the file in messages.
 inline void read_fields(const std::string& yaml, const std::string& what,
                         const FieldSetters& setters) {
   YAML::Node root;
--- a/src/solver/reasons.cpp
+++ b/src/solver/reasons.cpp
@@ -169,13 +169,13 @@
   out.no_machines = problem.machines.empty();
   const State empty(problem);
   out.impossible = !fits(empty, j);
-  const auto& note_inspections = out.impossible ? empty : state;
-  if (out.no_machines || fits(note_inspections, j)) return out;
-  static const auto sets = sets_by_size();
-  const auto enough = std::find_if(sets.begin(), sets.end(), [&](const auto& set) {
-    return fits(note_inspections, j, without(set));
+  const auto& considered = out.impossible ? empty : state;
+  if (out.no_machines || fits(considered, j)) return out;
+  static const auto kSets = sets_by_size();
+  const auto enough = std::find_if(kSets.begin(), kSets.end(), [&](const auto& set) {
+    return fits(considered, j, without(set));
   });
-  if (enough != sets.end()) out.reasons = *enough;
+  if (enough != kSets.end()) out.reasons = *enough;
   if (!out.impossible) out.remedy = remedy_of(problem, placement, j);
   return out;
 }
