--- a/src/api/operator_api.cpp
+++ b/src/api/operator_api.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::string advice_text(const diagnostics::Advice& diagnostics) {
+std::string advice_text(const diagnostics::PlacementExplanation& diagnostics) {
   Json causes = Json::array();
   for (const auto& cause : diagnostics.causes)
     causes.push_back({{"code", cause.code}, {"text", cause.text}});
@@ -78,7 +78,7 @@
     return pass_on(id, respond);
   }
   const auto diagnostics =
-      diagnostics::why(*controller, environment_.teams, environment_.types(), id, now);
+      diagnostics::explain_placement(*controller, environment_.teams, environment_.types(), id, now);
   if (!diagnostics) return respond(error(404, "no such open job"));
   respond({200, advice_text(*diagnostics), {}});
 }
--- a/src/api/operator_api.hpp
+++ b/src/api/operator_api.hpp
@@ -14,7 +14,7 @@
 namespace violetpulley::api {
 
 // As the answer holds it.
-std::string advice_text(const diagnostics::Advice& diagnostics);
+std::string advice_text(const diagnostics::PlacementExplanation& diagnostics);
 
 class OperatorApi {
  public:
--- a/src/diagnostics/cost_breakdown.cpp
+++ b/src/diagnostics/cost_breakdown.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-// What a machine is used for, in shares that add up to 1.
+// Shares of a machine by use; they add up to 1.
 using Shares = std::array<double, kUses>;
 
-double share_of(const core::Resources& part, const core::Resources& whole) {
-  double most = 0;
-  if (whole.cpus > 0) most = std::max(most, part.cpus / whole.cpus);
-  if (whole.gpus > 0) most = std::max(most, part.gpus / whole.gpus);
-  if (whole.memory_gb > 0) most = std::max(most, part.memory_gb / whole.memory_gb);
-  return most;
+// The share of the resource that is used most.
+double share_of(const core::Resources& part, const core::Resources& total) {
+  double share = 0;
+  if (total.cpus > 0) share = std::max(share, part.cpus / total.cpus);
+  if (total.gpus > 0) share = std::max(share, part.gpus / total.gpus);
+  if (total.memory_gb > 0) share = std::max(share, part.memory_gb / total.memory_gb);
+  return share;
 }
 
 Use use_of(const core::Assignment& assignment) {
@@ -26,13 +27,13 @@
 
 Shares shares_of(const core::Machine& machine) {
   Shares out{};
-  const auto all_of_it = [&](Use use) {
+  const auto whole_machine = [&](Use use) {
     out[static_cast<std::size_t>(use)] = 1;
     return out;
   };
-  if (!machine.up()) return all_of_it(Use::booting);
+  if (!machine.up()) return whole_machine(Use::booting);
   if (machine.tasks.empty())
-    return all_of_it(machine.reserved_for.empty() ? Use::empty : Use::reserved);
+    return whole_machine(machine.reserved_for.empty() ? Use::empty : Use::reserved);
   double sum = 0;
   for (const auto& [key, assignment] : machine.tasks) {
     const auto share = share_of(assignment.resources, machine.capacity);
--- a/src/diagnostics/cost_breakdown.hpp
+++ b/src/diagnostics/cost_breakdown.hpp
@@ -1,6 +1,7 @@
-// What the rented machines are paid for, sampled: each machine's price since the last sample is
-// shared out by its most used resource, so the parts add up to the whole. Owns its sums; they begin
-// with the leader.
+/// @file
+/// What the money for machines is spent on, sampled: the price of each machine since the last
+/// sample is divided by the use of its most used resource, so that the parts add up to the whole.
+/// Owns the sums, which begin with the leader.
 #pragma once
 
 #include <array>
@@ -9,17 +10,21 @@
 
 namespace violetpulley::diagnostics {
 
+/// What a machine, or a part of its capacity, is used for.
 enum class Use { running, fetching, stopping, beside, empty, reserved, booting };
+/// Number of values of Use.
 inline constexpr std::size_t kUses = 7;
 
+/// Sums of cost by use.
 class CostBreakdown {
  public:
-  // The time since the last call is paid as things are now; the first one pays nothing.
+  /// Charges the time since the last call by the present use. The first call charges nothing.
   void sample(const core::Fleet& fleet, core::TimePoint now);
 
-  double paid() const;  // prices are an hour's
+  /// Total cost, in the unit of the prices (prices are per hour).
+  double paid() const;
   double paid_for(Use use) const { return paid_[static_cast<std::size_t>(use)]; }
-  // "spent 12.3: running 61.0%, ..." for the log.
+  /// "spent 12.3: running 61.0%, ..." for the log.
   std::string text() const;
 
  private:
--- a/src/diagnostics/placement_explanation.cpp
+++ b/src/diagnostics/placement_explanation.cpp
@@ -16,6 +16,8 @@
   return {{amount(resources.cpus), amount(resources.gpus), amount(resources.memory_gb)}};
 }
 
+// Why a machine takes no tasks of the job, as a stable code of the operators' interface; null: the
+// machine may take tasks.
 const char* set_aside_cause(const core::Machine& machine, const core::JobId& job) {
   if (machine.releasing) return "returned";
   if (machine.quarantined) return "quarantined";
@@ -47,75 +49,102 @@
   return out;
 }
 
-// What others have on the machines: when it is expected to end.
-struct Held {
+// An assignment of another job, and when it is expected to end.
+struct OtherAssignment {
   Seconds remaining{0};
-  std::size_t machine = 0;
-  solver::Room room;
+  std::size_t machine = 0;  // index into the machines of the problems
+  solver::Room resources;
   bool same_team = false;
 };
 
-// The job by itself; `now`: beside what others run, `empty`: beside nothing.
+// The job as two problems of the solver: `empty` with machines that run nothing else, `now` beside
+// what other jobs run.
 struct Situation {
   solver::Problem empty;
   solver::Problem now;
-  std::vector<Held> held;
+  std::vector<OtherAssignment> others;
 };
 
-Situation situation_of(const core::Controller& controller, const std::vector<core::Team>& teams,
-                       const core::Job& job, core::TimePoint at, Advice& diagnostics) {
-  Situation out;
-  auto mine = solver_job(job);
-  solver::Room team_use;
-  for (const auto& [id, machine] : controller.fleet().all()) {
-    const auto* cause = set_aside_cause(machine, job.spec().id);
-    if (cause != nullptr) ++diagnostics.set_aside[cause];
-    auto free = room(machine.capacity);
-    const auto place = out.empty.machines.size();
-    std::uint32_t here = 0;
+class SituationBuilder {
+ public:
+  SituationBuilder(const core::Job& job, core::TimePoint now, PlacementExplanation& explanation)
+      : job_(job), now_(now), explanation_(explanation), solver_job_(solver_job(job)) {}
+
+  Situation build(const core::Controller& controller, const std::vector<core::Team>& teams) {
+    for (const auto& [id, machine] : controller.fleet().all()) add_machine(machine);
+    for (const auto& team : teams)
+      if (team.name == solver_job_.team) set_team(team);
+    // A gang that waits has nothing on machines that counts: what is left is being stopped.
+    if (solver_job_.shape == solver::Shape::gang) solver_job_.home.clear();
+    situation_.empty.jobs = {solver_job_};
+    situation_.now.jobs = {solver_job_};
+    return std::move(situation_);
+  }
+
+ private:
+  // What the tasks on a machine leave for the job.
+  struct MachineUse {
+    solver::Room free;
+    std::uint32_t own_tasks = 0;
+  };
+
+  MachineUse use_of(const core::Machine& machine, bool set_aside) {
+    MachineUse use{room(machine.capacity), 0};
+    const auto index = situation_.empty.machines.size();
     for (const auto& [key, assignment] : machine.tasks) {
-      if (key.job == job.spec().id && !assignment.orphaned) {
-        ++here;
+      if (key.job == job_.spec().id && !assignment.orphaned) {
+        ++use.own_tasks;
         continue;
       }
-      const auto taken = room(assignment.resources);
-      free -= taken;
-      const bool same_team = assignment.team == job.spec().team;
-      if (same_team) team_use += taken;
-      if (cause == nullptr && assignment.shape != core::Shape::service)
-        out.held.push_back({remaining_of(assignment, at), place, taken, same_team});
+      const auto resources = room(assignment.resources);
+      use.free -= resources;
+      const bool same_team = assignment.team == job_.spec().team;
+      if (same_team) team_use_ += resources;
+      if (!set_aside && assignment.shape != core::Shape::service)
+        situation_.others.push_back({remaining_of(assignment, now_), index, resources, same_team});
     }
-    if (cause != nullptr && here == 0) continue;
-    solver::Machine seen;
-    seen.id = id;
-    seen.type = machine.type;
-    seen.zone = machine.zone;
-    seen.spot = machine.spot;
-    seen.room = cause == nullptr ? room(machine.capacity) : mine.per_task * here;
-    out.empty.machines.push_back(seen);
-    if (cause == nullptr) {
-      seen.room = free;
-      ++diagnostics.machines;
+    return use;
+  }
+
+  void add_machine(const core::Machine& machine) {
+    const auto* cause = set_aside_cause(machine, job_.spec().id);
+    const bool set_aside = cause != nullptr;
+    if (set_aside) ++explanation_.set_aside[cause];
+    const auto use = use_of(machine, set_aside);
+    if (set_aside && use.own_tasks == 0) return;
+    solver::Machine entry;
+    entry.id = machine.id;
+    entry.type = machine.type;
+    entry.zone = machine.zone;
+    entry.spot = machine.spot;
+    entry.room = set_aside ? solver_job_.per_task * use.own_tasks : room(machine.capacity);
+    situation_.empty.machines.push_back(entry);
+    if (!set_aside) {
+      entry.room = use.free;
+      ++explanation_.machines;
     }
-    out.now.machines.push_back(seen);
-    mine.home.push_back(here);
+    situation_.now.machines.push_back(entry);
+    solver_job_.home.push_back(use.own_tasks);
   }
-  for (const auto& team : teams) {
-    if (team.name != mine.team) continue;
+
+  void set_team(const core::Team& team) {
     solver::Team limit{team.name, {}, {{amount(team.max_cpus), amount(team.max_gpus), 0}}};
-    out.empty.teams = {limit};
-    // A limit of 0 is none; one that is used up by others is the least there is.
-    for (const auto r : {solver::cpus, solver::gpus})
-      if (limit.most.of[r] > 0)
-        limit.most.of[r] = std::max<Amount>(1, limit.most.of[r] - team_use.of[r]);
-    out.now.teams = {limit};
+    situation_.empty.teams = {limit};
+    // A limit of 0 means no limit, so a limit that is used up becomes the smallest amount.
+    for (const auto resource : {solver::cpus, solver::gpus})
+      if (limit.most.of[resource] > 0)
+        limit.most.of[resource] =
+            std::max<Amount>(1, limit.most.of[resource] - team_use_.of[resource]);
+    situation_.now.teams = {limit};
   }
-  // A gang that waits has nothing on machines that counts: what is left of it is being stopped.
-  if (mine.shape == solver::Shape::gang) mine.home.clear();
-  out.empty.jobs = {mine};
-  out.now.jobs = {mine};
-  return out;
-}
+
+  const core::Job& job_;
+  core::TimePoint now_;
+  PlacementExplanation& explanation_;
+  solver::Job solver_job_;
+  solver::Room team_use_;
+  Situation situation_;
+};
 
 solver::Why reasons_in(const solver::Problem& problem) {
   return explain(problem, homes(problem), 0);
@@ -125,73 +154,98 @@
   return fits(solver::State(problem, homes(problem)), 0);
 }
 
-// The time after which so many tasks of others have ended that it fits.
-std::optional<Seconds> fits_in(Situation& situation) {
-  auto& held = situation.held;
-  std::sort(held.begin(), held.end(),
-            [](const Held& a, const Held& b) { return a.remaining < b.remaining; });
-  const auto fits_without = [&](std::size_t first) {
-    auto later = situation.now;
-    for (std::size_t i = 0; i < first; ++i) {
-      later.machines[held[i].machine].room += held[i].room;
-      if (!held[i].same_team) continue;
-      for (auto& team : later.teams)
-        for (const auto r : {solver::cpus, solver::gpus})
-          if (team.most.of[r] > 0) team.most.of[r] += held[i].room.of[r];
-    }
-    return fits_now(later);
+// The situation once the first `ended` of the other assignments have ended.
+solver::Problem problem_after(const Situation& situation, std::size_t ended) {
+  auto later = situation.now;
+  for (std::size_t i = 0; i < ended; ++i) {
+    const auto& assignment = situation.others[i];
+    later.machines[assignment.machine].room += assignment.resources;
+    if (!assignment.same_team) continue;
+    for (auto& team : later.teams)
+      for (const auto resource : {solver::cpus, solver::gpus})
+        if (team.most.of[resource] > 0) team.most.of[resource] += assignment.resources.of[resource];
+  }
+  return later;
+}
+
+// When enough other assignments have ended for one more task, or the gang, to fit; none: never.
+std::optional<Seconds> time_until_fit(Situation& situation) {
+  auto& others = situation.others;
+  std::sort(others.begin(), others.end(), [](const OtherAssignment& a, const OtherAssignment& b) {
+    return a.remaining < b.remaining;
+  });
+  const auto fits_after = [&](std::size_t ended) {
+    return fits_now(problem_after(situation, ended));
   };
-  if (!fits_without(held.size())) return std::nullopt;
-  std::size_t least = 0;
-  std::size_t enough = held.size();
-  while (least < enough) {
-    const auto middle = least + (enough - least) / 2;
-    if (fits_without(middle))
+  if (!fits_after(others.size())) return std::nullopt;
+  std::size_t too_few = 0;
+  std::size_t enough = others.size();
+  while (too_few < enough) {
+    const auto middle = too_few + (enough - too_few) / 2;
+    if (fits_after(middle))
       enough = middle;
     else
-      least = middle + 1;
+      too_few = middle + 1;
   }
-  return enough == 0 ? Seconds(0) : held[enough - 1].remaining;
+  return enough == 0 ? Seconds(0) : others[enough - 1].remaining;
 }
 
-}  // namespace
-
-std::optional<Advice> why(const core::Controller& controller, const std::vector<core::Team>& teams,
-                          const std::vector<core::MachineType>& types, const core::JobId& id,
-                          core::TimePoint now) {
-  const auto found = controller.jobs().find(id);
-  if (found == controller.jobs().end()) return std::nullopt;
-  const auto& job = found->second;
-  Advice out;
-  out.job = id;
+PlacementExplanation counts_of(const core::Job& job) {
+  PlacementExplanation out;
+  out.job = job.spec().id;
   out.waiting = static_cast<core::TaskIndex>(job.waiting.size());
   out.done = job.done;
   out.on_machines = job.spec().tasks - out.done - out.waiting;
   for (const auto index : job.waiting) out.bound += job.tasks[index].bound.empty() ? 0 : 1;
-  if (job.finishing) out.causes.push_back({"ending", "all is done, the end is being written"});
-  if (out.waiting == 0) return out;
-  const auto& wanted = job.spec().types;
+  return out;
+}
+
+std::vector<std::string> types_that_fit(const core::JobSpec& spec,
+                                        const std::vector<core::MachineType>& types) {
+  const auto allowed = [&](const std::string& name) {
+    return spec.types.empty() ||
+           std::find(spec.types.begin(), spec.types.end(), name) != spec.types.end();
+  };
+  std::vector<std::string> names;
   for (const auto& type : types)
-    if (job.spec().per_task.fits_in(type.capacity) &&
-        (wanted.empty() || std::find(wanted.begin(), wanted.end(), type.name) != wanted.end()))
-      out.rentable_types.push_back(type.name);
-  if (controller.recovering())
-    out.causes.push_back(
-        {"recovering", "a new leader waits for machines that may still run tasks of it"});
-  if (job.backoff_until > now)
-    out.causes.push_back({"pause", "its tasks failed, so it is tried again only after a pause"});
-  auto situation = situation_of(controller, teams, job, now, out);
+    if (spec.per_task.fits_in(type.capacity) && allowed(type.name)) names.push_back(type.name);
+  return names;
+}
+
+void add_capacity_causes(PlacementExplanation& out, Situation& situation) {
   const auto alone = reasons_in(situation.empty);
   out.impossible = alone.impossible;
   const auto beside = out.impossible ? alone : reasons_in(situation.now);
   if (beside.no_machines) out.causes.push_back({"no_machines", "no machine may take tasks now"});
   for (const auto reason : beside.reasons)
     out.causes.push_back({code_of(reason), sentence_of(reason, situation.now.jobs[0])});
-  if (out.impossible) return out;
+  if (out.impossible) return;
   if (out.causes.empty())
     out.causes.push_back(
         {"turn", "it fits and is placed in its turn, behind work that goes first"});
-  if (!beside.reasons.empty()) out.fits_in = fits_in(situation);
+  if (!beside.reasons.empty()) out.fits_in = time_until_fit(situation);
+}
+
+}  // namespace
+
+std::optional<PlacementExplanation> explain_placement(const core::Controller& controller,
+                                                      const std::vector<core::Team>& teams,
+                                                      const std::vector<core::MachineType>& types,
+                                                      const core::JobId& id, core::TimePoint now) {
+  const auto found = controller.jobs().find(id);
+  if (found == controller.jobs().end()) return std::nullopt;
+  const auto& job = found->second;
+  auto out = counts_of(job);
+  if (job.finishing) out.causes.push_back({"ending", "all is done, the end is being written"});
+  if (out.waiting == 0) return out;
+  out.rentable_types = types_that_fit(job.spec(), types);
+  if (controller.recovering())
+    out.causes.push_back(
+        {"recovering", "a new leader waits for machines that may still run tasks of it"});
+  if (job.backoff_until > now)
+    out.causes.push_back({"pause", "its tasks failed, so it is tried again only after a pause"});
+  auto situation = SituationBuilder(job, now, out).build(controller, teams);
+  add_capacity_causes(out, situation);
   return out;
 }
 
--- a/src/diagnostics/placement_explanation.hpp
+++ b/src/diagnostics/placement_explanation.hpp
@@ -1,6 +1,7 @@
-// Why a job of the leader's waits now, as a value: the core's view is turned into a problem of the
-// solver's, once with every machine empty and once as it is. Changes nothing and is bounded: what
-// others run is folded into the room that is free.
+/// @file
+/// Explains why a job of this leader waits now. The core's state is turned into two problems of the
+/// solver: one with every machine empty, one with the machines as they are. Changes nothing; the
+/// work is bounded, since what other jobs run is folded into the free capacity of each machine.
 #pragma once
 
 #include "core/controller.hpp"
@@ -8,29 +9,40 @@
 
 namespace violetpulley::diagnostics {
 
+/// One reason why a job waits.
 struct Cause {
-  std::string code;  // stable, for programs
-  std::string text;  // for people
+  /// Stable, for programs.
+  std::string code;
+  /// For people.
+  std::string text;
 };
 
-struct Advice {
+/// Why a job waits, and what would have to change.
+struct PlacementExplanation {
   core::JobId job;
   core::TaskIndex waiting = 0;
   core::TaskIndex on_machines = 0;
   core::TaskIndex done = 0;
-  core::TaskIndex bound = 0;  // of those that wait: for rentals or booting machines
-  bool impossible = false;    // not even on the machines there are, if all were empty
-  std::vector<Cause> causes;  // the fewest without which one more task, or the gang, would fit
-  // When it would fit, if other tasks end as expected and nothing else comes; none: unknown.
+  /// Waiting tasks that are bound to a scale-out request or a provisioning machine.
+  core::TaskIndex bound = 0;
+  /// The job would not fit even if all machines were empty.
+  bool impossible = false;
+  /// The fewest constraints without which one more task, or the gang, would fit.
+  std::vector<Cause> causes;
+  /// When the job would fit if other tasks end as expected and no work is added; none: unknown.
   std::optional<core::Seconds> fits_in;
-  std::size_t machines = 0;                      // that may take tasks
-  std::map<std::string, std::size_t> set_aside;  // others, by cause
-  std::vector<std::string> rentable_types;       // that it may use and that hold one task of it
+  /// Machines that may take tasks.
+  std::size_t machines = 0;
+  /// Machines that take no tasks, by cause.
+  std::map<std::string, std::size_t> set_aside;
+  /// Machine types that the job may use and that hold one task.
+  std::vector<std::string> rentable_types;
 };
 
-// None: the leader does not know the job, so it is not open.
-std::optional<Advice> why(const core::Controller& controller, const std::vector<core::Team>& teams,
-                          const std::vector<core::MachineType>& types, const core::JobId& id,
-                          core::TimePoint now);
+/// Explains the state of a job. None: the leader does not know the job, so the job is not open.
+std::optional<PlacementExplanation> explain_placement(const core::Controller& controller,
+                                                      const std::vector<core::Team>& teams,
+                                                      const std::vector<core::MachineType>& types,
+                                                      const core::JobId& id, core::TimePoint now);
 
 }  // namespace violetpulley::diagnostics
--- a/src/solver/model.cpp
+++ b/src/solver/model.cpp
@@ -54,6 +54,49 @@
   return machine.price * (greatest_bin - min_bin) / (greatest_bin + 1);
 }
 
+namespace {
+
+// What a placement makes of one job.
+struct JobTotals {
+  std::int64_t placed = 0;
+  std::int64_t lost = 0;  // running tasks that end or run elsewhere
+};
+
+JobTotals totals_of(const Job& job, const std::vector<std::uint32_t>& tasks_on) {
+  JobTotals totals;
+  std::int64_t running = 0;
+  for (std::size_t m = 0; m < tasks_on.size(); ++m) {
+    totals.placed += tasks_on[m];
+    running += job.home_on(m);
+    if (job.home_on(m) > tasks_on[m]) totals.lost += job.home_on(m) - tasks_on[m];
+  }
+  if (job.shape == Shape::gang && totals.lost > 0) totals.lost = running;  // a gang restarts whole
+  return totals;
+}
+
+struct BinRange {
+  int min;
+  int max;
+};
+
+// The run-time bins that each machine mixes; none: nothing is placed there.
+std::vector<std::optional<BinRange>> bins_by_machine(const Problem& problem,
+                                                     const Placement& placement) {
+  std::vector<std::optional<BinRange>> bins(problem.machines.size());
+  for (std::size_t j = 0; j < problem.jobs.size(); ++j) {
+    const auto bin = problem.jobs[j].bin;
+    for (std::size_t m = 0; m < problem.machines.size(); ++m) {
+      if (placement[j][m] == 0) continue;
+      auto& range = bins[m];
+      range = range ? BinRange{std::min(range->min, bin), std::max(range->max, bin)}
+                    : BinRange{bin, bin};
+    }
+  }
+  return bins;
+}
+
+}  // namespace
+
 Score score_of(const Problem& problem, const Placement& placement) {
   Score out;
   const auto priorities = priorities_of(problem);
@@ -61,38 +104,22 @@
   std::map<std::string, Room> used;
   for (std::size_t j = 0; j < problem.jobs.size(); ++j) {
     const auto& job = problem.jobs[j];
-    std::int64_t count = 0;
-    std::int64_t left = 0;  // tasks that run elsewhere or no more
-    std::int64_t running = 0;
-    for (std::size_t m = 0; m < problem.machines.size(); ++m) {
-      count += placement[j][m];
-      running += job.home_on(m);
-      if (job.home_on(m) > placement[j][m]) left += job.home_on(m) - placement[j][m];
-    }
-    if (job.shape == Shape::gang && left > 0) left = running;  // a gang restarts whole
+    const auto totals = totals_of(job, placement[j]);
     const auto level = std::find(priorities.begin(), priorities.end(), job.priority);
-    out.placed[static_cast<std::size_t>(level - priorities.begin())] += job.weight() * count;
-    out.loss += job.loss * left;
-    used[job.team] += job.per_task * count;
+    out.placed[static_cast<std::size_t>(level - priorities.begin())] +=
+        job.weight() * totals.placed;
+    out.loss += job.loss * totals.lost;
+    used[job.team] += job.per_task * totals.placed;
   }
   for (const auto& team : problem.teams)
     for (const auto r : {cpus, gpus})
       out.guaranteed += std::min(team.guaranteed.of[r], used[team.name].of[r]);
-  std::vector<std::optional<std::pair<int, int>>> bins(problem.machines.size());
-  for (std::size_t j = 0; j < problem.jobs.size(); ++j) {
-    const auto bin = problem.jobs[j].bin;
-    for (std::size_t m = 0; m < problem.machines.size(); ++m) {
-      if (placement[j][m] == 0) continue;
-      auto& range = bins[m];
-      range = range ? std::pair(std::min(range->first, bin), std::max(range->second, bin))
-                    : std::pair(bin, bin);
-    }
-  }
+  const auto bins = bins_by_machine(problem, placement);
   for (std::size_t m = 0; m < problem.machines.size(); ++m) {
     if (!bins[m]) continue;
     const auto& machine = problem.machines[m];
     ++out.machines;
-    out.price += machine.price + mixing_cost(machine, bins[m]->first, bins[m]->second);
+    out.price += machine.price + mixing_cost(machine, bins[m]->min, bins[m]->max);
   }
   return out;
 }
--- a/tests/diagnostics/placement_explanation_test.cpp
+++ b/tests/diagnostics/placement_explanation_test.cpp
@@ -16,7 +16,7 @@
 
 constexpr core::FencingToken kToken = 7;
 
-class Why : public ::testing::Test {
+class PlacementExplanation : public ::testing::Test {
  protected:
   Why() {
     core::LeaderElected takeover;
@@ -73,14 +73,14 @@
     }
   }
 
-  diagnostics::Advice why(const std::string& id) {
-    const auto out = diagnostics::why(*controller_, teams_, types_, id, now_);
+  diagnostics::PlacementExplanation explain(const std::string& id) {
+    const auto out = diagnostics::explain_placement(*controller_, teams_, types_, id, now_);
     EXPECT_TRUE(out);
-    return out.value_or(diagnostics::Advice{});
+    return out.value_or(diagnostics::PlacementExplanation{});
   }
-  static std::vector<std::string> codes(const diagnostics::Advice& diagnostics) {
+  static std::vector<std::string> codes(const diagnostics::PlacementExplanation& explanation) {
     std::vector<std::string> out;
-    for (const auto& cause : diagnostics.causes) out.push_back(cause.code);
+    for (const auto& cause : explanation.causes) out.push_back(cause.code);
     return out;
   }
 
@@ -94,25 +94,25 @@
 
 using Codes = std::vector<std::string>;
 
-TEST_F(Why, FullMachinesAndWhenTheyWillHaveRoom) {
+TEST_F(PlacementExplanation, FullMachinesAndWhenTheyWillHaveRoom) {
   open("first", 8, {4, 0, 1});
   settle();
-  ASSERT_EQ(why("first").on_machines, 8U);
-  EXPECT_TRUE(why("first").causes.empty());
+  ASSERT_EQ(explain("first").on_machines, 8U);
+  EXPECT_TRUE(explain("first").causes.empty());
   open("second", 3, {2, 0, 1});
   settle();
-  const auto diagnostics = why("second");
-  EXPECT_EQ(diagnostics.waiting, 3U);
-  EXPECT_FALSE(diagnostics.impossible);
-  EXPECT_EQ(codes(diagnostics), Codes{"cpus"});
-  EXPECT_EQ(diagnostics.machines, 2U);
-  ASSERT_TRUE(diagnostics.fits_in) << "the first job's tasks are expected to end";
-  EXPECT_GT(*diagnostics.fits_in, Seconds(0));
-  EXPECT_LE(*diagnostics.fits_in, Seconds(50));
-  EXPECT_EQ(diagnostics.rentable_types, std::vector<std::string>{"big"});
+  const auto explanation = explain("second");
+  EXPECT_EQ(explanation.waiting, 3U);
+  EXPECT_FALSE(explanation.impossible);
+  EXPECT_EQ(codes(explanation), Codes{"cpus"});
+  EXPECT_EQ(explanation.machines, 2U);
+  ASSERT_TRUE(explanation.fits_in) << "the first job's tasks are expected to end";
+  EXPECT_GT(*explanation.fits_in, Seconds(0));
+  EXPECT_LE(*explanation.fits_in, Seconds(50));
+  EXPECT_EQ(explanation.rentable_types, std::vector<std::string>{"big"});
 }
 
-TEST_F(Why, TeamLimitsZonesAndWhatFitsNowhere) {
+TEST_F(PlacementExplanation, TeamLimitsZonesAndWhatFitsNowhere) {
   open("limited", 6, {2, 0, 1}, [](core::JobSpec& spec) { spec.team = "small"; });
   open("accelerated", 1, {1, 1, 1});
   open("elsewhere", 1, {1, 0, 1}, [](core::JobSpec& spec) { spec.zone = "c"; });
@@ -126,23 +126,23 @@
     spec.zone = "a";
   });
   settle();
-  const auto limited = why("limited");
+  const auto limited = explain("limited");
   EXPECT_EQ(limited.waiting, 2U);
   EXPECT_EQ(codes(limited), Codes{"team_limit"});
   EXPECT_FALSE(limited.impossible);
-  const auto accelerated = why("accelerated");
+  const auto accelerated = explain("accelerated");
   EXPECT_TRUE(accelerated.impossible);
   EXPECT_EQ(codes(accelerated), Codes{"gpus"});
   EXPECT_TRUE(accelerated.rentable_types.empty());
-  EXPECT_EQ(codes(why("elsewhere")), Codes{"zone"});
-  const auto gang = why("gang");
+  EXPECT_EQ(codes(explain("elsewhere")), Codes{"zone"});
+  const auto gang = explain("gang");
   EXPECT_TRUE(gang.impossible);
   EXPECT_EQ(codes(gang), Codes{"cpus"}) << "nine of four processors on two machines of 16";
-  EXPECT_EQ(codes(why("spread")), Codes{"zone"}) << "without its spread it would fit as well";
-  EXPECT_FALSE(diagnostics::why(*controller_, teams_, types_, "unknown", now_));
+  EXPECT_EQ(codes(explain("spread")), Codes{"zone"}) << "without its spread it would fit as well";
+  EXPECT_FALSE(diagnostics::explain_placement(*controller_, teams_, types_, "unknown", now_));
 }
 
-TEST_F(Why, WhatIsSpentAddsUp) {
+TEST_F(PlacementExplanation, WhatIsSpentAddsUp) {
   diagnostics::CostBreakdown spending;
   spending.sample(controller_->fleet(), now_);
   EXPECT_EQ(spending.paid(), 0);
@@ -155,7 +155,7 @@
   // each machine at least, or else its machine is empty.
   open("some", 3, {4, 0, 1});
   settle();
-  ASSERT_EQ(why("some").on_machines, 3U);
+  ASSERT_EQ(explain("some").on_machines, 3U);
   spending.sample(controller_->fleet(), now_);
   const auto before = spending;
   now_ += std::chrono::hours(1);
