--- a/src/api/operator_api.cpp
+++ b/src/api/operator_api.cpp
@@ -30,22 +30,22 @@
 
 }  // namespace
 
-std::string advice_text(const diagnostics::Advice& diagnostics) {
+std::string explanation_text(const diagnostics::PlacementExplanation& explanation) {
   Json causes = Json::array();
-  for (const auto& cause : diagnostics.causes)
+  for (const auto& cause : explanation.causes)
     causes.push_back({{"code", cause.code}, {"text", cause.text}});
-  Json out{{"job", diagnostics.job},
-           {"waiting", diagnostics.waiting},
-           {"on_machines", diagnostics.on_machines},
-           {"done", diagnostics.done},
-           {"bound", diagnostics.bound},
-           {"impossible", diagnostics.impossible},
+  Json out{{"job", explanation.job},
+           {"waiting", explanation.waiting},
+           {"on_machines", explanation.on_machines},
+           {"done", explanation.done},
+           {"bound", explanation.bound},
+           {"impossible", explanation.impossible},
            {"causes", std::move(causes)},
-           {"machines", diagnostics.machines},
-           {"set_aside", diagnostics.set_aside},
-           {"rentable_types", diagnostics.rentable_types},
+           {"machines", explanation.machines},
+           {"set_aside", explanation.set_aside},
+           {"rentable_types", explanation.rentable_types},
            {"fits_in_s", nullptr}};
-  if (diagnostics.fits_in) out["fits_in_s"] = std::round(diagnostics.fits_in->count() * 10) / 10;
+  if (explanation.fits_in) out["fits_in_s"] = std::round(explanation.fits_in->count() * 10) / 10;
   return out.dump();
 }
 
@@ -81,10 +81,10 @@
     if (forwarded) return respond(error(503, "this controller does not lead", kRetry));
     return forward(id, respond);
   }
-  const auto diagnostics =
-      diagnostics::why(*controller, environment_.teams, environment_.types(), id, now);
-  if (!diagnostics) return respond(error(404, "no such open job"));
-  respond({200, advice_text(*diagnostics), {}});
+  const auto explanation =
+      diagnostics::explain_placement(*controller, environment_.teams, environment_.types(), id, now);
+  if (!explanation) return respond(error(404, "no such open job"));
+  respond({200, explanation_text(*explanation), {}});
 }
 
 void OperatorApi::forward(const core::JobId& id, const net::Responder& respond) {
--- a/src/api/operator_api.hpp
+++ b/src/api/operator_api.hpp
@@ -14,8 +14,8 @@
 
 namespace violetpulley::api {
 
-/// Returns the diagnostics of a job as the JSON body of the answer.
-std::string advice_text(const diagnostics::Advice& diagnostics);
+/// Returns the explanation as the JSON body of the answer.
+std::string explanation_text(const diagnostics::PlacementExplanation& explanation);
 
 class OperatorApi {
  public:
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -135,8 +135,8 @@
 
 TEST(GoldenOperators, ExplanationsAreWrittenAsBefore) {
   const auto texts = read_json("users.json").at("why");
-  EXPECT_EQ(api::advice_text({}), text_at(texts, "empty"));
-  diagnostics::Advice advice;
+  EXPECT_EQ(api::explanation_text({}), text_at(texts, "empty"));
+  diagnostics::PlacementExplanation advice;
   advice.job = "req-7";
   advice.waiting = 3;
   advice.on_machines = 1;
@@ -148,7 +148,7 @@
   advice.machines = 7;
   advice.set_aside = {{"draining", 2}, {"silent", 1}};
   advice.rentable_types = {"small", "large"};
-  EXPECT_EQ(api::advice_text(advice), text_at(texts, "full"));
+  EXPECT_EQ(api::explanation_text(advice), text_at(texts, "full"));
 }
 
 TEST(GoldenRecords, MachinesAreReadAndWrittenAsBefore) {
