--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -13,6 +13,7 @@
 using codec::valid_job_id;
 using core::FinalState;
 using std::chrono::seconds;
+using store::Json;
 using store::Outcome;
 using store::RequestPriority;
 
--- a/src/core/model/learned_state.hpp
+++ b/src/core/model/learned_state.hpp
@@ -13,6 +13,7 @@
 struct SavedRunTime {
   TaskIndex task = 0;
   Seconds saved{0};
+  friend bool operator==(const SavedRunTime&, const SavedRunTime&) = default;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
--- a/tests/golden/golden_exchange_test.cpp
+++ b/tests/golden/golden_exchange_test.cpp
@@ -5,7 +5,7 @@
 #include "cloud/cloud_client.hpp"
 #include "golden/golden_files.hpp"
 #include "golden/recording_peer.hpp"
-#include "node.hpp"
+#include "node/node.hpp"
 #include "support/fake_services.hpp"
 
 namespace violetpulley::golden {
@@ -30,7 +30,7 @@
       finished = true;
     });
     const auto sent = item.at("sent").size();
-    standins::run_until(io, [&] { return finished && peer.requests().size() >= sent; });
+    fakes::run_until(io, [&] { return finished && peer.requests().size() >= sent; });
     EXPECT_EQ(peer.take_requests(), item.at("sent"));
     EXPECT_EQ(result, item.at("result"));
   }
@@ -74,35 +74,36 @@
 }
 
 void run_store_request(store::StoreClient& client, const Json& item, const Finish& finish) {
-  using store::Urgency;
+  using store::RequestPriority;
   const auto operation = text_at(item, "operation");
   const auto& request = item.at("request");
   const auto report_outcome = [finish](store::Outcome outcome) {
     finish({{"outcome", static_cast<int>(outcome)}});
   };
   if (operation == "get") {
-    client.get(text_at(request, "key"), Urgency::safety, [finish](const store::GetResult& result) {
-      finish({{"outcome", static_cast<int>(result.outcome)}, {"item", json_of(result.item)}});
-    });
+    client.get(
+        text_at(request, "key"), RequestPriority::safety, [finish](const store::GetResult& result) {
+          finish({{"outcome", static_cast<int>(result.outcome)}, {"item", json_of(result.item)}});
+        });
   } else if (operation == "list") {
-    client.list(text_at(request, "prefix"), Urgency::safety,
+    client.list(text_at(request, "prefix"), RequestPriority::safety,
                 [finish](const store::ListResult& result) { finish(json_of(result)); });
   } else if (operation == "changes") {
     client.changes(text_at(request, "prefix"), request.at("since").get<store::Revision>(),
-                   milliseconds(request.at("block_ms").get<int>()), Urgency::safety,
+                   milliseconds(request.at("block_ms").get<int>()), RequestPriority::safety,
                    [finish](const store::ChangesResult& result) { finish(json_of(result)); });
   } else if (operation == "commit") {
-    client.commit(transaction_of(request), Urgency::safety,
+    client.commit(transaction_of(request), RequestPriority::safety,
                   [finish](const store::TransactionResult& result) {
                     finish({{"outcome", static_cast<int>(result.outcome)},
                             {"revision", result.revision},
                             {"failed", result.failed}});
                   });
   } else if (operation == "create_lease") {
-    client.create_lease(milliseconds(request.at("ttl_ms").get<int>()),
-                        [finish](store::Outcome outcome, std::uint64_t lease) {
-                          finish({{"outcome", static_cast<int>(outcome)}, {"lease", lease}});
-                        });
+    client.create_lease(
+        milliseconds(request.at("ttl_ms").get<int>()), [finish](const store::LeaseResult& result) {
+          finish({{"outcome", static_cast<int>(result.outcome)}, {"lease", result.lease}});
+        });
   } else if (operation == "extend_lease") {
     client.extend_lease(request.at("lease").get<std::uint64_t>(), report_outcome);
   } else {
@@ -205,7 +206,7 @@
     response = std::move(given);
     answered = true;
   });
-  standins::run_until(io, [&] { return answered; });
+  fakes::run_until(io, [&] { return answered; });
   return response.value_or(net::Response{0, "", {}});
 }
 
@@ -236,7 +237,7 @@
                       counts});
   const std::string jobs = "/v1/jobs";
   const std::string withdraw = "/withdraw";
-  net::HttpServer front(io, standins::any_port(), {},
+  net::HttpServer front(io, fakes::any_port(), {},
                         [&](net::Request&& request, const net::Responder& respond) {
                           if (request.method == "POST" && request.target == jobs)
                             return users.submit(request, respond);
@@ -245,7 +246,7 @@
                           users.cancel(id.substr(0, id.size() - withdraw.size()), respond);
                         });
   replica.start();
-  standins::run_until(io, [&] { return replica.synced(); });
+  fakes::run_until(io, [&] { return replica.synced(); });
   for (int round = 0; round < 20; ++round) io.run_one_for(milliseconds(20));
   state.take_requests();
   net::HttpClient user(io, front.local_endpoint(), 1);
@@ -326,13 +327,13 @@
 
  private:
   std::string free_address() {
-    asio::ip::tcp::acceptor taken(io_, standins::any_port());
-    return standins::text_of(taken.local_endpoint());
+    asio::ip::tcp::acceptor taken(io_, fakes::any_port());
+    return net::text_of(taken.local_endpoint());
   }
 
   asio::io_context io_;
-  standins::StateService state_;
-  standins::Cloud cloud_;
+  fakes::StateService state_;
+  fakes::Cloud cloud_;
   std::string public_address_;
   std::unique_ptr<Node> node_;
   std::unique_ptr<net::HttpClient> user_;
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -2,11 +2,12 @@
 /// Messages and stored records: the codecs read what the program wrote before December 2026 to the
 /// same values and write the same bytes.
 #include "agent/agent_codec.hpp"
-#include "api/job_codec.hpp"
 #include "api/operator_api.hpp"
+#include "codec/job_codec.hpp"
 #include "config/settings.hpp"
 #include "golden/golden_files.hpp"
 #include "peers/peer_network.hpp"
+#include "store/job_record_codec.hpp"
 #include "store/learned_state_store.hpp"
 #include "store/record_codec.hpp"
 
@@ -19,12 +20,12 @@
 TEST(GoldenJobs, SubmissionsAndRecordsAreReadAndWrittenAsBefore) {
   for (const auto& item : cases_of("jobs.json")) {
     SCOPED_TRACE(text_at(item, "name"));
-    const auto spec = api::parse_job(Json::parse(text_at(item, "submission")));
+    const auto spec = codec::parse_job(Json::parse(text_at(item, "submission")));
     EXPECT_EQ(packed_hex(spec), text_at(item, "spec"));
-    EXPECT_EQ(api::job_to_json(spec).dump(), text_at(item, "spec_as_json"));
+    EXPECT_EQ(codec::job_to_json(spec).dump(), text_at(item, "spec_as_json"));
     const core::JobRecord record{spec, core::WallTime(milliseconds(1764633600123)), 77};
-    EXPECT_EQ(api::record_to_json(record).dump(), text_at(item, "record"));
-    const auto read = api::record_from_json(Json::parse(text_at(item, "record")), 77);
+    EXPECT_EQ(store::encode_job_record(record).dump(), text_at(item, "record"));
+    const auto read = store::decode_job_record(Json::parse(text_at(item, "record")), 77);
     EXPECT_EQ(packed_hex(read), text_at(item, "record_spec"));
     EXPECT_EQ(packed_hex(unpacked_hex<core::JobSpec>(item.at("spec"))), text_at(item, "spec"));
   }
@@ -33,7 +34,7 @@
 TEST(GoldenJobs, TheFieldsOfASubmissionHaveTheirMeaning) {
   const auto item = cases_of("jobs.json").at(1);
   ASSERT_EQ(text_at(item, "name"), "array_with_all_fields");
-  const auto spec = api::parse_job(Json::parse(text_at(item, "submission")));
+  const auto spec = codec::parse_job(Json::parse(text_at(item, "submission")));
   EXPECT_EQ(spec.id, "req-000412");
   EXPECT_EQ(spec.job_class, "render");
   EXPECT_EQ(spec.team, "blue");
@@ -58,8 +59,8 @@
 
 TEST(GoldenJobs, RecordsOfAnOlderProgramAreReadAsBefore) {
   for (const auto& item : cases_of("jobs.json", "older_records")) {
-    const auto record = api::record_from_json(Json::parse(text_at(item, "record")),
-                                              item.at("revision").get<core::Revision>());
+    const auto record = store::decode_job_record(Json::parse(text_at(item, "record")),
+                                                 item.at("revision").get<core::Revision>());
     EXPECT_EQ(packed_hex(record), text_at(item, "record_spec"));
   }
 }
@@ -68,9 +69,9 @@
   for (const auto& item : cases_of("jobs.json", "refused")) {
     SCOPED_TRACE(text_at(item, "input"));
     try {
-      api::parse_job(Json::parse(text_at(item, "input")));
+      codec::parse_job(Json::parse(text_at(item, "input")));
       ADD_FAILURE() << "not refused";
-    } catch (const api::BadRequest& problem) {
+    } catch (const codec::MalformedJob& problem) {
       EXPECT_EQ(problem.what(), text_at(item, "error"));
     }
   }
@@ -266,7 +267,7 @@
   const auto& job = state.jobs.back();
   EXPECT_EQ(job.id, "req-9");
   EXPECT_EQ(job.waited, Seconds(40));
-  const std::vector<std::pair<core::TaskIndex, Seconds>> saved{{1, Seconds(7)}, {3, Seconds(0.5)}};
+  const std::vector<core::SavedRunTime> saved{{1, Seconds(7)}, {3, Seconds(0.5)}};
   EXPECT_EQ(job.saved, saved);
   EXPECT_EQ(job.failed_on, std::vector<core::MachineId>{"m-1"});
   EXPECT_EQ(job.failures, 2);
