--- a/src/core/autoscaling/scale_out_planner.cpp
+++ b/src/core/autoscaling/scale_out_planner.cpp
@@ -97,7 +97,7 @@
                                        TimePoint now) const {
   const auto& job = jobs_.at(spec.id);
   // Exception to the design: an expensive offering is requested only for work that has waited,
-  // since capacity on a cheap machine may come first (docs/design.md, "Dear machines last").
+  // since capacity on a cheap machine may come first (docs/design.md, "Expensive machines last").
   const bool waited =
       !spec.spot_allowed || forecaster_.age(job, now) > settings_.tuning.on_demand_patience;
   return (waited || !catalog_.expensive(offering.type->name, offering.spot)) &&
--- a/src/core/autoscaling/scarcity.hpp
+++ b/src/core/autoscaling/scarcity.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Which machine types, and which of spot and on-demand machines, are short for whom
-/// (docs/design.md, "Scarce types", "Ordinary machines", "Scarce places"): exceptions to the
+/// (docs/design.md, "Scarce types", "On-demand machines", "Scarce places"): exceptions to the
 /// design, decided here once a round for packing, scaling out and consolidation. Owns what the last
 /// rounds have found.
 #pragma once
--- a/src/core/failover/leadership.hpp
+++ b/src/core/failover/leadership.hpp
@@ -2,7 +2,7 @@
 /// What a node may conclude about its own leadership. Does no input or output: the store client
 /// reports its requests and their results. Owns two times, each counted from the sending of its
 /// request: up to when this node is proven to have led, and up to when every cancellation confirmed
-/// by any node is known here (docs/safety.md, "Leading is not being informed").
+/// by any node is known here (docs/safety.md, "Leadership does not imply fresh data").
 #pragma once
 
 #include "core/model/types.hpp"
--- a/src/core/learned_state_handover.hpp
+++ b/src/core/learned_state_handover.hpp
@@ -10,7 +10,7 @@
 
 namespace violetpulley::core {
 
-/// Passes hints from one leader to the next (docs/safety.md, "Beliefs").
+/// Passes hints from one leader to the next (docs/safety.md, "Learned state").
 class LearnedStateHandover {
  public:
   LearnedStateHandover(const ControllerSettings& settings, Fleet& fleet, Jobs& jobs,
--- a/src/core/machines/failure_detector.hpp
+++ b/src/core/machines/failure_detector.hpp
@@ -3,10 +3,11 @@
 /// apart: a heartbeat proves its state when the heartbeat was sent; an acknowledgement (a response
 /// to commands, or a heartbeat that shows their effect) proves that what we send arrives; and only
 /// our answer to a periodic heartbeat renews the lease of the machine (PROTOCOL, "Leases", "Delayed
-/// messages", "Outages and cuts"; docs/safety.md, "Reports that prove less than they seem to",
-/// "Renewed is a third fact"). Owns these times of every machine, and since when this leader could
-/// have received anything. Decides which machines are responsive, which are unacknowledged or in an
-/// outbound partition for so long that they are returned, and when the leader itself is isolated.
+/// messages", "Outages and cuts"; docs/safety.md, "Heartbeats that prove less than they seem to",
+/// "Lease renewal is a third fact"). Owns these times of every machine, and since when this leader
+/// could have received anything. Decides which machines are responsive, which are unacknowledged or
+/// in an outbound partition for so long that they are returned, and when the leader itself is
+/// isolated.
 #pragma once
 
 #include "core/machines/fleet.hpp"
--- a/src/core/model/learned_state.hpp
+++ b/src/core/model/learned_state.hpp
@@ -2,7 +2,7 @@
 /// What a leader has learned and hands over to the next leader: estimates, saved run time, faulty
 /// machines, refused offerings, waiting times of jobs. These are hints and never proof: nothing
 /// here says what is on a machine, and a wrong or missing hint costs time but breaks no rule
-/// (docs/safety.md, "Beliefs").
+/// (docs/safety.md, "Learned state").
 #pragma once
 
 #include "core/jobs/run_time_estimator.hpp"
--- a/src/core/model/price_rules.hpp
+++ b/src/core/model/price_rules.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// When a machine counts as expensive (docs/design.md, "Dear machines last"): one rule for the
+/// When a machine counts as expensive (docs/design.md, "Expensive machines last"): one rule for the
 /// packer, which fills expensive machines last, and for the scaler, which requests them last.
 #pragma once
 
--- a/src/core/scheduling/bin_packer.cpp
+++ b/src/core/scheduling/bin_packer.cpp
@@ -94,7 +94,7 @@
   // since a fetch takes as long as much of the work (docs/design.md, "Images").
   if (a.image_rank != b.image_rank) return a.image_rank > b.image_rank;
   // Exception to the design: expensive machines come after all cheaper ones, so that they run
-  // empty and are returned first (docs/design.md, "Dear machines last").
+  // empty and are returned first (docs/design.md, "Expensive machines last").
   if (a.expensive != b.expensive) return b.expensive;
   // Exception to the design: most free capacity would spread small tasks over all machines and
   // leave none to a gang whose tasks need whole machines (docs/design.md, "Gangs").
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -175,7 +175,7 @@
   rules.one_task_only = candidate.starving || job.suspected;
   rules.zone_bound = spec.same_zone || spec.spread;
   // Exception to the design: empty on-demand machines are left to work that may use no others
-  // (docs/design.md, "Ordinary machines").
+  // (docs/design.md, "On-demand machines").
   rules.spares_empty_expensive = scarcity_.on_demand_only_work() && spec.spot_allowed &&
                                  forecaster_.age(job, now) < settings_.tuning.on_demand_patience;
   if (pass == ImagePass::holders_only && !image_wait_over(candidate, now))
--- a/src/leader/failover_log.hpp
+++ b/src/leader/failover_log.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Log lines of one failover: when it came to each of its steps, what the reconciliation found and
-/// what it cost (docs/operations.md, "After a takeover"). Owns the timeline and what was already
+/// what it cost (docs/operations.md, "After a failover"). Owns the timeline and what was already
 /// logged; decides nothing.
 #pragma once
 
--- a/tests/core/machines/failure_detector_test.cpp
+++ b/tests/core/machines/failure_detector_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// Tests of the failure detector and of the checks of machines that depend on it: unacknowledged
 /// machines, delayed copies of heartbeats, isolated leaders, outbound partitions and late boots
-/// (docs/safety.md, "Reports that prove less than they seem to").
+/// (docs/safety.md, "Heartbeats that prove less than they seem to").
 #include "core/machines/failure_detector.hpp"
 
 #include "support/leader_with_agents.hpp"
