--- a/src/config/case_file.cpp
+++ b/src/config/case_file.cpp
@@ -81,7 +81,8 @@
     bool flag = false;
     double number = 0;
     std::int64_t whole = 0;
-    // A quoted text and any other text come to the same.  NOLINTNEXTLINE(bugprone-branch-clone)
+    // A quoted text and any other text come to the same.
+    // NOLINTBEGIN(bugprone-branch-clone)
     if (node.Tag() == "!")
       out.SetString(node.Scalar().c_str(), memory);
     else if (YAML::convert<std::int64_t>::decode(node, whole))
@@ -92,6 +93,7 @@
       out.SetBool(flag);
     else
       out.SetString(node.Scalar().c_str(), memory);
+    // NOLINTEND(bugprone-branch-clone)
   }
   return out;
 }
--- a/src/history/describe.cpp
+++ b/src/history/describe.cpp
@@ -76,7 +76,8 @@
   const auto* event = std::get_if<core::Event>(&record.what);
   if (event == nullptr) return out;
   const auto visit = [&]<typename T>(const T& e) {
-    // The branches differ in the type of the event.  NOLINTNEXTLINE(bugprone-branch-clone)
+    // The branches differ in the type of the event.
+    // NOLINTBEGIN(bugprone-branch-clone)
     if constexpr (std::is_same_v<T, core::JobOpened>)
       out.jobs.push_back(e.record.spec.id);
     else if constexpr (std::is_same_v<T, core::JobClosed>)
@@ -101,6 +102,7 @@
       else
         out.machines.push_back(e.machine);
     }
+    // NOLINTEND(bugprone-branch-clone)
   };
   std::visit(visit, *event);
   return out;
--- a/src/history/pack.hpp
+++ b/src/history/pack.hpp
@@ -171,6 +171,15 @@
     throw DecodeError("kind " + std::to_string(index) + " is unknown");
 }
 
+template <class T>
+void read_struct(const msgpack::object& from, T& value) {
+  T::fields(value, [&](auto&... field) {
+    const auto& parts = array_of(from, sizeof...(field));
+    std::size_t at = 0;
+    (read(parts.ptr[at++], field), ...);
+  });
+}
+
 }  // namespace detail
 
 template <class T>
@@ -203,11 +212,7 @@
   } else if constexpr (detail::Container<T>) {
     detail::read_container(from, value);
   } else if constexpr (detail::Struct<T>) {
-    T::fields(value, [&](auto&... field) {
-      const auto& parts = detail::array_of(from, sizeof...(field));
-      std::size_t at = 0;
-      (read(parts.ptr[at++], field), ...);
-    });
+    detail::read_struct(from, value);
   } else {
     try {
       from.convert(value);
