--- a/src/api/operator_api.cpp
+++ b/src/api/operator_api.cpp
@@ -81,8 +81,8 @@
     if (forwarded) return respond(error(503, "this controller does not lead", kRetry));
     return forward(id, respond);
   }
-  const auto explanation =
-      diagnostics::explain_placement(*controller, environment_.teams, environment_.types(), id, now);
+  const auto explanation = diagnostics::explain_placement(*controller, environment_.teams,
+                                                          environment_.types(), id, now);
   if (!explanation) return respond(error(404, "no such open job"));
   respond({200, explanation_text(*explanation), {}});
 }
--- a/src/core/controller_summary.cpp
+++ b/src/core/controller_summary.cpp
@@ -82,8 +82,8 @@
        << " draining=" << machines.draining;
   for (const auto& [name, use] : machines.types) print_type(text, name, use);
   if (recovery.recovering())
-    text << " recovering, " << recovery.unconfirmed_count() << " unconfirmed machines, " << tasks.blocked
-         << " waiting tasks may be on them";
+    text << " recovering, " << recovery.unconfirmed_count() << " unconfirmed machines, "
+         << tasks.blocked << " waiting tasks may be on them";
   return text.str();
 }
 
