--- a/src/agent/command_sender.cpp
+++ b/src/agent/command_sender.cpp
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include "agent/agent_codec.hpp"
+#include "net/http_status.hpp"
 
 namespace violetpulley::agent {
 
@@ -17,8 +18,6 @@
 /// A request holds at most 64 KiB; commands that do not fit go with the next request.
 constexpr std::size_t kMaxCommands = 500;
 constexpr std::size_t kMaxResponseBytes = 1 << 20;
-constexpr int kOk = 200;
-constexpr int kConflict = 409;  // the agent refuses the commands, and answers with its heartbeat
 
 }  // namespace
 
@@ -83,7 +82,9 @@
 
 std::optional<core::Heartbeat> CommandSender::decode_answer(
     const core::MachineId& machine, const std::optional<net::Response>& response) const {
-  if (!response || (response->status != kOk && response->status != kConflict)) {
+  // With a conflict the agent refuses the commands, and answers with its heartbeat.
+  if (!response ||
+      (response->status != net::kStatusOk && response->status != net::kStatusConflict)) {
     spdlog::debug("machine {}: commands not answered", machine);
     return std::nullopt;
   }
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <iterator>
 
+#include "net/http_status.hpp"
+
 namespace violetpulley::cloud {
 
 using core::Clock;
@@ -17,10 +19,10 @@
 constexpr milliseconds kTimeout{5000};
 constexpr milliseconds kPauseAfterTooManyRequests{400};
 constexpr std::size_t kConnections = 8;
-constexpr int kStatusOk = 200;
-constexpr int kStatusTooManyRequests = 429;
 
-bool is_ok(const OptionalResponse& response) { return response && response->status == kStatusOk; }
+bool is_ok(const OptionalResponse& response) {
+  return response && response->status == net::kStatusOk;
+}
 
 }  // namespace
 
@@ -67,7 +69,7 @@
   client_.request(
       std::move(waiting.request), kTimeout,
       lifetime_.guard([this, done = std::move(waiting.handler)](OptionalResponse response) {
-        if (response && response->status == kStatusTooManyRequests)
+        if (response && response->status == net::kStatusTooManyRequests)
           resume_at_ = Clock::now() + kPauseAfterTooManyRequests;
         done(std::move(response));
       }));
--- a/src/cloud/cloud_codec.cpp
+++ b/src/cloud/cloud_codec.cpp
@@ -5,6 +5,8 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
+#include "net/http_status.hpp"
+
 namespace violetpulley::cloud {
 
 using core::Seconds;
@@ -41,9 +43,6 @@
 constexpr const char* kFailed = "failed";
 constexpr const char* kNoCapacity = "no capacity";
 
-constexpr int kStatusOk = 200;
-constexpr int kStatusUnavailable = 503;
-
 // A finite number that is not negative.
 double amount(const Json& item, const char* name) {
   const auto value = item.at(name).get<double>();
@@ -121,16 +120,16 @@
   result.kind = Kind::refused;
   try {
     const auto body = Json::parse(response->body);
-    if (response->status == kStatusOk) {
+    if (response->status == net::kStatusOk) {
       result.machines = body.at(field::kMachines).get<std::vector<std::string>>();
       result.kind = Kind::granted;
-    } else if (response->status == kStatusUnavailable &&
+    } else if (response->status == net::kStatusUnavailable &&
                body.value(field::kError, "") == kNoCapacity) {
       result.kind = Kind::no_capacity;
     }
   } catch (const Json::exception& problem) {
     spdlog::warn("the cloud's answer to a request of machines is malformed: {}", problem.what());
-    if (response->status == kStatusOk) result.kind = Kind::unknown;
+    if (response->status == net::kStatusOk) result.kind = Kind::unknown;
   }
   return result;
 }
--- a/src/node/catalog_source.cpp
+++ b/src/node/catalog_source.cpp
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include "store/store_keys.hpp"
+
 namespace violetpulley {
 
 using std::chrono::milliseconds;
@@ -14,7 +16,6 @@
 constexpr std::chrono::seconds kInterval{30};
 constexpr milliseconds kCloudRetry{1500};
 /// Key of the leader in the state service; its revision is the fencing token.
-constexpr const char* kLeaderKey = "leader";
 
 }  // namespace
 
@@ -46,7 +47,7 @@
 }
 
 void CatalogSource::fetch_from_store() {
-  store_.get(kCatalogKey, RequestPriority::background,
+  store_.get(store::kCatalogKey, RequestPriority::background,
              lifetime_.guard([this](const store::GetResult& result) {
                if (result.outcome == Outcome::ok && adopt_stored(result.item.value)) return;
                fetch_from_cloud();
@@ -80,8 +81,8 @@
 }
 
 void CatalogSource::save(const std::string& body) {
-  const store::Transaction transaction{{{kLeaderKey, leadership_.token()}},
-                                       {{kCatalogKey, Json::parse(body), std::nullopt}}};
+  const store::Transaction transaction{{{store::kLeaderKey, leadership_.token()}},
+                                       {{store::kCatalogKey, Json::parse(body), std::nullopt}}};
   store_.commit(transaction, RequestPriority::background,
                 lifetime_.guard([this](const store::TransactionResult& result) {
                   saved_ = result.outcome == Outcome::ok;
--- a/src/node/catalog_source.hpp
+++ b/src/node/catalog_source.hpp
@@ -12,9 +12,6 @@
 
 namespace violetpulley {
 
-/// Key of the stored catalog in the state service.
-inline const std::string kCatalogKey = "catalog";
-
 class CatalogSource {
  public:
   using Types = std::vector<core::MachineType>;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include "node/store_share.hpp"
+#include "store/store_keys.hpp"
 #include "wall_clock.hpp"
 
 namespace violetpulley {
@@ -199,7 +200,7 @@
 
 // Any key would do: the answer alone shows that the state service is in reach.
 void Node::check_store() {
-  store_.get(kCatalogKey, RequestPriority::background,
+  store_.get(store::kCatalogKey, RequestPriority::background,
              lifetime_.guard([this](const store::GetResult& result) {
                if (result.outcome == Outcome::ok || result.outcome == Outcome::not_found)
                  health_.note_store_answer(Clock::now());
--- a/src/store/request_pacer.cpp
+++ b/src/store/request_pacer.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 
+#include "net/http_status.hpp"
 #include "store/store_codec.hpp"
 
 namespace violetpulley::store {
@@ -104,7 +105,7 @@
                   lifetime_.guard([this, lane, sent = Clock::now(), waiting = std::move(waiting)](
                                       std::optional<net::Response> response) mutable {
                     note_response(response, sent);
-                    if (response && response->status == kStatusTooManyRequests &&
+                    if (response && response->status == net::kStatusTooManyRequests &&
                         Clock::now() < waiting.retry_until) {
                       lanes_[lane].push_front(std::move(waiting));
                       return send_waiting();
@@ -121,7 +122,7 @@
   else if (!unanswered_since_)
     unanswered_since_ = sent;
   if (!response) return;
-  if (response->status == kStatusTooManyRequests)
+  if (response->status == net::kStatusTooManyRequests)
     back_off();
   else
     back_off_ = milliseconds(0);
--- a/src/store/store_codec.cpp
+++ b/src/store/store_codec.cpp
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include "net/http_status.hpp"
+
 namespace violetpulley::store {
 
 namespace {
@@ -33,11 +35,6 @@
 constexpr const char* kLeasesPath = "/holds";
 constexpr const char* kItemsPerPage = "1000";
 
-constexpr int kStatusOk = 200;
-constexpr int kStatusNotFound = 404;
-constexpr int kStatusConflict = 409;
-constexpr int kStatusGone = 410;
-
 Json encode_write(const Write& write) {
   if (!write.value) return Json{{field::kDelete, write.key}};
   Json put{{field::kWrite, write.key}, {field::kValue, *write.value}};
@@ -120,13 +117,13 @@
 Outcome decode_outcome(const std::optional<net::Response>& response) {
   if (!response) return Outcome::unknown;
   switch (response->status) {
-    case kStatusOk:
+    case net::kStatusOk:
       return Outcome::ok;
-    case kStatusNotFound:
+    case net::kStatusNotFound:
       return Outcome::not_found;
-    case kStatusConflict:
+    case net::kStatusConflict:
       return Outcome::conflict;
-    case kStatusGone:
+    case net::kStatusGone:
       return Outcome::too_old;
     default:
       return Outcome::refused;
--- a/src/store/store_codec.hpp
+++ b/src/store/store_codec.hpp
@@ -10,9 +10,6 @@
 
 namespace violetpulley::store {
 
-/// HTTP status of a request that was not executed since the rate limits are exceeded.
-inline constexpr int kStatusTooManyRequests = 429;
-
 net::Request encode_get(const std::string& key);
 /// One page of the keys with `prefix`, from after the key `since`; an empty `since`: the first
 /// page.
