--- a/src/agent/agent_codec.cpp
+++ b/src/agent/agent_codec.cpp
@@ -131,7 +131,7 @@
     status.cause =
         value_of(item.at(wire::kExitCause).get<std::string>(), kExitCauses, "exit cause");
   const auto stored = item.find(wire::kStored);
-  status.stored = stored != item.end() && stored->is_boolean() && stored->get<bool>();
+  status.checkpoint_saved = stored != item.end() && stored->is_boolean() && stored->get<bool>();
   return status;
 }
 
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -46,9 +46,9 @@
   if (timer_running_) return;
   while (!queue_.empty()) {
     const auto now = Clock::now();
-    const auto wait = std::max(rate_.wait_for(now), resume_at_ - now);
+    const auto wait = std::max(rate_.time_until_available(now), resume_at_ - now);
     if (wait > core::Duration::zero()) return send_waiting_after(wait);
-    rate_.force(now);
+    rate_.force_take(now);
     auto next = std::move(queue_.front());
     queue_.pop_front();
     launch(std::move(next));
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -48,7 +48,7 @@
   std::chrono::milliseconds clock_skew{0};
   std::vector<core::Team> teams;
   std::vector<Objective> objectives;
-  core::WorkerTimes workers;
+  core::AgentTimes workers;
   double state_requests_per_s = 0;
   double state_writes_per_s = 0;
   double state_value_kib = 16;
--- a/src/core/autoscaling/scale_out_planner.cpp
+++ b/src/core/autoscaling/scale_out_planner.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 void ScaleOutPlanner::round(const std::vector<Candidate>& queue, TimePoint now) {
-  if (now - last_scale_ < to_duration(settings_.tuning.round)) return;
+  if (now - last_scale_ < to_duration(settings_.tuning.round_interval)) return;
   auto unplaced = unplaced_tasks(queue);
   if (unplaced.empty() && !scarcity_.has_gangs()) return;
   last_scale_ = now;
@@ -42,7 +42,7 @@
   for (const auto& candidate : queue) {
     const auto& job = *candidate.job;
     const auto& spec = job.spec();
-    const auto quota_left = task_starter_.quota_left(spec.team);
+    const auto quota_left = task_starter_.remaining_quota(spec.team);
     if (!quota_left || job.gang() || job.suspected) continue;
     auto& team_left = quota_left_by_team.try_emplace(spec.team, *quota_left).first->second;
     ScalerJob entry{&spec, candidate.estimate, unplaced_tasks_of(job, team_left), {}};
@@ -99,7 +99,7 @@
   // Exception to the design: an expensive offering is requested only for work that has waited,
   // since capacity on a cheap machine may come first (docs/design.md, "Expensive machines last").
   const bool waited =
-      !spec.spot_allowed || forecaster_.age(job, now) > settings_.tuning.on_demand_patience;
+      !spec.spot_allowed || forecaster_.age(job, now) > settings_.tuning.on_demand_wait;
   return (waited || !catalog_.expensive(offering.type->name, offering.spot)) &&
          !scarcity_.reserved_for_others(spec, offering.type->name) &&
          zone_allowed(spec, task_starter_.zone_use(job), offering.zone);
@@ -189,7 +189,7 @@
     gang_scheduler_.machine_granted(group.gang, machine);
     bindings_.rebind(std::move(group.tasks), name, machine.id);
   }
-  last_scale_ = now - to_duration(settings_.tuning.round);
+  last_scale_ = now - to_duration(settings_.tuning.round_interval);
   out_.want_placing();
 }
 
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -134,7 +134,7 @@
 // The cloud's answer proves that the machine and all its tasks are gone.
 void Controller::forget_returned_machine(Machine& machine, TimePoint now) {
   const MachineId id = machine.id;
-  assignments_.lose_all(machine, now);
+  assignments_.requeue_all(machine, now);
   gang_scheduler_.machine_gone(machine);
   bindings_.machine_gone(id);
   recovery_.confirm(id);
--- a/src/core/dispatch/command_dispatcher.cpp
+++ b/src/core/dispatch/command_dispatcher.cpp
@@ -163,7 +163,7 @@
     if (!assignment.seen) oldest_unseen = std::min(oldest_unseen, assignment.attempt);
   }
   const bool unresponsive = machine.unanswered_commands > 0;
-  return {unresponsive ? UrgencyRank::unresponsive : UrgencyRank::usual, oldest_unseen};
+  return {unresponsive ? UrgencyRank::unresponsive : UrgencyRank::normal, oldest_unseen};
 }
 
 // Stops are safety traffic; machines that are likely dead leave half of the window to the others.
@@ -173,7 +173,7 @@
       return window_.admits_stops();
     case UrgencyRank::unresponsive:
       return window_.admits_unresponsive();
-    case UrgencyRank::usual:
+    case UrgencyRank::normal:
       break;
   }
   return window_.admits();
--- a/src/core/dispatch/command_dispatcher.hpp
+++ b/src/core/dispatch/command_dispatcher.hpp
@@ -82,11 +82,11 @@
 
  private:
   /// Smaller is more urgent.
-  enum class UrgencyRank { stops, usual, unresponsive };
+  enum class UrgencyRank { stops, normal, unresponsive };
 
   /// Order in which machines get their batches: by rank, then by the oldest unconfirmed attempt.
   struct Urgency {
-    UrgencyRank rank = UrgencyRank::usual;
+    UrgencyRank rank = UrgencyRank::normal;
     Attempt oldest_unseen_attempt = 0;
     friend auto operator<=>(const Urgency&, const Urgency&) = default;
   };
--- a/src/core/dispatch/rate_limiter.hpp
+++ b/src/core/dispatch/rate_limiter.hpp
@@ -25,24 +25,24 @@
   }
 
   /// Takes `amount` even from an empty bucket: for safety traffic, which then delays the rest.
-  void force(TimePoint now, double amount = 1.0) {
+  void force_take(TimePoint now, double amount = 1.0) {
     refill(now);
     level_ -= amount;
   }
 
   /// Time until `take` of this amount succeeds; zero if it would now.
-  Duration wait_for(TimePoint now, double amount = 1.0) {
+  Duration time_until_available(TimePoint now, double amount = 1.0) {
     refill(now);
-    const double lacking = std::min(amount, burst_) - level_;
-    if (lacking <= 0) return Duration::zero();
-    return to_duration(Seconds(lacking / per_second_)) + std::chrono::milliseconds(1);
+    const double deficit = std::min(amount, burst_) - level_;
+    if (deficit <= 0) return Duration::zero();
+    return to_duration(Seconds(deficit / per_second_)) + std::chrono::milliseconds(1);
   }
 
   /// Time in which `amount` accumulates, also beyond one burst; zero if the bucket holds it.
-  Duration wait_until(TimePoint now, double amount) {
+  Duration time_to_accumulate(TimePoint now, double amount) {
     refill(now);
-    const double lacking = amount - level_;
-    return lacking <= 0 ? Duration::zero() : to_duration(Seconds(lacking / per_second_));
+    const double deficit = amount - level_;
+    return deficit <= 0 ? Duration::zero() : to_duration(Seconds(deficit / per_second_));
   }
 
   /// Refill rate, per second.
--- a/src/core/dispatch/socket_budget.hpp
+++ b/src/core/dispatch/socket_budget.hpp
@@ -21,7 +21,7 @@
 
 /// How many sockets each use may take.
 struct SocketShares {
-  std::size_t own = 0;         ///< State service, cloud, peers, listeners, files.
+  std::size_t internal = 0;    ///< State service, cloud, peers, listeners, files.
   std::size_t heartbeats = 0;  ///< Kept open for agents; a connection beyond the share is closed
                                ///< after its answer.
   std::size_t users = 0;       ///< Kept open for users and health checks, likewise.
@@ -30,7 +30,7 @@
   /// Connections that may be accepted at all: a connection beyond a share has to be answered before
   /// it is closed.
   std::size_t accepted(std::size_t sockets) const {
-    return sockets > own + commands ? sockets - own - commands : 0;
+    return sockets > internal + commands ? sockets - internal - commands : 0;
   }
 };
 
@@ -42,23 +42,23 @@
 /// than that the last ones connect anew for each heartbeat, and commands and users keep a minimal
 /// share: slower, but nobody is shut out.
 inline SocketShares share_sockets(const SocketBudget& budget, std::size_t machines) {
-  constexpr std::size_t kMinOwn = 40;
-  constexpr std::size_t kPerNode = 4;
+  constexpr std::size_t kMinInternal = 40;
+  constexpr std::size_t kInternalPerNode = 4;
   constexpr std::size_t kMinShare = 8;        // of commands, and of users
   constexpr std::size_t kSpareMachines = 16;  // beside the tenth of all machines
   SocketShares shares;
-  const auto all = std::max<std::size_t>(budget.sockets, 2 * kMinOwn);
-  shares.own = std::min(all / 2, kMinOwn + kPerNode * budget.nodes);
-  const auto divisible = all - shares.own;
+  const auto all = std::max<std::size_t>(budget.sockets, 2 * kMinInternal);
+  shares.internal = std::min(all / 2, kMinInternal + kInternalPerNode * budget.nodes);
+  const auto divisible = all - shares.internal;
   const auto min_share = std::max<std::size_t>(kMinShare, divisible / 10);
   shares.heartbeats =
       std::min(machines + machines / 10 + kSpareMachines, divisible - 2 * min_share);
   // Nine tenths of all sockets are enough for everything: the last tenth stays unused where
   // possible, so that a leak of ours shows before it does harm.
-  const auto left = divisible - shares.heartbeats;
-  const auto spare = std::min(all / 10, left - 2 * min_share);
-  shares.commands = std::max(min_share, (left - spare) / 2);
-  shares.users = std::max(min_share, left - spare - shares.commands);
+  const auto remainder = divisible - shares.heartbeats;
+  const auto spare = std::min(all / 10, remainder - 2 * min_share);
+  shares.commands = std::max(min_share, (remainder - spare) / 2);
+  shares.users = std::max(min_share, remainder - spare - shares.commands);
   return shares;
 }
 
--- a/src/core/dispatch/task_starter.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -47,7 +47,7 @@
   return fits_limit(spec, tasks, fleet_.team_use(spec.team) + recovery_.possible_use());
 }
 
-std::optional<Resources> TaskStarter::quota_left(const std::string& team) const {
+std::optional<Resources> TaskStarter::remaining_quota(const std::string& team) const {
   const auto found = catalog_.teams().find(team);
   if (found == catalog_.teams().end()) return std::nullopt;
   return limit_of(found->second) - possible_use(team);
--- a/src/core/dispatch/task_starter.hpp
+++ b/src/core/dispatch/task_starter.hpp
@@ -68,7 +68,7 @@
   bool within_limit_without_ended(const JobSpec& spec, std::size_t tasks) const;
 
   /// Resources that the team may still use; nothing for unknown teams.
-  std::optional<Resources> quota_left(const std::string& team) const;
+  std::optional<Resources> remaining_quota(const std::string& team) const;
 
   /// The zones in which tasks of the job are or may be; empty unless the job has `same_zone` or
   /// `spread`.
--- a/src/core/failover/assignments.cpp
+++ b/src/core/failover/assignments.cpp
@@ -22,7 +22,7 @@
   return assignment;
 }
 
-void Assignments::drop(Machine& machine, const TaskKey& key, TimePoint now, bool stored) {
+void Assignments::drop(Machine& machine, const TaskKey& key, TimePoint now, bool checkpoint_saved) {
   const auto assignment = machine.tasks.find(key);
   if (assignment == machine.tasks.end()) return;
   fleet_.before_change(machine);
@@ -32,20 +32,20 @@
     if (assignment->second.running_since && !assignment->second.orphaned) {
       auto& job = found->second;
       if (job.running > 0) --job.running;
-      record_saved_progress(job, key, assignment->second, now, stored);
+      record_saved_progress(job, key, assignment->second, now, checkpoint_saved);
     }
   }
   fleet_.unassign(machine, key);
 }
 
 void Assignments::record_saved_progress(Job& job, const TaskKey& key, const Assignment& assignment,
-                                        TimePoint now, bool stored) {
+                                        TimePoint now, bool checkpoint_saved) {
   // Tasks of a gang make their checkpoints together.
   auto& saved = job.tasks[job.gang() ? 0 : key.index].saved;
   const auto until = assignment.stop_since.value_or(now);
   const Seconds run_time = assignment.saved + Seconds(until - *assignment.running_since);
   const auto checkpoint_every = job.spec().checkpoint_every;
-  if (stored)
+  if (checkpoint_saved)
     saved = std::max(saved, run_time);
   else if (checkpoint_every > Seconds(0))
     saved = std::max(saved, checkpoint_every * std::floor(run_time / checkpoint_every));
@@ -70,7 +70,7 @@
   out_.want_placing();
 }
 
-void Assignments::lose_all(Machine& machine, TimePoint now) {
+void Assignments::requeue_all(Machine& machine, TimePoint now) {
   while (!machine.tasks.empty()) {
     const auto key = machine.tasks.begin()->first;
     const bool orphaned = machine.tasks.begin()->second.orphaned;
--- a/src/core/failover/assignments.hpp
+++ b/src/core/failover/assignments.hpp
@@ -28,8 +28,8 @@
   /// Marks the task as running since `now`. `job`: null if it has ended.
   void mark_running(Assignment& assignment, Job* job, TimePoint now);
   /// Removes the assignment: nothing of it is on the machine any more. The task of the job keeps
-  /// its phase. `stored`: its progress was saved when it was stopped.
-  void drop(Machine& machine, const TaskKey& key, TimePoint now, bool stored = false);
+  /// its phase. `checkpoint_saved`: its progress was saved when it was stopped.
+  void drop(Machine& machine, const TaskKey& key, TimePoint now, bool checkpoint_saved = false);
   /// Makes a running task one whose start is unanswered: the machine has lost the task, and a
   /// delayed start command may bring it back under the same attempt.
   void reset_to_unseen(Machine& machine, const TaskKey& key, TimePoint now);
@@ -37,11 +37,11 @@
   void requeue(const TaskKey& key);
   /// Removes all assignments of a machine that has lost its tasks, and its ended attempts that a
   /// delayed start might have run again; requeues the tasks that are still needed.
-  void lose_all(Machine& machine, TimePoint now);
+  void requeue_all(Machine& machine, TimePoint now);
 
  private:
   void record_saved_progress(Job& job, const TaskKey& key, const Assignment& assignment,
-                             TimePoint now, bool stored);
+                             TimePoint now, bool checkpoint_saved);
 
   Outbox& out_;
   Fleet& fleet_;
--- a/src/core/failover/doubt_resolver.cpp
+++ b/src/core/failover/doubt_resolver.cpp
@@ -34,18 +34,18 @@
 }
 
 /// Tasks that start together, or the smallest number that can start.
-std::size_t tasks_at_once(const Job& job) { return job.gang() ? job.waiting.size() : 1; }
+std::size_t min_tasks_to_start(const Job& job) { return job.gang() ? job.waiting.size() : 1; }
 
 }  // namespace
 
 void DoubtResolver::settle_machines(TimePoint now) {
-  settle_full_memories(now);
+  settle_for_heartbeat_size(now);
   if (ended_attempts_.empty()) return;
   settle_for_zones(now);
-  settle_for_limits(now);
+  settle_for_team_limits(now);
 }
 
-void DoubtResolver::settle_full_memories(TimePoint now) {
+void DoubtResolver::settle_for_heartbeat_size(TimePoint now) {
   for (const auto& [id, machine] : fleet_.all())
     if (machine.in_doubt_attempts.size() > kMaxAttemptsInDoubt) ended_attempts_.settle(id, now);
 }
@@ -59,21 +59,21 @@
   }
 }
 
-void DoubtResolver::settle_for_limits(TimePoint now) {
+void DoubtResolver::settle_for_team_limits(TimePoint now) {
   std::set<std::string> teams;
   for (const auto& [task, ended] : ended_attempts_.attempts()) teams.insert(ended.team);
   for (const auto& team : teams) {
-    const auto need = need_of(team, now);
+    const auto need = blocked_demand(team, now);
     if (!need.fits_in(Resources{})) settle_for_team(team, need, now);
   }
 }
 
-Resources DoubtResolver::need_of(const std::string& team, TimePoint now) const {
+Resources DoubtResolver::blocked_demand(const std::string& team, TimePoint now) const {
   // In the order of their names, so that equal states give equal sums.
   std::map<JobId, const Job*> blocked;
   for (const auto& [id, job] : jobs_) {
     if (job.spec().team != team || job.waiting.empty() || now < job.backoff_until) continue;
-    const auto tasks = tasks_at_once(job);
+    const auto tasks = min_tasks_to_start(job);
     if (!task_starter_.within_limit(job.spec(), tasks) &&
         task_starter_.within_limit_without_ended(job.spec(), tasks))
       blocked.emplace(id, &job);
--- a/src/core/failover/doubt_resolver.hpp
+++ b/src/core/failover/doubt_resolver.hpp
@@ -28,13 +28,13 @@
 
  private:
   /// Machines whose agents have to remember too many attempts, all of which enter each heartbeat.
-  void settle_full_memories(TimePoint now);
+  void settle_for_heartbeat_size(TimePoint now);
   /// Machines of jobs whose zone the ended attempts decide.
   void settle_for_zones(TimePoint now);
   /// Machines of teams whose jobs wait for their limit because of ended attempts.
-  void settle_for_limits(TimePoint now);
+  void settle_for_team_limits(TimePoint now);
   /// What the waiting jobs of a team need that the ended attempts keep from them.
-  Resources need_of(const std::string& team, TimePoint now) const;
+  Resources blocked_demand(const std::string& team, TimePoint now) const;
   /// Settles the machines with attempts of the team that cost least, until that makes `need` free.
   void settle_for_team(const std::string& team, Resources need, TimePoint now);
   std::size_t max_settling() const;
--- a/src/core/failover/heartbeat_handler.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -10,10 +10,10 @@
 using std::chrono::milliseconds;
 
 namespace {
-constexpr milliseconds kCommandRetry{1000};        // after commands without a response
-constexpr milliseconds kQueryRetry{100};           // after the first query without a response
-constexpr milliseconds kUnconfirmedRetry{50};      // after a response without our token
-constexpr milliseconds kPendingCommandRetry{500};  // commands that the response did not settle
+constexpr milliseconds kCommandRetryDelay{1000};        // after commands without a response
+constexpr milliseconds kFirstQueryRetryDelay{100};      // after the first query without a response
+constexpr milliseconds kUnconfirmedRetryDelay{50};      // after a response without our token
+constexpr milliseconds kPendingCommandRetryDelay{500};  // commands that the response did not settle
 
 // An attempt of a task in a heartbeat, without a copy of the task's key: each heartbeat sorts them.
 // The tasks of a gang share their attempt.
@@ -75,7 +75,7 @@
 void HeartbeatHandler::update_epoch(Machine& machine, const Heartbeat& heartbeat, TimePoint now) {
   if (machine.epoch != 0 && heartbeat.epoch > machine.epoch) {
     reconciler_.count(&ReconciliationStats::new_epochs);
-    assignments_.lose_all(machine, now);
+    assignments_.requeue_all(machine, now);
     failure_detector_.agent_restarted(machine);
   }
   fleet_.before_change(machine);
@@ -245,13 +245,13 @@
   // machine.
   const bool is_first_query =
       machine.unanswered_commands == 1 && recovery_.is_unconfirmed(machine.id);
-  machine.next_commands_at = now + (is_first_query ? kQueryRetry : kCommandRetry);
+  machine.next_commands_at = now + (is_first_query ? kFirstQueryRetryDelay : kCommandRetryDelay);
   commands_.mark_due(machine);
 }
 
 void HeartbeatHandler::schedule_next_commands(Machine& machine, bool was_confirmed, TimePoint now) {
   if (!machine.confirmed) {
-    machine.next_commands_at = now + kUnconfirmedRetry;
+    machine.next_commands_at = now + kUnconfirmedRetryDelay;
     commands_.mark_due(machine);
     return;
   }
@@ -261,7 +261,7 @@
   });
   if (!is_urgent) return;
   commands_.mark_due(machine);
-  machine.next_commands_at = was_confirmed ? now + kPendingCommandRetry : now;
+  machine.next_commands_at = was_confirmed ? now + kPendingCommandRetryDelay : now;
 }
 
 }  // namespace violetpulley::core
--- a/src/core/failover/leadership.hpp
+++ b/src/core/failover/leadership.hpp
@@ -12,17 +12,17 @@
 /// The leader key as this node knows it, and the time limits that follow from it.
 class Leadership {
  public:
-  Leadership(WorkerTimes times, std::chrono::milliseconds clock_skew)
+  Leadership(AgentTimes times, std::chrono::milliseconds clock_skew)
       : times_(times), margin_(margin(times, clock_skew)) {}
 
   /// Safety margin of the serving time: clock differences between nodes, and the time an agent
   /// takes to end its tasks.
-  static Seconds margin(const WorkerTimes& times, std::chrono::milliseconds clock_skew) {
+  static Seconds margin(const AgentTimes& times, std::chrono::milliseconds clock_skew) {
     return kBaseMargin + 2 * Seconds(clock_skew) + times.cancel * kCancelTimeShare;
   }
   /// The smallest `cancel_s` that leaves a leader time to serve. A read barrier is requested every
   /// 0.8 s, and a single response may be lost.
-  static Seconds min_cancel_time(const WorkerTimes& times, std::chrono::milliseconds clock_skew) {
+  static Seconds min_cancel_time(const AgentTimes& times, std::chrono::milliseconds clock_skew) {
     auto without_cancel = times;
     without_cancel.cancel = Seconds(0);
     // The margin contains a share of the cancel time itself.
@@ -85,7 +85,7 @@
   static constexpr Seconds kBaseMargin{0.5};         // what an agent takes to end its tasks
   static constexpr double kCancelTimeShare = 0.001;  // error of a clock over the cancel time
 
-  WorkerTimes times_;
+  AgentTimes times_;
   Seconds margin_;
   FencingToken token_ = 0;
   std::uint64_t store_lease_ = 0;
--- a/src/core/failover/reconciler.cpp
+++ b/src/core/failover/reconciler.cpp
@@ -13,7 +13,7 @@
 constexpr std::chrono::milliseconds kCostInterval{250};
 // Two queries and the travel time of their answers; a lost first packet is sent again after a
 // second.
-constexpr std::chrono::milliseconds kMinPatience{1000};
+constexpr std::chrono::milliseconds kMinResponseWait{1000};
 // A higher token is a change, which an agent reports after half a second at most.
 constexpr std::chrono::milliseconds kSecondHeartbeatDelay{1200};
 constexpr Seconds kDefaultBootTime{60};  // of a machine type that the catalog does not list
@@ -47,13 +47,13 @@
 }  // namespace
 
 void Reconciler::queue_unconfirmed() {
-  std::map<OfferingKey, std::size_t> tasks_by_kind;
+  std::map<OfferingKey, std::size_t> tasks_by_offering;
   std::vector<std::pair<std::size_t, MachineId>> order;
   for (const auto& id : recovery_.unconfirmed()) {
     const auto& machine = *fleet_.find(id);
-    const OfferingKey kind{machine.type, machine.zone, machine.spot};
-    auto [entry, is_new] = tasks_by_kind.try_emplace(kind, 0);
-    if (is_new) entry->second = tasks_possibly_on(kind);
+    const OfferingKey offering{machine.type, machine.zone, machine.spot};
+    auto [entry, is_new] = tasks_by_offering.try_emplace(offering, 0);
+    if (is_new) entry->second = tasks_possibly_on(offering);
     order.emplace_back(entry->second, id);
   }
   std::stable_sort(order.begin(), order.end(),
@@ -61,25 +61,26 @@
   for (auto& [tasks, id] : order) queue_.push_back(std::move(id));
 }
 
-std::size_t Reconciler::tasks_possibly_on(const OfferingKey& kind) const {
+std::size_t Reconciler::tasks_possibly_on(const OfferingKey& offering) const {
   std::size_t tasks = 0;
   for (const auto& [id, job] : jobs_.table())
-    if (job.from_former_leader && allowed_on(job.spec(), kind.type, kind.zone, kind.spot))
+    if (job.from_former_leader &&
+        allowed_on(job.spec(), offering.type, offering.zone, offering.spot))
       tasks += job.waiting.size();
   return tasks;
 }
 
 void Reconciler::query_machines(TimePoint now) {
   if (queue_.empty() && awaiting_second_heartbeat_.empty()) return;
-  auto room = commands_.available_slots();
+  auto slots = commands_.available_slots();
   const auto query = [&](const MachineId& id) {
     const auto* machine = fleet_.find(id);
     if (machine == nullptr || machine->confirmed) return;
     commands_.mark_due(*machine);
     ++queries_sent_;
-    --room;
+    --slots;
   };
-  while (room > 0 && !queue_.empty()) {
+  while (slots > 0 && !queue_.empty()) {
     const auto id = std::move(queue_.front());
     queue_.pop_front();
     const auto* machine = fleet_.find(id);
@@ -88,7 +89,7 @@
     else
       query(id);
   }
-  while (room > 0 && !awaiting_second_heartbeat_.empty() &&
+  while (slots > 0 && !awaiting_second_heartbeat_.empty() &&
          awaiting_second_heartbeat_.front().first <= now) {
     const auto id = std::move(awaiting_second_heartbeat_.front().second);
     awaiting_second_heartbeat_.pop_front();
@@ -117,13 +118,13 @@
   const auto type = catalog_.types().find(machine.type);
   const auto boot_time = type == catalog_.types().end() ? kDefaultBootTime : type->second.boot;
   return (boot_time + mean_blocked_run_time_ / 2.0) *
-         (settings_.tuning.still_alive *
+         (settings_.tuning.assumed_alive_share *
           static_cast<double>(places_on(machine.capacity, mean_task)));
 }
 
-void Reconciler::judge_silent_machines(TimePoint now) {
-  patience_exhausted_ = false;
-  if (!recovery_.recovering() || now - elected_at_ < kMinPatience) return;
+void Reconciler::evaluate_silent_machines(TimePoint now) {
+  wait_budget_exhausted_ = false;
+  if (!recovery_.recovering() || now - elected_at_ < kMinResponseWait) return;
   std::map<std::string, SilenceCount> zones;
   SilenceCount fleet;
   Seconds cost_of_returning{0};
@@ -138,10 +139,10 @@
   responsive_zones_.clear();
   for (const auto& [zone, count] : zones)
     if (count.is_within(max_share)) responsive_zones_.insert(zone);
-  patience_exhausted_ = fleet.is_within(max_share) && cost_.total() >= cost_of_returning;
+  wait_budget_exhausted_ = fleet.is_within(max_share) && cost_.total() >= cost_of_returning;
 }
 
-std::vector<const Machine*> Reconciler::machines_with_room(TimePoint now) const {
+std::vector<const Machine*> Reconciler::machines_with_free_cpus(TimePoint now) const {
   std::vector<const Machine*> machines;
   for (const auto& [id, machine] : fleet_.all())
     if (machine.free().cpus > 0 && task_starter_.placeable(machine, now))
@@ -171,11 +172,12 @@
   return work;
 }
 
-void Reconciler::note_cost(TimePoint now) {
-  if (!recovery_.recovering() || (cost_noted_ && now - *cost_noted_ < kCostInterval)) return;
-  const Seconds elapsed = cost_noted_ ? Seconds(now - *cost_noted_) : Seconds(0);
-  cost_noted_ = now;
-  const auto machines = machines_with_room(now);
+void Reconciler::accrue_waiting_cost(TimePoint now) {
+  if (!recovery_.recovering() || (cost_updated_at_ && now - *cost_updated_at_ < kCostInterval))
+    return;
+  const Seconds elapsed = cost_updated_at_ ? Seconds(now - *cost_updated_at_) : Seconds(0);
+  cost_updated_at_ = now;
+  const auto machines = machines_with_free_cpus(now);
   const auto work = blocked_work(machines, elapsed);
   if (work.tasks <= 0) return;
   mean_blocked_resources_ = work.resources * (1 / work.tasks);
--- a/src/core/failover/reconciler.hpp
+++ b/src/core/failover/reconciler.hpp
@@ -75,23 +75,23 @@
   /// `unresponsive_too_long` is true for silent machines once the wait has cost as much as
   /// returning all of them would: the total never exceeds twice the cost of the better choice (ski
   /// rental).
-  void judge_silent_machines(TimePoint now);
+  void evaluate_silent_machines(TimePoint now);
   /// Whether an unconfirmed machine was queried more than once without an answer. A machine that
   /// was not queried yet is not silent, however long ago the election was.
   bool silent(const Machine& machine) const {
     return recovery_.is_unconfirmed(machine.id) &&
-           machine.unanswered_commands >= kUnansweredQueriesOfSilentMachine;
+           machine.unanswered_commands >= kMinUnansweredQueries;
   }
   /// Whether a silent machine is not waited for any longer.
   bool unresponsive_too_long(const Machine& machine) const {
-    return patience_exhausted_ && silent(machine) && responsive_zones_.contains(machine.zone);
+    return wait_budget_exhausted_ && silent(machine) && responsive_zones_.contains(machine.zone);
   }
   /// Whether every machine has answered or missed a query, so that resources that are lacking now
   /// are really lacking.
   bool fleet_known(TimePoint now) const;
 
   /// Adds the cost of the tasks that are blocked now, once per interval.
-  void note_cost(TimePoint now);
+  void accrue_waiting_cost(TimePoint now);
   const ReconciliationCost& cost() const { return cost_; }
 
   /// Increments one of the counts while the recovery lasts.
@@ -104,13 +104,13 @@
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.queue_, s.awaiting_second_heartbeat_, s.queries_sent_, s.cost_, s.cost_noted_,
-      s.mean_blocked_resources_, s.mean_blocked_run_time_, s.patience_exhausted_,
+    f(s.queue_, s.awaiting_second_heartbeat_, s.queries_sent_, s.cost_, s.cost_updated_at_,
+      s.mean_blocked_resources_, s.mean_blocked_run_time_, s.wait_budget_exhausted_,
       s.responsive_zones_, s.stats_);
   }
 
  private:
-  static constexpr int kUnansweredQueriesOfSilentMachine = 2;
+  static constexpr int kMinUnansweredQueries = 2;
 
   /// Blocked tasks of all jobs, and what keeping them waiting costs since the last time.
   struct BlockedWork {
@@ -121,8 +121,8 @@
   };
 
   /// Number of tasks that may be running on a machine of this offering.
-  std::size_t tasks_possibly_on(const OfferingKey& kind) const;
-  std::vector<const Machine*> machines_with_room(TimePoint now) const;
+  std::size_t tasks_possibly_on(const OfferingKey& offering) const;
+  std::vector<const Machine*> machines_with_free_cpus(TimePoint now) const;
   BlockedWork blocked_work(const std::vector<const Machine*>& machines, Seconds elapsed) const;
   Seconds cost_of_declaring_dead(const Machine& machine) const;
 
@@ -139,10 +139,10 @@
   std::deque<std::pair<TimePoint, MachineId>> awaiting_second_heartbeat_;
   std::size_t queries_sent_ = 0;
   ReconciliationCost cost_;
-  std::optional<TimePoint> cost_noted_;
+  std::optional<TimePoint> cost_updated_at_;
   Resources mean_blocked_resources_;  ///< of a blocked task
   Seconds mean_blocked_run_time_{0};
-  bool patience_exhausted_ = false;
+  bool wait_budget_exhausted_ = false;
   std::set<std::string> responsive_zones_;  ///< zones without a mass event
   ReconciliationStats stats_;
 };
--- a/src/core/failover/recovery.cpp
+++ b/src/core/failover/recovery.cpp
@@ -38,9 +38,9 @@
     return std::any_of(job.waiting.begin(), job.waiting.end(),
                        [&](TaskIndex index) { return is_recorded_on_unconfirmed(job, index); });
   }
-  return std::any_of(unconfirmed_kinds_.begin(), unconfirmed_kinds_.end(),
-                     [&](const OfferingKey& kind) {
-                       return allowed_on(job.spec(), kind.type, kind.zone, kind.spot);
+  return std::any_of(unconfirmed_offerings_.begin(), unconfirmed_offerings_.end(),
+                     [&](const OfferingKey& offering) {
+                       return allowed_on(job.spec(), offering.type, offering.zone, offering.spot);
                      });
 }
 
@@ -91,10 +91,10 @@
 
 void Recovery::refresh() {
   possible_use_ = compute_possible_use();
-  unconfirmed_kinds_.clear();
+  unconfirmed_offerings_.clear();
   for (const auto& id : unconfirmed_)
     if (const auto* machine = fleet_.find(id))
-      unconfirmed_kinds_.insert({machine->type, machine->zone, machine->spot});
+      unconfirmed_offerings_.insert({machine->type, machine->zone, machine->spot});
 }
 
 }  // namespace violetpulley::core
--- a/src/core/failover/recovery.hpp
+++ b/src/core/failover/recovery.hpp
@@ -35,7 +35,7 @@
   /// Adds a machine on which an older leader may have started tasks.
   void add_unconfirmed(const Machine& machine) {
     unconfirmed_.insert(machine.id);
-    unconfirmed_kinds_.insert({machine.type, machine.zone, machine.spot});
+    unconfirmed_offerings_.insert({machine.type, machine.zone, machine.spot});
   }
   /// The machine has answered under our fencing token, or is gone.
   void confirm(const MachineId& id) { unconfirmed_.erase(id); }
@@ -73,7 +73,7 @@
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.former_leases_end_, s.recovering_, s.unconfirmed_, s.unconfirmed_kinds_,
+    f(s.former_leases_end_, s.recovering_, s.unconfirmed_, s.unconfirmed_offerings_,
       s.unknown_tasks_since_, s.possible_use_);
   }
 
@@ -91,7 +91,7 @@
   bool recovering_ = true;
   std::set<MachineId> unconfirmed_;
   /// Type, zone and spot of the unconfirmed machines; a superset between two calls of `refresh`.
-  std::set<OfferingKey> unconfirmed_kinds_;
+  std::set<OfferingKey> unconfirmed_offerings_;
   std::map<MachineId, TimePoint> unknown_tasks_since_;
   Resources possible_use_;
 };
--- a/src/core/failover/task_exit_handler.cpp
+++ b/src/core/failover/task_exit_handler.cpp
@@ -7,15 +7,15 @@
 namespace violetpulley::core {
 
 namespace {
-constexpr std::chrono::seconds kRestartDelay{1};  // of a task that ended without a failure
-constexpr Seconds kFirstPause{2};                 // of a suspected job
-constexpr std::size_t kMachinesOfFaultyJob = 3;   // failures on so many: the job is at fault
-constexpr int kMaxBackoffDoublings = 6;           // of one second
+constexpr std::chrono::seconds kRestartDelay{1};       // of a task that ended without a failure
+constexpr Seconds kInitialJobPause{2};                 // of a suspected job
+constexpr std::size_t kFaultyJobMachineThreshold = 3;  // failures on so many: the job is at fault
+constexpr int kMaxBackoffDoublings = 6;                // of one second
 }  // namespace
 
 void TaskExitHandler::handle(Machine& machine, const TaskStatus& status, TimePoint now) {
   const auto assignment = machine.tasks.at(status.task);
-  assignments_.drop(machine, status.task, now, status.stored);
+  assignments_.drop(machine, status.task, now, status.checkpoint_saved);
   out_.want_placing();
   const auto found = jobs_.find(status.task.job);
   if (found == jobs_.end()) {
@@ -89,7 +89,7 @@
   job.last_failure = now;
   // A job that fails on machine after machine was submitted with a mistake: it must neither be
   // retried without a pause nor put healthy machines into quarantine.
-  if (job.done == 0 && job.failed_on.size() >= kMachinesOfFaultyJob) {
+  if (job.done == 0 && job.failed_on.size() >= kFaultyJobMachineThreshold) {
     if (job.waiting.size() == job.tasks.size()) return suspect_job(job, now);
     const int doublings =
         std::min(static_cast<int>(job.failed_on.size()) - 2, kMaxBackoffDoublings);
@@ -106,7 +106,7 @@
 // The pause grows with each retry. By then each retry starts a single task: a retry of all tasks
 // would cost as much as the first start.
 void TaskExitHandler::suspect_job(Job& job, TimePoint now) {
-  const auto pause = std::clamp(job.pause * 2, kFirstPause, kLongestPause);
+  const auto pause = std::clamp(job.pause * 2, kInitialJobPause, kLongestPause);
   if (pause > job.pause) out_.push_back(JobSuspected{job.spec().id, job.failed_on.size(), pause});
   job.suspected = true;
   job.pause = pause;
--- a/src/core/jobs/deadline_forecaster.cpp
+++ b/src/core/jobs/deadline_forecaster.cpp
@@ -39,7 +39,7 @@
   return std::any_of(objectives.begin(), objectives.end(),
                      [&](const TardinessObjective& objective) {
                        return objective.job_class == spec.job_class &&
-                              age_at_end < *spec.deadline * objective.times;
+                              age_at_end < *spec.deadline * objective.deadline_multiple;
                      });
 }
 
--- a/src/core/jobs/run_time_estimator.hpp
+++ b/src/core/jobs/run_time_estimator.hpp
@@ -28,10 +28,10 @@
   /// Whether nothing has been learned.
   bool empty() const { return averages_.empty(); }
 
-  /// Expected run time of a whole task; `kEndless` for services. The user's estimate is taken as
-  /// given until enough tasks of the class have ended.
+  /// Expected run time of a whole task; `kUnboundedRunTime` for services. The user's estimate is
+  /// taken as given until enough tasks of the class have ended.
   Seconds estimate(const JobSpec& spec) const {
-    if (spec.shape == Shape::service) return kEndless;
+    if (spec.shape == Shape::service) return kUnboundedRunTime;
     const auto known = averages_.find(spec.job_class);
     const bool trusted = known != averages_.end() && known->second.count >= kMinTrustedCount;
     return spec.estimate * (trusted ? known->second.ratio : 1.0);
--- a/src/core/learned_state_handover.cpp
+++ b/src/core/learned_state_handover.cpp
@@ -99,8 +99,8 @@
 
 void LearnedStateHandover::apply_cooldown(const OfferingCooldown& cooldown, Seconds elapsed,
                                           TimePoint now) {
-  const auto left = std::min(cooldown.left - elapsed, settings_.tuning.refused_cooldown);
-  if (left > Seconds(0)) offerings_.start_cooldown(cooldown.option, now + to_duration(left));
+  const auto left = std::min(cooldown.remaining - elapsed, settings_.tuning.refused_cooldown);
+  if (left > Seconds(0)) offerings_.start_cooldown(cooldown.offering, now + to_duration(left));
 }
 
 }  // namespace violetpulley::core
--- a/src/core/machines/ended_attempts.hpp
+++ b/src/core/machines/ended_attempts.hpp
@@ -19,7 +19,7 @@
 
 /// Time after which a settled machine is returned although other tasks run on it. A cancellation
 /// may have been confirmed a serving time (`cancel_s` - `lease_s`) before it was known here.
-inline Seconds settling_time(const WorkerTimes& workers) { return workers.lease / 2; }
+inline Seconds settling_time(const AgentTimes& workers) { return workers.lease / 2; }
 
 /// What has become of a task whose attempt has ended in doubt.
 enum class EndedTask : std::uint8_t {
--- a/src/core/machines/machine_watch.cpp
+++ b/src/core/machines/machine_watch.cpp
@@ -105,7 +105,7 @@
   const auto interval = recovery_.recovering() ? kWatchIntervalWhileReconciling : kWatchInterval;
   if (now - last_watch_ < interval) return false;
   last_watch_ = now;
-  reconciler_.judge_silent_machines(now);
+  reconciler_.evaluate_silent_machines(now);
   failure_detector_.observe_fleet(now, serving);
   count_boots(now);
   Pass pass{now, last_proven, failure_detector_.most_machines_responsive(now)};
@@ -184,7 +184,7 @@
   // A machine that hangs does not end its tasks with its lease.
   if (CommandDispatcher::holds_cancelled_task(machine))
     request_release(machine, "silent with cancelled work", now);
-  assignments_.lose_all(machine, now);
+  assignments_.requeue_all(machine, now);
 }
 
 void MachineWatch::save_images(Machine& machine, Pass& pass) {
--- a/src/core/model/actions.hpp
+++ b/src/core/model/actions.hpp
@@ -27,12 +27,12 @@
 /// Writes a machine's record.
 struct SaveMachine {
   MachineRecord record;
-  bool only_images = false;  ///< The machine is registered already: the record only spares fetches
-                             ///< after a failover.
+  bool only_images_changed = false;  ///< The machine is registered already: the record only spares
+                                     ///< fetches after a failover.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.record, s.only_images);
+    f(s.record, s.only_images_changed);
   }
 };
 
@@ -155,11 +155,11 @@
   TaskKey task;
   MachineId machine;
   Attempt attempt = 0;
-  Seconds at_most{0};  ///< The return of the machine is requested within this time.
+  Seconds max_hold_time{0};  ///< The return of the machine is requested within this time.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.task, s.machine, s.attempt, s.at_most);
+    f(s.task, s.machine, s.attempt, s.max_hold_time);
   }
 };
 
--- a/src/core/model/heartbeat.hpp
+++ b/src/core/model/heartbeat.hpp
@@ -32,13 +32,13 @@
   Attempt attempt = 0;
   TaskState state = TaskState::fetching;
   ExitCause cause = ExitCause::none;
-  bool stored = false;  ///< A checkpoint was saved when the task was stopped.
+  bool checkpoint_saved = false;  ///< A checkpoint was saved when the task was stopped.
 
   friend bool operator==(const TaskStatus&, const TaskStatus&) = default;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.task, s.attempt, s.state, s.cause, s.stored);
+    f(s.task, s.attempt, s.state, s.cause, s.checkpoint_saved);
   }
 };
 
--- a/src/core/model/job_spec.hpp
+++ b/src/core/model/job_spec.hpp
@@ -22,7 +22,7 @@
 
 /// Run time of a replica, which runs until its job is cancelled: counted as endless in place of an
 /// estimate, which gives replicas a run-time bin above all others (docs/design.md, "Services").
-inline constexpr Seconds kEndless{1e7};
+inline constexpr Seconds kUnboundedRunTime{1e7};
 
 /// What the user asked for.
 struct JobSpec {
--- a/src/core/model/learned_state.hpp
+++ b/src/core/model/learned_state.hpp
@@ -51,12 +51,12 @@
 
 /// A refused offering that is not requested for some time.
 struct OfferingCooldown {
-  OfferingKey option;
-  Seconds left{0};
+  OfferingKey offering;
+  Seconds remaining{0};
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.option, s.left);
+    f(s.offering, s.remaining);
   }
 };
 
--- a/src/core/model/settings.hpp
+++ b/src/core/model/settings.hpp
@@ -27,18 +27,18 @@
 /// Objective for late jobs of a class: done within this multiple of the job's deadline.
 struct TardinessObjective {
   std::string job_class;
-  double times = 1;
+  double deadline_multiple = 1;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.job_class, s.times);
+    f(s.job_class, s.deadline_multiple);
   }
 };
 
 /// Settings of a controller for the whole time it leads.
 struct ControllerSettings {
   std::vector<Team> teams;
-  WorkerTimes workers;
+  AgentTimes workers;
   Tuning tuning;
   double cloud_calls_per_s = 1;  ///< For requesting and returning machines, together.
   Seconds list_lag{10};          ///< How old the cloud's list of machines may be.
--- a/src/core/model/tuning.hpp
+++ b/src/core/model/tuning.hpp
@@ -9,7 +9,7 @@
 namespace violetpulley::core {
 
 /// Times of the agents, from the platform's settings file.
-struct WorkerTimes {
+struct AgentTimes {
   Seconds heartbeat_interval{3};
   Seconds lease{27};      ///< An agent without an answer for this long ends its tasks.
   Seconds cancel{47};     ///< A cancelled task has ended after this time.
@@ -27,9 +27,9 @@
   /// Run-time bin i spans 2^(i-1) to 2^i of these.
   Seconds bin_unit{1};
   /// Longest time between scheduling rounds, shortest between scaling rounds.
-  Seconds round{2};
+  Seconds round_interval{2};
   /// Shortest time between scheduling rounds after a job or capacity appeared.
-  Seconds quick_round{0.1};
+  Seconds min_round_interval{0.1};
   /// Time for which a machine must stay underused before it is drained.
   Seconds consolidation_wait{30};
   /// A machine is underused if the used share of every resource is below this.
@@ -51,7 +51,7 @@
   /// Errors of several jobs in a row after which a machine is quarantined.
   int quarantine_errors = 3;
   /// Waiting time after which a job that may use spot machines gets expensive machines.
-  Seconds on_demand_patience{40};
+  Seconds on_demand_wait{40};
   /// Time for which an empty expensive machine is kept.
   Seconds on_demand_idle_wait{10};
   /// Starts of gangs and services are committed before they are sent.
@@ -61,17 +61,17 @@
   /// Share of the machines that may be returned early after a failover.
   double max_declared_dead_share = 0.25;
   /// Share assumed alive of the machines that two probes did not reach.
-  double still_alive = 0.1;
+  double assumed_alive_share = 0.1;
   /// Objective for the start of every job, the largest included.
   Seconds begin_within{240};
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.bin_unit, s.round, s.quick_round, s.consolidation_wait, s.consolidation_threshold,
-      s.idle_wait, s.boot_late_factor, s.refused_cooldown, s.silent_after, s.lost_after,
-      s.lost_after_failover, s.bound_tasks_may_move, s.quarantine_errors, s.on_demand_patience,
-      s.on_demand_idle_wait, s.commit_starts, s.max_commands_in_flight, s.max_declared_dead_share,
-      s.still_alive, s.begin_within);
+    f(s.bin_unit, s.round_interval, s.min_round_interval, s.consolidation_wait,
+      s.consolidation_threshold, s.idle_wait, s.boot_late_factor, s.refused_cooldown,
+      s.silent_after, s.lost_after, s.lost_after_failover, s.bound_tasks_may_move,
+      s.quarantine_errors, s.on_demand_wait, s.on_demand_idle_wait, s.commit_starts,
+      s.max_commands_in_flight, s.max_declared_dead_share, s.assumed_alive_share, s.begin_within);
   }
 };
 
--- a/src/core/scheduling/gang_scale_out.cpp
+++ b/src/core/scheduling/gang_scale_out.cpp
@@ -76,7 +76,7 @@
   if (reserved != need.reserved_slots.end() && reserved->second >= max_tasks_in_zone(spec))
     return false;
   const bool waited =
-      !spec.spot_allowed || forecaster_.age(need.job, now) > settings_.tuning.on_demand_patience;
+      !spec.spot_allowed || forecaster_.age(need.job, now) > settings_.tuning.on_demand_wait;
   return waited || !catalog_.expensive(offering.type->name, offering.spot);
 }
 
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -60,9 +60,10 @@
 }  // namespace
 
 void Scheduler::round(TimePoint now) {
-  const bool round_due = now - last_round_ >= to_duration(settings_.tuning.round);
+  const bool round_due = now - last_round_ >= to_duration(settings_.tuning.round_interval);
   const bool quick_round_due =
-      out_.placing_wanted() && now - last_round_ >= to_duration(settings_.tuning.quick_round);
+      out_.placing_wanted() &&
+      now - last_round_ >= to_duration(settings_.tuning.min_round_interval);
   if (!round_due && !quick_round_due) return;
   last_round_ = now;
   out_.placing_begins();
@@ -93,7 +94,7 @@
   if (starts_left_ > 0) uncordon_draining(queue, now);
   preemption_.preempt_for_services(queue, now);
   out_.note_inspections(fleet_.all().size() + packer.inspections());
-  reconciler_.note_cost(now);
+  reconciler_.accrue_waiting_cost(now);
   scale_out(queue, now);
 }
 
@@ -203,7 +204,7 @@
   // Exception to the design: empty on-demand machines are left to work that may use no others
   // (docs/design.md, "On-demand machines").
   rules.spares_empty_expensive = scarcity_.on_demand_only_work() && spec.spot_allowed &&
-                                 forecaster_.age(job, now) < settings_.tuning.on_demand_patience;
+                                 forecaster_.age(job, now) < settings_.tuning.on_demand_wait;
   if (pass == ImagePass::holders_only && !image_wait_over(candidate, now))
     rules.min_image_rank = ImageRank::fetching;
   if (leaves_exclusive_types(candidate, now))
--- a/src/core/scheduling/starvation_guard.cpp
+++ b/src/core/scheduling/starvation_guard.cpp
@@ -36,7 +36,7 @@
 std::vector<ExpectedEnd> expected_ends(const Machine& machine, TimePoint now) {
   std::vector<ExpectedEnd> ends;
   for (const auto& [key, assignment] : machine.tasks) {
-    const auto left = runs_for_good(assignment) ? kEndless : remaining_of(assignment, now);
+    const auto left = runs_for_good(assignment) ? kUnboundedRunTime : remaining_of(assignment, now);
     ends.push_back({left, &assignment});
   }
   std::sort(ends.begin(), ends.end(), ends_before);
@@ -85,7 +85,7 @@
 // blocked the team for ever, since replicas of the same team ran.
 bool StarvationGuard::quota_suffices_in_time(const Job& job, std::size_t tasks) const {
   const auto& spec = job.spec();
-  auto available = task_starter_.quota_left(spec.team);
+  auto available = task_starter_.remaining_quota(spec.team);
   if (!available) return false;
   for (const auto& [id, machine] : fleet_.all())
     for (const auto& [key, assignment] : machine.tasks)
@@ -161,7 +161,7 @@
 Machine* StarvationGuard::machine_free_soonest(const Job& job, TimePoint now) {
   const auto zones = task_starter_.zone_use(job);
   Machine* soonest = nullptr;
-  Seconds min_left = kEndless;
+  Seconds min_left = kUnboundedRunTime;
   for (auto& [id, machine] : fleet_.all()) {
     if (!may_reserve(machine, job, zones, now)) continue;
     const auto left = time_until_capacity(machine, job.spec(), now);
@@ -180,7 +180,7 @@
     free += end.assignment->resources;
     if (spec.per_task.fits_in(free)) return end.left;
   }
-  return kEndless;
+  return kUnboundedRunTime;
 }
 
 }  // namespace violetpulley::core
--- a/src/history/heartbeat_changes.cpp
+++ b/src/history/heartbeat_changes.cpp
@@ -17,7 +17,7 @@
 std::uint64_t fingerprint(const core::TaskStatus& task) {
   const std::uint64_t rest = task.task.index ^ static_cast<std::uint64_t>(task.state) << 40U ^
                              static_cast<std::uint64_t>(task.cause) << 48U ^
-                             static_cast<std::uint64_t>(task.stored) << 56U;
+                             static_cast<std::uint64_t>(task.checkpoint_saved) << 56U;
   const auto seed = task.attempt * 0x9E3779B97F4A7C15ULL ^ rest * 0xC2B2AE3D27D4EB4FULL;
   return XXH3_64bits_withSeed(task.task.job.data(), task.task.job.size(), seed);
 }
--- a/src/leader/action_executor.cpp
+++ b/src/leader/action_executor.cpp
@@ -42,7 +42,7 @@
   auto& writer = services_.writer;
   const bool registered = !record.endpoint.empty();
   auto& table = registered ? writer.machines() : writer.provisioning();
-  const bool urgent = registered && !action.only_images;
+  const bool urgent = registered && !action.only_images_changed;
   table.put(record.id, store::machine_to_json(record), store::kMachineBytes,
             urgent ? WritePriority::urgent : WritePriority::deferred, now,
             [this, id = record.id, registered] {
@@ -173,7 +173,8 @@
   spdlog::info(
       "task {}/{} is held: attempt {} has ended on machine {}, where a delayed start may run it "
       "again; the return of the machine is requested within {:.0f} s",
-      action.task.job, action.task.index, action.attempt, action.machine, action.at_most.count());
+      action.task.job, action.task.index, action.attempt, action.machine,
+      action.max_hold_time.count());
 }
 
 void ActionExecutor::execute(const core::MachineLostTasks& action) {
--- a/src/store/request_pacer.cpp
+++ b/src/store/request_pacer.cpp
@@ -49,8 +49,8 @@
   const auto lane = lane_of(request, priority);
   const auto retry_until = now + request.timeout / 2;
   if (priority == RequestPriority::safety) {
-    requests_.force(now);
-    writes_.force(now, request.writes);
+    requests_.force_take(now);
+    writes_.force_take(now, request.writes);
     return launch({std::move(request), retry_until}, lane);
   }
   lanes_[lane].push_back({std::move(request), retry_until});
@@ -59,7 +59,7 @@
 
 void RequestPacer::send_watch(StoreRequest request) {
   const auto now = Clock::now();
-  requests_.force(now);
+  requests_.force_take(now);
   watch_client_.request(std::move(request.request), request.timeout,
                         lifetime_.guard([this, now, done = std::move(request.handler)](
                                             std::optional<net::Response> response) {
@@ -89,8 +89,8 @@
     const auto now = Clock::now();
     const auto wait = wait_of(queue.front().request, now);
     if (wait > core::Duration::zero()) return wait;
-    requests_.force(now);
-    writes_.force(now, queue.front().request.writes);
+    requests_.force_take(now);
+    writes_.force_take(now, queue.front().request.writes);
     auto next = std::move(queue.front());
     queue.pop_front();
     launch(std::move(next), lane);
@@ -136,8 +136,8 @@
 }
 
 core::Duration RequestPacer::wait_of(const StoreRequest& request, core::TimePoint now) {
-  auto wait = std::max(requests_.wait_for(now), resume_at_ - now);
-  if (request.writes > 0) wait = std::max(wait, writes_.wait_for(now, request.writes));
+  auto wait = std::max(requests_.time_until_available(now), resume_at_ - now);
+  if (request.writes > 0) wait = std::max(wait, writes_.time_until_available(now, request.writes));
   return wait;
 }
 
@@ -145,13 +145,13 @@
   double writes = 1;
   for (const auto& waiting : lanes_[user_writes]) writes += waiting.request.writes;
   const auto now = Clock::now();
-  return std::max(resume_at_ - now, writes_.wait_until(now, writes));
+  return std::max(resume_at_ - now, writes_.time_to_accumulate(now, writes));
 }
 
 core::Duration RequestPacer::expected_read_wait() {
   const auto now = Clock::now();
   const auto ahead = static_cast<double>(lanes_[user_reads].size()) + 1;
-  return std::max(resume_at_ - now, requests_.wait_until(now, ahead));
+  return std::max(resume_at_ - now, requests_.time_to_accumulate(now, ahead));
 }
 
 core::Duration RequestPacer::write_interval() const {
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -82,7 +82,7 @@
 
 TEST(Tuning, IsCheckedAndUnknownNamesAreRefused) {
   EXPECT_EQ(parse_operators("clearing_wait_s: 45").tuning.consolidation_wait, core::Seconds(45));
-  EXPECT_EQ(parse_operators("").tuning.round, core::Tuning{}.round);
+  EXPECT_EQ(parse_operators("").tuning.round_interval, core::Tuning{}.round_interval);
   EXPECT_THROW(parse_operators("clearing_wiat_s: 45"), SettingsError);
   EXPECT_THROW(parse_operators("round_s: fast"), SettingsError);
   EXPECT_EQ(parse_operators("why_address: 127.0.0.1:7400").why_address, "127.0.0.1:7400");
@@ -91,7 +91,7 @@
   const auto gentle = parse_operators("{most_orders: 64, most_given_up: 0, still_alive: 1}").tuning;
   EXPECT_EQ(gentle.max_commands_in_flight, 64U);
   EXPECT_EQ(gentle.max_declared_dead_share, 0);
-  EXPECT_EQ(gentle.still_alive, 1);
+  EXPECT_EQ(gentle.assumed_alive_share, 1);
   for (const char* bad :
        {"most_orders: 2", "most_orders: many", "most_given_up: 1.5", "still_alive: -1"})
     EXPECT_THROW(parse_operators(bad), SettingsError) << bad;
--- a/tests/core/autoscaling/scaler_test.cpp
+++ b/tests/core/autoscaling/scaler_test.cpp
@@ -90,8 +90,8 @@
     record.spec = spec_of(4, 4, Seconds(20));
     record.spec.spot_allowed = spot_allowed;
     record.revision = 9;
-    ControllerSettings settings{
-        {{"t", 0, 0, 0, 0}}, WorkerTimes{}, Tuning{}, 1.0, Seconds(10), {}, {}, {}};
+    ControllerSettings settings{{{"t", 0, 0, 0, 0}}, AgentTimes{}, Tuning{}, 1.0,
+                                Seconds(10),         {},           {},       {}};
     Controller controller(settings, 5, kNow, kNow, RecoveredState{});
     controller.set_catalog({type});
     controller.job_opened(record, kNow);
--- a/tests/core/dispatch/rate_limiter_test.cpp
+++ b/tests/core/dispatch/rate_limiter_test.cpp
@@ -15,7 +15,7 @@
   EXPECT_TRUE(limiter.take(now));
   EXPECT_TRUE(limiter.take(now));
   EXPECT_FALSE(limiter.take(now));
-  EXPECT_GT(limiter.wait_for(now), Duration::zero());
+  EXPECT_GT(limiter.time_until_available(now), Duration::zero());
   now += std::chrono::milliseconds(500);
   EXPECT_TRUE(limiter.take(now));
   EXPECT_FALSE(limiter.take(now));
--- a/tests/core/failover/leadership_test.cpp
+++ b/tests/core/failover/leadership_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 TEST(Leadership, ServesOnlyAsLongAsACancellationStillEndsInTime) {
-  WorkerTimes times{Seconds(3), Seconds(27), Seconds(47), Seconds(35), Seconds(4)};
+  AgentTimes times{Seconds(3), Seconds(27), Seconds(47), Seconds(35), Seconds(4)};
   Leadership leadership(times, std::chrono::milliseconds(25));
   EXPECT_FALSE(leadership.may_serve(kNow));
   leadership.record_read_barrier(kNow);
@@ -39,7 +39,7 @@
 TEST(Leadership, TheSmallestCancelTimeLeavesTimeToServe) {
   for (const double lease : {1.0, 24.0, 45.0})
     for (const int skew : {0, 25, 2000}) {
-      WorkerTimes times;
+      AgentTimes times;
       times.lease = Seconds(lease);
       times.cancel = Leadership::min_cancel_time(times, std::chrono::milliseconds(skew));
       const Leadership leadership(times, std::chrono::milliseconds(skew));
--- a/tests/core/failover/reconciliation_test.cpp
+++ b/tests/core/failover/reconciliation_test.cpp
@@ -18,16 +18,16 @@
     for (const std::size_t machines : {0, 50, 2112, 7000, 40'000}) {
       SCOPED_TRACE(std::to_string(sockets) + " sockets, " + std::to_string(machines));
       const auto shares = share_sockets({sockets, 5}, machines);
-      EXPECT_LE(shares.own + shares.heartbeats + shares.commands + shares.users, sockets);
+      EXPECT_LE(shares.internal + shares.heartbeats + shares.commands + shares.users, sockets);
       EXPECT_GE(shares.commands, 4U);
       EXPECT_GE(shares.users, 4U);
       EXPECT_GE(shares.heartbeats, std::min(machines, sockets / 3));
-      EXPECT_EQ(shares.accepted(sockets), sockets - shares.own - shares.commands);
+      EXPECT_EQ(shares.accepted(sockets), sockets - shares.internal - shares.commands);
     }
   // The users' larger fleet with half as many machines again: a tenth of the sockets is left.
   const auto shares = share_sockets({3494, 5}, 2112);
   EXPECT_GE(shares.heartbeats, 2112U);
-  EXPECT_LT(shares.own + 2112 + shares.commands + shares.users, 3494U * 9 / 10);
+  EXPECT_LT(shares.internal + 2112 + shares.commands + shares.users, 3494U * 9 / 10);
 }
 
 TEST(InFlightWindow, GrowsOnAnswersAndShrinksOnSlowAndMissingOnes) {
@@ -411,7 +411,7 @@
   }
   heartbeat("m1", {}, kToken - 1);
   last_heartbeats_.erase("m1");
-  const auto lease = WorkerTimes{}.lease;
+  const auto lease = AgentTimes{}.lease;
   for (int second = 0; second < 60; ++second) {
     heartbeat("m2", busy());
     run(Seconds(1));
@@ -467,7 +467,7 @@
   for (const auto* id : {"m3", "m4"}) heartbeat(id, {});
   last_heartbeats_.clear();
   unreachable_ = true;
-  const auto lease = WorkerTimes{}.lease;
+  const auto lease = AgentTimes{}.lease;
   for (int second = 0; Seconds(second) < lease / 2 + Seconds(2); ++second) {
     heartbeat("m2", busy());
     run(Seconds(1));
@@ -493,7 +493,7 @@
     }
     ASSERT_TRUE(started);
     EXPECT_EQ(*started < Seconds(32), gone) << started->count();
-    EXPECT_GT(*started, Seconds(1) + WorkerTimes{}.lease);
+    EXPECT_GT(*started, Seconds(1) + AgentTimes{}.lease);
   }
 }
 
--- a/tests/core/scale_test.cpp
+++ b/tests/core/scale_test.cpp
@@ -143,8 +143,8 @@
   }
   void execute(core::SaveMachine& save) {
     records_.put(save.record.id, store::Json{save.record.endpoint}, 260,
-                 save.only_images ? WritePriority::deferred : WritePriority::urgent, now_,
-                 [this, id = save.record.id, registered_before = save.only_images] {
+                 save.only_images_changed ? WritePriority::deferred : WritePriority::urgent, now_,
+                 [this, id = save.record.id, registered_before = save.only_images_changed] {
                    if (!registered_before) ++registered_;
                    controller_.machine_saved(id, true, true);
                  });
--- a/tests/core/scheduling/gangs_and_services_test.cpp
+++ b/tests/core/scheduling/gangs_and_services_test.cpp
@@ -18,8 +18,8 @@
     become_leader({});
   }
   void become_leader(const RecoveredState& recovered) {
-    ControllerSettings settings{{team_}, WorkerTimes{}, Tuning{}, 10.0, Seconds(10),
-                                {},      {{"c", 1.75}}, {}};
+    ControllerSettings settings{{team_},     AgentTimes{}, Tuning{},      10.0,
+                                Seconds(10), {},           {{"c", 1.75}}, {}};
     controller_ =
         std::make_unique<Controller>(settings, 5, now_, now_ + std::chrono::seconds(60), recovered);
     controller_->set_catalog({{"g4", {32, 4, 256}, 50, 1, 10.0, 4.0, Seconds(25), zones_}});
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -114,7 +114,7 @@
     EXPECT_EQ(task.attempt, index + 1);
     EXPECT_EQ(task.state, expected[index].first);
     EXPECT_EQ(task.cause, expected[index].second);
-    EXPECT_EQ(task.stored, index >= 4 && index % 2 == 1);
+    EXPECT_EQ(task.checkpoint_saved, index >= 4 && index % 2 == 1);
   }
 }
 
@@ -278,8 +278,8 @@
   EXPECT_EQ(state.machines[0].error_jobs, (std::vector<core::JobId>{"req-1", "req-9"}));
   EXPECT_TRUE(state.machines[0].quarantined);
   ASSERT_EQ(state.cooldowns.size(), 1U);
-  EXPECT_EQ(state.cooldowns[0].option, (core::OfferingKey{"large", "a", true}));
-  EXPECT_EQ(state.cooldowns[0].left, Seconds(12));
+  EXPECT_EQ(state.cooldowns[0].offering, (core::OfferingKey{"large", "a", true}));
+  EXPECT_EQ(state.cooldowns[0].remaining, Seconds(12));
 }
 
 peers::Status status_of(const Json& item) {
--- a/tests/simulation/catalog.hpp
+++ b/tests/simulation/catalog.hpp
@@ -10,7 +10,7 @@
 namespace violetpulley::core::simulated {
 
 /// Heartbeat interval, lease and the other times of the simulated agents.
-inline const WorkerTimes kAgentTimes{Seconds(3), Seconds(27), Seconds(47), Seconds(35), Seconds(4)};
+inline const AgentTimes kAgentTimes{Seconds(3), Seconds(27), Seconds(47), Seconds(35), Seconds(4)};
 /// Length of a step of the world.
 inline constexpr std::chrono::milliseconds kStep{100};
 /// Time at which every world begins.
--- a/tests/simulation/fleet_plan.hpp
+++ b/tests/simulation/fleet_plan.hpp
@@ -7,7 +7,7 @@
 namespace violetpulley::core::fleet_simulation {
 
 /// Times of the agents of the simulated fleet.
-inline const WorkerTimes kAgentTimes{Seconds(6), Seconds(31), Seconds(51), Seconds(35), Seconds(4)};
+inline const AgentTimes kAgentTimes{Seconds(6), Seconds(31), Seconds(51), Seconds(35), Seconds(4)};
 /// Name of the only machine type.
 inline constexpr const char* kMachineType = "bench";
 
--- a/tests/store/election_test.cpp
+++ b/tests/store/election_test.cpp
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kLongLease{600'000};
-const core::WorkerTimes kTimes{};
+const core::AgentTimes kTimes{};
 
 /// The parts of a controller that take part in an election.
 struct Process {
--- a/tests/store/two_controllers.hpp
+++ b/tests/store/two_controllers.hpp
@@ -13,8 +13,8 @@
 namespace violetpulley::store {
 
 /// Short, so that a run takes seconds; the inequality between the times is the same.
-inline core::WorkerTimes short_times() {
-  core::WorkerTimes times;
+inline core::AgentTimes short_times() {
+  core::AgentTimes times;
   times.heartbeat_interval = core::Seconds(0.1);
   times.lease = core::Seconds(1);
   times.cancel = core::Seconds(3.5);
--- a/tests/support/leader_with_agents.hpp
+++ b/tests/support/leader_with_agents.hpp
@@ -104,8 +104,8 @@
   /// How long a task of the job runs; a job that has ended is still known to the agents.
   Seconds run_time_of(const JobId& id) const {
     const auto found = controller_->jobs().find(id);
-    if (found == controller_->jobs().end()) return kEndless;
-    return found->second.service() ? kEndless : found->second.spec().estimate;
+    if (found == controller_->jobs().end()) return kUnboundedRunTime;
+    return found->second.service() ? kUnboundedRunTime : found->second.spec().estimate;
   }
   /// Runs a task for its estimate, or for a second if it fails.
   void start_task(Agent& agent, const Command& command) {
@@ -244,7 +244,7 @@
     return tasks;
   }
 
-  WorkerTimes times_;
+  AgentTimes times_;
   Seconds heartbeat_interval_{3};
   TimePoint now_ = TimePoint{} + std::chrono::hours(1);
   TimePoint heartbeats_start_{};
