--- a/src/core/dispatch/command_dispatcher.cpp
+++ b/src/core/dispatch/command_dispatcher.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Selection, order and sending of command batches.
 #include "core/dispatch/command_dispatcher.hpp"
 
 #include <algorithm>
@@ -14,7 +16,8 @@
   return {CommandType::stop, status.task, status.attempt, Seconds(0)};
 }
 
-// The agent is saving a checkpoint within its grace: a second stop would end the task.
+// Whether the agent is saving a checkpoint within the grace period: a second stop would end the
+// task before the checkpoint is complete.
 bool is_checkpointing(const Assignment& assignment) {
   return assignment.state == TaskState::checkpointing && assignment.grace > Seconds(0);
 }
@@ -22,9 +25,10 @@
 }  // namespace
 
 bool CommandDispatcher::acknowledgeable(const Machine& machine, const TaskStatus& status) const {
-  // Delayed packets may deliver a start a second time, and an agent that has forgotten the attempt
-  // would run the task anew. So an attempt whose start was ever left unanswered stays in the
-  // agent's memory until the agent epoch, the fencing token or the machine ends.
+  // Delayed packets may deliver a start a second time, and an agent that no longer remembers the
+  // attempt would run the task again. So an attempt with an unanswered start is never acknowledged:
+  // the agent remembers it until the agent epoch or the fencing token changes or the machine is
+  // gone.
   if (machine.in_doubt_attempts.contains(status.attempt)) return false;
   if (status.cause != ExitCause::done) return true;
   const auto found = jobs_.find(status.task.job);
@@ -53,10 +57,10 @@
   return commands;
 }
 
-// The statuses of an unconfirmed machine may be out of date, but a job that has ended has ended for
-// ever. The answer to the machine's heartbeat renews its lease, so the answer must carry these
-// stops: without them a task that a former leader had seen cancelled outlived `cancel_s`, as the
-// machine was cut off right afterwards (seed 1379 of Hunted).
+// The task list of an unconfirmed machine may be out of date, but an ended job never starts again.
+// The answer to the machine's heartbeat renews the lease, so that answer must carry these stops:
+// otherwise a task that was cancelled under a former leader outlives `cancel_s` if the machine is
+// partitioned right after the answer.
 void CommandDispatcher::add_stops_of_ended_jobs(const Machine& machine,
                                                 std::vector<Command>& commands) const {
   for (const auto& status : machine.task_statuses)
@@ -84,8 +88,8 @@
 void CommandDispatcher::add_starts_and_stops(const Machine& machine, IncludeStarts include_starts,
                                              std::vector<Command>& commands) const {
   for (const auto& [key, assignment] : machine.tasks) {
-    // A start that was not answered may be executed late. While the job still runs, a repeated
-    // start before the stop makes the attempt known to the agent, so that its exit is reported.
+    // An unanswered start may be executed late. As long as the job has not ended, the start is
+    // repeated before the stop: the agent then knows the attempt and reports its exit.
     if (include_starts == IncludeStarts::yes && !assignment.seen && !assignment.orphaned &&
         committed(key, assignment))
       commands.push_back({CommandType::start, key, assignment.attempt, Seconds(0)});
@@ -118,8 +122,7 @@
 void CommandDispatcher::stop_with_checkpoint(Machine& machine, const TaskKey& key,
                                              Assignment& assignment, Seconds available,
                                              TimePoint now) {
-  // Longer than the checkpoint takes, so that an agent whose clock runs a little faster still lets
-  // the checkpoint end.
+  // The extra time lets the checkpoint end even if the agent's clock runs slightly fast.
   const auto grace = assignment.checkpoint_time + kCommandTravelTime;
   const auto found = jobs_.find(key.job);
   const bool saves =
@@ -145,8 +148,8 @@
 }
 
 std::size_t CommandDispatcher::available_slots() const {
-  // Machines that left their last batch unanswered do not keep slots from machines that were not
-  // asked yet.
+  // Machines that left their last batch unanswered do not take slots from machines that have not
+  // been queried yet.
   const auto due = static_cast<std::size_t>(
       std::count_if(machines_due_.begin(), machines_due_.end(), [&](const MachineId& id) {
         const auto* machine = fleet_.find(id);
@@ -166,7 +169,8 @@
   return {unresponsive ? UrgencyRank::unresponsive : UrgencyRank::normal, oldest_unseen};
 }
 
-// Stops are safety traffic; machines that are likely dead leave half of the window to the others.
+// Stops are needed for safety, so only the socket share limits them. Machines that are likely dead
+// leave half of the window to the others.
 bool CommandDispatcher::window_admits(UrgencyRank rank) const {
   switch (rank) {
     case UrgencyRank::stops:
@@ -179,13 +183,13 @@
   return window_.admits();
 }
 
-// Until the cloud has answered the release of a machine, a cancelled task on it is still stopped:
-// the cloud may be unreachable, and a delayed start may arrive meanwhile (seed 1758 of Meetings).
+// A machine whose release the cloud has not answered yet still gets the stops of cancelled tasks:
+// the cloud may be unreachable, and a delayed start of such a task may arrive meanwhile.
 bool CommandDispatcher::accepts_commands(const Machine& machine) {
   return machine.up() && (!machine.releasing || holds_cancelled_task(machine));
 }
 
-// Drops the machines that take no commands and returns those that may get a batch now.
+// Removes due machines that take no commands and returns those that may be sent a batch now.
 std::vector<CommandDispatcher::ReadyMachine> CommandDispatcher::collect_ready(TimePoint now) {
   std::vector<ReadyMachine> ready;
   for (auto due = machines_due_.begin(); due != machines_due_.end();) {
@@ -221,15 +225,15 @@
   machine.commands_in_flight = true;
   machine.commands_sent_at = now;
   window_.sent();
-  // A machine that does not answer is probed and not sent the same starts again and again: each
-  // copy might be delayed on its way. Stops are worth that risk.
+  // A machine that does not answer gets no repeated starts, as each copy might be delayed in
+  // transit and executed late. Stops are repeated nevertheless.
   const auto include_starts = machine.unacknowledged_since ? IncludeStarts::no : IncludeStarts::yes;
   auto commands = commands_for(machine, include_starts);
   machine.starts_in_flight.clear();
   for (const auto& command : commands)
     if (command.type == CommandType::start) machine.starts_in_flight.push_back(command.attempt);
-  // An empty batch under our fencing token confirms a machine; a batch with a wrong epoch is
-  // answered with a heartbeat that holds the right one.
+  // Batches may be empty: the response under our fencing token confirms the machine. A batch with
+  // a wrong epoch is answered with a heartbeat that holds the current epoch.
   const auto epoch = std::max<AgentEpoch>(1, machine.epoch);
   out_.push_back(SendCommands{machine.id, machine.endpoint, epoch, std::move(commands)});
 }
--- a/src/core/dispatch/command_dispatcher.hpp
+++ b/src/core/dispatch/command_dispatcher.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Commands to the machines: starts, stops and acknowledgements, repeated until a heartbeat shows
-/// their effect (PROTOCOL, "Workers"; docs/safety.md, "One copy of a task", 5). Owns the set of
-/// machines that are due for a command batch and the window of unanswered batches. Decides which
-/// command is sent when, never which task should run.
+/// Sends commands (starts, stops and acknowledgements) to machines until a heartbeat shows their
+/// effect (PROTOCOL, "Workers"; docs/safety.md, "One copy of a task", 5). Owns the set of machines
+/// that are due for a command batch and the window of unanswered batches. Decides when commands are
+/// sent, not which tasks run.
 #pragma once
 
 #include <set>
@@ -14,7 +14,7 @@
 
 namespace violetpulley::core {
 
-/// Upper estimate of the time in which a command reaches the agent.
+/// Upper bound assumed for the time in which a command reaches the agent.
 inline constexpr Seconds kCommandTravelTime{1};
 
 /// Whether a command batch may contain starts.
@@ -23,20 +23,21 @@
 /// Sends command batches to machines, the most urgent first, within the in-flight window.
 class CommandDispatcher {
  public:
-  /// `max_in_flight`: the operators' bound of unanswered command batches; 0: as the sockets allow.
+  /// `max_in_flight`: the operators' limit of unanswered command batches; 0: limited by the socket
+  /// share only.
   CommandDispatcher(const SocketBudget& sockets, std::size_t max_in_flight, Outbox& out,
                     Fleet& fleet, const Jobs& jobs)
       : sockets_(sockets), max_in_flight_(max_in_flight), out_(out), fleet_(fleet), jobs_(jobs) {}
 
-  /// Requests that a command batch is sent to the machine, even if the batch is empty.
+  /// Schedules a command batch for the machine, even if the batch is empty.
   void mark_due(const Machine& machine) { machines_due_.insert(machine.id); }
 
-  /// The commands that the machine's last heartbeat and its assignments call for, in the order
-  /// acknowledgements, stops of unknown attempts, then starts and stops by task.
+  /// The commands that follow from the machine's last heartbeat and its assignments, in this order:
+  /// acknowledgements, stops of unknown attempts, starts and stops by task.
   std::vector<Command> commands_for(const Machine& machine, IncludeStarts include_starts) const;
 
   /// The stops and acknowledgements for the answer to a heartbeat. Empty unless `heartbeat` is the
-  /// machine's newest one: the answer to a late copy carries nothing.
+  /// machine's newest one: the answer to a delayed copy carries no commands.
   std::vector<Command> response_commands(const MachineId& id, HeartbeatNumber heartbeat) const;
 
   /// Sends as many batches as the window admits; the other machines stay due. Machines with stops
@@ -44,16 +45,17 @@
   /// scheduler chose the tasks), then machines that left their last batch unanswered.
   void send_due(TimePoint now);
 
-  /// Ends the machine's batch in flight. `answered`: false if the request failed or timed out.
+  /// Records the outcome of the machine's batch in flight. `answered`: false if the request failed
+  /// or timed out.
   void record_outcome(Machine& machine, bool answered, TimePoint now);
 
-  /// Frees the window's slot of a machine that was returned.
+  /// Releases the window slot of a machine that was returned.
   void machine_returned(const Machine& machine);
 
   /// How many more machines may be marked due before the window is full.
   std::size_t available_slots() const;
 
-  /// The socket shares for the present number of machines, with the operators' bound applied.
+  /// The socket shares for the current number of machines, with the operators' limit applied.
   SocketShares shares() const;
 
   /// The window of unanswered command batches.
@@ -69,9 +71,9 @@
   /// ever shortens the grace.
   void stop(Machine& machine, Assignment& assignment, TimePoint now, Seconds grace = Seconds(0));
 
-  /// Stops a task that has to leave its machine, with time for a checkpoint if that takes less
-  /// than `available` and gains more than it takes. The tasks of a gang are then all stopped, as
-  /// the checkpoint fails unless all save together.
+  /// Stops a task that has to leave its machine, with time for a checkpoint if the checkpoint takes
+  /// less time than `available` and saves more run time than it takes. In this case all tasks of a
+  /// gang are stopped, as their checkpoint fails unless all of them save it together.
   void stop_with_checkpoint(Machine& machine, const TaskKey& key, Assignment& assignment,
                             Seconds available, TimePoint now);
 
@@ -81,7 +83,7 @@
   }
 
  private:
-  /// Smaller is more urgent.
+  /// In descending order of urgency.
   enum class UrgencyRank { stops, normal, unresponsive };
 
   /// Order in which machines get their batches: by rank, then by the oldest unconfirmed attempt.
--- a/src/core/dispatch/in_flight_window.hpp
+++ b/src/core/dispatch/in_flight_window.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Congestion control for command batches: how many may be unanswered at once. The window starts
-/// small, grows by one for each quick answer, shrinks on slow answers and is halved when more
-/// batches are lost than answered. After a failover a thousand machines are thus asked in waves
-/// whose size the answers determine, and a leader that is short of processor time or sockets slows
-/// down instead of losing the batches it sent. Owns its counters; the caller passes the time.
+/// Congestion control for command batches: limits how many may be unanswered at once. The window
+/// starts small, grows by one for each quick answer, shrinks on slow answers and is halved when
+/// more batches are lost than answered. So the answers determine how fast the machines are queried
+/// after a failover, and a leader that is short of processor time or sockets slows down instead of
+/// losing batches. Owns its counters; the caller passes the time.
 #pragma once
 
 #include <algorithm>
@@ -16,28 +16,28 @@
 class InFlightWindow {
  public:
   /// Sets how many sockets command batches may take. The window never falls below a quarter of the
-  /// share: during a storm of heartbeats answers are slow whatever is sent, and with a window of 32
-  /// it took ten seconds to ask the few hundred machines that the storm had left out.
+  /// share: during a burst of heartbeats answers are slow regardless of the window, and a smaller
+  /// window only delays the queries to the machines that have not sent a heartbeat.
   void set_share(std::size_t share) {
     share_ = std::max(share, std::size_t{1});
     size_ = std::clamp(size_, min_size(), share_);
   }
 
-  /// Whether a usual batch may be sent.
+  /// Whether a batch without stops may be sent to a responsive machine.
   bool admits() const { return in_flight_ < size_; }
-  /// Whether a batch may be sent to a machine that left its last one unanswered.
+  /// Whether a batch may be sent to a machine that left its last batch unanswered.
   bool admits_unresponsive() const { return in_flight_ * kUnresponsiveDivisor < size_; }
-  /// Whether a batch with stops may be sent: stops are limited by the sockets alone.
+  /// Whether a batch with stops may be sent: only the socket share limits stops.
   bool admits_stops() const { return in_flight_ < share_; }
 
-  /// The present limit of usual batches.
+  /// The current limit of batches without stops to responsive machines.
   std::size_t size() const { return size_; }
-  /// Batches sent and not yet answered or lost.
+  /// Number of batches that were sent and have no outcome yet.
   std::size_t in_flight() const { return in_flight_; }
   /// The largest value of `in_flight()` so far.
   std::size_t peak() const { return peak_; }
 
-  /// Counts a batch that was sent.
+  /// Records that a batch was sent.
   void sent() { peak_ = std::max(peak_, ++in_flight_); }
 
   /// Ends a batch without an outcome, because its machine was returned.
@@ -48,7 +48,7 @@
     release_slot();
     ++answers_;
     if (round_trip < kQuickAnswer) size_ = std::min(size_ + 1, share_);
-    // A machine answers within milliseconds: a slow answer means a long queue on this leader.
+    // Agents answer within milliseconds: a slow answer indicates a long queue on this leader.
     if (round_trip > kSlowAnswer)
       size_ = std::max(min_size(), size_ - (size_ + kShrinkDivisor - 1) / kShrinkDivisor);
   }
@@ -58,7 +58,7 @@
     release_slot();
     ++losses_;
     if (now - last_evaluation_ < kEvaluationInterval) return;
-    // Some machines are always dead: only when most do not answer is this leader the likely cause.
+    // Some machines are always dead. This leader is the likely cause only if most batches are lost.
     if (losses_ > answers_) size_ = std::max(min_size(), size_ / 2);
     last_evaluation_ = now;
     answers_ = 0;
@@ -72,9 +72,9 @@
 
  private:
   static constexpr std::size_t kMinSize = 32;
-  static constexpr std::size_t kMinShareDivisor = 4;  // the smallest size is this part of the share
+  static constexpr std::size_t kMinShareDivisor = 4;  // minimum size: share / this
   static constexpr std::size_t kUnresponsiveDivisor = 2;
-  static constexpr std::size_t kShrinkDivisor = 16;  // a slow answer takes this part off the size
+  static constexpr std::size_t kShrinkDivisor = 16;  // reduction on a slow answer: size / this
   static constexpr std::chrono::milliseconds kEvaluationInterval{500};
   static constexpr Seconds kQuickAnswer{0.1};
   static constexpr Seconds kSlowAnswer{0.25};
--- a/src/core/dispatch/rate_limiter.hpp
+++ b/src/core/dispatch/rate_limiter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Token bucket. Owns its fill level and reads no clock: the caller passes the time.
+/// Token bucket rate limiter. Owns the fill level and reads no clock: the caller passes the time.
 #pragma once
 
 #include <algorithm>
@@ -8,15 +8,15 @@
 
 namespace violetpulley::core {
 
-/// Limits a rate of operations; up to `burst` of them may happen at once.
+/// Limits the rate of operations; allows bursts of up to `burst` operations.
 class RateLimiter {
  public:
-  /// Starts with a full bucket. `per_second`: refill rate; `burst`: capacity of the bucket.
+  /// Starts with a full bucket. `per_second`: refill rate. `burst`: capacity of the bucket.
   RateLimiter(double per_second, double burst)
       : per_second_(per_second), burst_(burst), level_(burst) {}
 
-  /// Takes `amount` if the bucket holds that much; an amount above the burst needs a full bucket.
-  /// Returns whether it was taken.
+  /// Takes `amount` if the bucket holds that much and returns whether it did. An amount above the
+  /// burst needs a full bucket and leaves a negative level.
   bool take(TimePoint now, double amount = 1.0) {
     refill(now);
     if (level_ < std::min(amount, burst_)) return false;
@@ -24,13 +24,14 @@
     return true;
   }
 
-  /// Takes `amount` even from an empty bucket: for safety traffic, which then delays the rest.
+  /// Takes `amount` even from an empty bucket. For requests that safety depends on; later requests
+  /// then wait until the bucket has refilled.
   void force_take(TimePoint now, double amount = 1.0) {
     refill(now);
     level_ -= amount;
   }
 
-  /// Time until `take` of this amount succeeds; zero if it would now.
+  /// Time until `take` of this amount succeeds; zero if it would succeed now.
   Duration time_until_available(TimePoint now, double amount = 1.0) {
     refill(now);
     const double deficit = std::min(amount, burst_) - level_;
@@ -38,7 +39,8 @@
     return to_duration(Seconds(deficit / per_second_)) + std::chrono::milliseconds(1);
   }
 
-  /// Time in which `amount` accumulates, also beyond one burst; zero if the bucket holds it.
+  /// Time in which the level would reach `amount` if the burst did not limit it; zero if the bucket
+  /// holds the amount.
   Duration time_to_accumulate(TimePoint now, double amount) {
     refill(now);
     const double deficit = amount - level_;
@@ -47,7 +49,7 @@
 
   /// Refill rate, per second.
   double rate() const { return per_second_; }
-  /// Changes rate and burst; the level stays.
+  /// Changes rate and burst; the level is unchanged.
   void set_rate(double per_second, double burst) {
     per_second_ = per_second;
     burst_ = burst;
--- a/src/core/dispatch/task_starter.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Checks before a start, and the assignment that it creates.
 #include "core/dispatch/task_starter.hpp"
 
 #include "core/autoscaling/scaler.hpp"
@@ -19,9 +21,10 @@
   return gb_per_s > 0 ? Seconds(spec.image_gb / gb_per_s) : Seconds(0);
 }
 
-bool TaskStarter::placeable(const Machine& machine, TimePoint now) const {
+bool TaskStarter::accepts_new_tasks(const Machine& machine, TimePoint now) const {
   if (!machine.up() || !machine.confirmed || !machine.registered || machine.releasing) return false;
-  // All tasks that start behind an outbound partition end with the machine's lease.
+  // A machine behind an outbound partition does not get its lease renewed, so all tasks that start
+  // there end when the lease expires.
   if (!is_reachable(machine) || machine.outbound_partition_since) return false;
   if (machine.draining || machine.quarantined || machine.notice_ends) return false;
   if (ended_attempts_.is_settling(machine.id)) return false;
@@ -58,14 +61,14 @@
   if (!job.spec().same_zone && !job.spec().spread) return use;
   for (TaskIndex index = 0; index < job.tasks.size(); ++index) {
     const auto& task = job.tasks[index];
-    // A task that is blocked on reconciliation may be where its start was recorded.
+    // A task that is blocked on reconciliation may run on the machine in its placement record.
     const bool blocked = task.phase == Phase::waiting && job.placements_complete &&
                          blocked_on_reconciliation(job, index);
     if (task.phase != Phase::assigned && !blocked) continue;
     if (const auto* machine = fleet_.find(blocked ? job.placed[index] : task.machine))
       ++use[machine->zone];
   }
-  // A held task is assigned to its machine, and counted above.
+  // Held tasks are assigned to their machines and thus already counted above.
   const auto [first, last] = ended_attempts_.of_job(job.spec().id);
   for (auto entry = first; entry != last; ++entry)
     if (const auto* machine = fleet_.find(entry->second.machine);
@@ -80,7 +83,7 @@
   if (job.tasks[index].phase != Phase::waiting) return false;
   if (blocked_on_reconciliation(job, index)) return false;
   if (!machine.reserved_for.empty() && machine.reserved_for != spec.id) return false;
-  if (!placeable(machine, now)) return false;
+  if (!accepts_new_tasks(machine, now)) return false;
   if (!spec.per_task.fits_in(machine.free())) return false;
   if (!allowed_on(spec, machine.type, machine.zone, machine.spot)) return false;
   if (!zone_allowed(spec, zone_use(job), machine.zone)) return false;
--- a/src/core/dispatch/task_starter.hpp
+++ b/src/core/dispatch/task_starter.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The only place where starts are made: limits, machine types, zones and spot permission are
-/// checked here, whichever part of the scheduler chose the machine (docs/safety.md, "Limits and
-/// places"; PROTOCOL, "Rules"). Owns the counter of attempts.
+/// Starts tasks on machines. All starts go through this module, which checks team limits, machine
+/// types, zones and spot permission regardless of the part of the scheduler that chose the machine
+/// (docs/safety.md, "Limits and places"; PROTOCOL, "Rules"). Owns the counter of attempts.
 #pragma once
 
 #include "core/dispatch/command_dispatcher.hpp"
@@ -15,15 +15,14 @@
 /// Number of tasks of a job by zone.
 using ZoneUse = std::map<std::string, TaskIndex>;
 
-/// Whether one more task may go to the zone, given the zones in which the job's other tasks are or
+/// Whether one more task may start in the zone. `use`: zones in which the job's other tasks are or
 /// may be.
 bool zone_allowed(const JobSpec& spec, const ZoneUse& use, const std::string& zone);
 
-/// Time in which a machine with this fetch rate fetches the job's image; zero if the rate is
-/// unknown.
+/// Time to fetch the job's image at this rate; zero if the rate is unknown.
 Seconds fetch_time(const JobSpec& spec, double gb_per_s);
 
-/// Checks and makes starts of tasks on machines.
+/// Checks whether tasks may start on machines, and starts them.
 class TaskStarter {
  public:
   /// `token`: this leader's fencing token, from which its attempts are derived.
@@ -40,34 +39,35 @@
         ended_attempts_(ended_attempts),
         next_attempt_((token << kAttemptCounterBits) + 1) {}
 
-  /// A number that no other attempt of any leader has.
+  /// A new attempt number, unique among the attempts of all leaders.
   Attempt next_attempt() { return next_attempt_++; }
 
-  /// Assigns a waiting task to the machine and marks the machine due for commands. Returns false,
-  /// without any effect, if a rule forbids the start.
+  /// Assigns a waiting task to the machine and marks the machine due for commands. Returns false
+  /// and changes nothing if a rule forbids the start.
   bool start(Job& job, TaskIndex index, Machine& machine, Attempt attempt, TimePoint now);
 
-  /// Whether the task may still be running where a former leader started it.
+  /// Whether the task may still be running on a machine on which a former leader started it.
   bool blocked_on_reconciliation(const Job& job, TaskIndex index) const {
     return recovery_.is_blocked(job, index);
   }
 
-  /// Number of tasks that wait and are not blocked on reconciliation.
-  TaskIndex startable(const Job& job) const {
+  /// Number of waiting tasks that are not blocked on reconciliation.
+  TaskIndex startable_tasks(const Job& job) const {
     return static_cast<TaskIndex>(job.waiting.size() - recovery_.blocked_tasks(job));
   }
 
-  /// Whether the machine takes new tasks at all: up, confirmed, responsive and staying.
-  bool placeable(const Machine& machine, TimePoint now) const;
+  /// Whether the machine accepts new tasks: it is up, confirmed, registered and responsive, and is
+  /// not about to be returned, drained, quarantined or reclaimed.
+  bool accepts_new_tasks(const Machine& machine, TimePoint now) const;
 
-  /// Whether one more task of the job keeps its team's limit.
+  /// Whether one more task of the job fits its team's limit.
   bool within_limit(const JobSpec& spec) const { return within_limit(spec, 1); }
-  /// Whether `tasks` more tasks of the job keep its team's limit. False for unknown teams.
+  /// Whether `tasks` more tasks of the job fit its team's limit. False for unknown teams.
   bool within_limit(const JobSpec& spec, std::size_t tasks) const;
-  /// The same if no delayed start could run an ended attempt again.
+  /// The same, not counting ended attempts that a delayed start may run again.
   bool within_limit_without_ended(const JobSpec& spec, std::size_t tasks) const;
 
-  /// Resources that the team may still use; nothing for unknown teams.
+  /// Resources that the team may still use; null for unknown teams.
   std::optional<Resources> remaining_quota(const std::string& team) const;
 
   /// The zones in which tasks of the job are or may be; empty unless the job has `same_zone` or
@@ -80,14 +80,14 @@
   }
 
  private:
-  // An attempt is the fencing token followed by a counter of this many bits, so no two leaders ever
-  // choose the same one.
+  // An attempt number is the fencing token followed by a counter of this many bits, so that numbers
+  // of different leaders differ.
   static constexpr unsigned kAttemptCounterBits = 24;
 
   bool may_start(const Job& job, TaskIndex index, const Machine& machine, TimePoint now) const;
   bool fits_limit(const JobSpec& spec, std::size_t tasks, const Resources& use) const;
-  /// What the team uses or may use: its assignments, ended attempts that may run again, and what
-  /// is unknown after a failover.
+  /// Resources that the team uses or may use: its assignments, its ended attempts that a delayed
+  /// start may run again, and resources whose use is unknown after a failover.
   Resources possible_use(const std::string& team) const;
   Assignment make_assignment(Job& job, TaskIndex index, const Machine& machine, Attempt attempt,
                              TimePoint now);
--- a/src/core/failover/reconciler.cpp
+++ b/src/core/failover/reconciler.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Order of the queries, and the cost of waiting for silent machines.
+/// Order of the queries, and cost of waiting for silent machines.
 #include "core/failover/reconciler.hpp"
 
 #include <algorithm>
@@ -11,14 +11,14 @@
 
 namespace {
 constexpr std::chrono::milliseconds kCostInterval{250};
-// Two queries and the travel time of their answers; a lost first packet is sent again after a
-// second.
+// Covers two queries and the round trips of their answers; TCP retransmits a lost first packet
+// after one second.
 constexpr std::chrono::milliseconds kMinResponseWait{1000};
-// A higher token is a change, which an agent reports after half a second at most.
+// An agent sends another heartbeat at most 0.5 s after it has learned a higher token.
 constexpr std::chrono::milliseconds kSecondHeartbeatDelay{1200};
 constexpr Seconds kDefaultBootTime{60};  // of a machine type that the catalog does not list
 
-// Machines of a zone, or of the fleet.
+// Silent machines among the machines of a zone or of the whole fleet.
 struct SilenceCount {
   std::size_t up = 0;
   std::size_t silent = 0;
@@ -27,13 +27,13 @@
     ++up;
     if (is_silent) ++silent;
   }
-  // Machines that fall silent in larger numbers are more likely behind a network partition.
+  // A larger share of silent machines is more likely caused by a network partition.
   bool is_within(double max_share) const {
     return static_cast<double>(silent) <= static_cast<double>(up) * max_share;
   }
 };
 
-// Places for tasks of a job on these machines, counted up to `enough`.
+// Number of tasks of the job that fit on these machines; stops counting at `enough`.
 std::size_t count_places(const std::vector<const Machine*>& machines, const JobSpec& spec,
                          std::size_t enough) {
   std::size_t places = 0;
@@ -108,9 +108,10 @@
                      });
 }
 
-// A machine that is returned may be alive after all: then its tasks run anew, and a new machine has
-// to boot in its place. Returning a dead machine costs nothing more. The assumed share of machines
-// still alive is on the high side: on the recorded days nearly every silent machine was dead.
+// A returned machine may still be alive: then its tasks run again, and a new machine
+// has to boot in its place. Returning a dead machine has no extra cost. The assumed share of
+// machines that are alive is a conservative estimate, since nearly all silent machines turn out to
+// be dead.
 Seconds Reconciler::cost_of_declaring_dead(const Machine& machine) const {
   JobSpec mean_task;
   mean_task.per_task = mean_blocked_resources_;
@@ -145,7 +146,7 @@
 std::vector<const Machine*> Reconciler::machines_with_free_cpus(TimePoint now) const {
   std::vector<const Machine*> machines;
   for (const auto& [id, machine] : fleet_.all())
-    if (machine.free().cpus > 0 && task_starter_.placeable(machine, now))
+    if (machine.free().cpus > 0 && task_starter_.accepts_new_tasks(machine, now))
       machines.push_back(&machine);
   return machines;
 }
@@ -182,8 +183,8 @@
   if (work.tasks <= 0) return;
   mean_blocked_resources_ = work.resources * (1 / work.tasks);
   mean_blocked_run_time_ = work.run_time / work.tasks;
-  // The cost of each job was computed as if all free resources were for that job; together they
-  // cannot use more than there is.
+  // The cost of each job was computed as if all free resources were available to that job. The sum
+  // is limited to the number of average tasks that fit on the free resources.
   JobSpec mean_task;
   mean_task.per_task = mean_blocked_resources_;
   mean_task.tasks = static_cast<TaskIndex>(work.tasks);
--- a/src/core/model/actions.hpp
+++ b/src/core/model/actions.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the core asks the shells to do. Each shell makes every action on the store conditional on
-/// leadership.
+/// Actions that the core returns to the surrounding shell for execution. The shell makes every
+/// write to the state service conditional on leadership.
 #pragma once
 
 #include <string>
@@ -68,8 +68,8 @@
   }
 };
 
-/// Writes the mark that from here on every start of a gang or a service that may be anywhere has
-/// its placement record.
+/// Marks the placement records as complete: every start of a gang or a service that may still have
+/// an effect is covered by a placement record.
 struct MarkPlacements {
   template <class S, class F>
   static void fields(S&, F&& f) {
@@ -102,7 +102,7 @@
 
 /// Requests machines from the cloud.
 struct ScaleOut {
-  std::string name;  ///< Names the request: the same name never yields machines twice.
+  std::string name;  ///< Idempotency key: requests with the same name yield machines only once.
   std::string type;
   std::string zone;
   bool spot = false;
@@ -128,7 +128,7 @@
 /// Gives up leadership.
 struct Resign {
   std::string cause;      ///< For the log.
-  bool isolated = false;  ///< No machine sends heartbeats here: another controller may get them.
+  bool isolated = false;  ///< No heartbeats arrive here; another controller may receive them.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -136,12 +136,12 @@
   }
 };
 
-/// Logs that all tasks of a job fail, once for each time the pause grows: users and operators look
-/// for the cause.
+/// Logs that all tasks of a job fail, so that users and operators look for the cause. Emitted each
+/// time the pause before the next retry grows.
 struct JobSuspected {
   JobId job;
   std::size_t machines = 0;  ///< Machines on which the job failed.
-  Seconds pause{0};          ///< Time until the next try.
+  Seconds pause{0};          ///< Time until the next retry.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -149,8 +149,8 @@
   }
 };
 
-/// Logs that a task has ended and may not run elsewhere yet: a delayed start may still run the
-/// ended attempt again on its machine.
+/// Logs that a task has ended and must not run elsewhere yet, because a delayed start command may
+/// still run the ended attempt again on its machine.
 struct TaskHeld {
   TaskKey task;
   MachineId machine;
@@ -163,7 +163,7 @@
   }
 };
 
-/// Logs that a machine lists tasks no more that it had listed as running, in the same agent epoch.
+/// Logs that a machine no longer lists tasks that it listed as running in the same agent epoch.
 struct MachineLostTasks {
   MachineId machine;
   AgentEpoch epoch = 0;
@@ -175,7 +175,7 @@
   }
 };
 
-/// New kinds go to the end: the history names a kind by its position here.
+/// New alternatives are appended: the recorded history identifies an action by its index here.
 using Action = std::variant<SendCommands, SaveMachine, DeleteMachine, SaveProgress, FinishJob,
                             DeleteProgress, ScaleOut, ScaleIn, Resign, SavePlacements,
                             MarkPlacements, JobSuspected, TaskHeld, MachineLostTasks>;
--- a/src/core/model/catalog.hpp
+++ b/src/core/model/catalog.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Machine types and teams, as the cloud's catalog and the platform's settings name them
-/// (PROTOCOL, "GET /catalog"). Owns both; decides which offerings count as expensive.
+/// Machine types from the cloud's catalog (PROTOCOL, "GET /catalog") and teams from the platform's
+/// settings. Owns both; decides which offerings count as expensive.
 #pragma once
 
 #include <map>
--- a/src/core/model/heartbeat.hpp
+++ b/src/core/model/heartbeat.hpp
@@ -60,7 +60,7 @@
   AgentEpoch epoch = 0;
   HeartbeatSequence heartbeat_sequence = 0;
   FencingToken token = 0;         ///< The highest fencing token that the agent has seen.
-  std::optional<Seconds> notice;  ///< Time until the cloud takes the spot machine; null: none.
+  std::optional<Seconds> notice;  ///< Time until the cloud reclaims the machine; null: unknown.
   std::vector<TaskStatus> tasks;
 
   HeartbeatNumber number() const { return {epoch, heartbeat_sequence}; }
--- a/src/core/model/identifiers.hpp
+++ b/src/core/model/identifiers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Times and identifiers of the core. Names on the wire never appear in the core: the codecs
+/// Time and identifier types of the core. The core does not use the names on the wire: the codecs
 /// translate them.
 #pragma once
 
@@ -10,13 +10,13 @@
 
 namespace violetpulley::core {
 
-/// Steady time: the clock of all decisions.
+/// Monotonic clock on which all decisions are based.
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 using Duration = Clock::duration;
-/// Time of day, to the millisecond: may step, so it is used only across restarts and for users.
+/// Time of day in milliseconds. It may step, so it is used only across restarts and towards users.
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
-/// Length of time in seconds with fractions, as in settings and on the wire.
+/// Duration in fractional seconds, as in settings and on the wire.
 using Seconds = std::chrono::duration<double>;
 
 /// Rounds towards zero to the resolution of `Clock`.
@@ -28,13 +28,13 @@
 using MachineId = std::string;
 /// Revision of the leader key; agents refuse commands with a lower token.
 using FencingToken = std::uint64_t;
-/// Number of a change in the state service.
+/// Sequence number of a change in the state service.
 using Revision = std::uint64_t;
-/// Number of a start of a task; the tasks of a gang share the number.
+/// Identifies one start of a task; the tasks of a gang share the number.
 using Attempt = std::uint64_t;
 /// Number of a task within its job, from 0.
 using TaskIndex = std::uint32_t;
-/// Grows when an agent has lost its tasks; 0: unknown.
+/// Increases when an agent has lost its tasks; 0: unknown.
 using AgentEpoch = std::uint64_t;
 /// Orders the heartbeats of an agent epoch.
 using HeartbeatSequence = std::uint64_t;
--- a/src/core/model/job_spec.hpp
+++ b/src/core/model/job_spec.hpp
@@ -11,23 +11,24 @@
 
 namespace violetpulley::core {
 
-/// How the tasks of a job run: independently, all at the same time, or as replicas without an end.
+/// How the tasks of a job run: independently (`array`), all at the same time (`gang`), or as
+/// replicas until the job is cancelled (`service`).
 enum class Shape { array, gang, service };
 
-/// From the least to the most important.
+/// In ascending order of importance.
 enum class Priority { idle, normal, high, production };
 
 /// How a job ended.
 enum class FinalState { done, cancelled };
 
-/// Run time of a replica, which runs until its job is cancelled: counted as endless in place of an
-/// estimate, which gives replicas a run-time bin above all others (docs/design.md, "Services").
+/// Expected run time of a replica, which runs until its job is cancelled. It replaces the user's
+/// estimate and puts replicas into a run-time bin above all others (docs/design.md, "Services").
 inline constexpr Seconds kUnboundedRunTime{1e7};
 
-/// What the user asked for.
+/// A job as the user submitted it.
 struct JobSpec {
   JobId id;
-  std::string job_class;  ///< Jobs of a class are alike: their run times are averaged.
+  std::string job_class;  ///< Run times are averaged over the jobs of a class.
   std::string team;
   Shape shape = Shape::array;
   Priority priority = Priority::normal;
@@ -40,7 +41,7 @@
   bool same_zone = false;           ///< All tasks in one zone.
   bool spread = false;              ///< At most half of the tasks, rounded up, in one zone.
   bool spot_allowed = false;
-  Seconds estimate{0};          ///< Run time of a task as the user expects.
+  Seconds estimate{0};          ///< Run time of a task expected by the user.
   Seconds checkpoint_every{0};  ///< 0: the tasks never save a checkpoint.
   Seconds checkpoint_time{0};
   std::optional<Seconds> deadline;  ///< Counted from the submission; null: none.
--- a/src/core/model/learned_state.hpp
+++ b/src/core/model/learned_state.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// What a leader has learned and hands over to the next leader: estimates, saved run time, faulty
-/// machines, refused offerings, waiting times of jobs. These are hints and never proof: nothing
-/// here says what is on a machine, and a wrong or missing hint costs time but breaks no rule
+/// machines, refused offerings, waiting times of jobs. These are hints: none of them states which
+/// tasks a machine runs, and a wrong or missing hint costs time but violates no safety property
 /// (docs/safety.md, "Learned state").
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace violetpulley::core {
 
-/// Run time of a task that a restart need not repeat, thanks to a checkpoint.
+/// Run time of a task that is covered by a checkpoint, so that a restart does not repeat it.
 struct SavedRunTime {
   TaskIndex task = 0;
   Seconds saved{0};
@@ -28,7 +28,7 @@
   std::vector<SavedRunTime> saved;
   std::vector<MachineId> failed_on;
   int failures = 0;
-  Seconds pause{0};  ///< Rest of the pause after failures.
+  Seconds pause{0};  ///< Remaining pause after failures.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -49,7 +49,7 @@
   }
 };
 
-/// A refused offering that is not requested for some time.
+/// An offering that the cloud refused and that is not requested until the cooldown has passed.
 struct OfferingCooldown {
   OfferingKey offering;
   Seconds remaining{0};
--- a/src/core/model/price_rules.hpp
+++ b/src/core/model/price_rules.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// When a machine counts as expensive (docs/design.md, "Expensive machines last"): one rule for the
-/// packer, which fills expensive machines last, and for the scaler, which requests them last.
+/// When a machine counts as expensive (docs/design.md, "Expensive machines last"). The packer fills
+/// expensive machines last, and the scaler requests them last.
 #pragma once
 
 namespace violetpulley::core {
@@ -8,7 +8,7 @@
 /// An expensive machine costs more than this multiple of the cheapest.
 inline constexpr double kExpensiveFactor = 1.8;
 
-/// Whether `price` is expensive beside the `cheapest` alternative.
+/// Whether `price` is expensive compared with the `cheapest` alternative.
 inline bool is_expensive(double price, double cheapest) {
   return price > kExpensiveFactor * cheapest;
 }
--- a/src/core/model/records.hpp
+++ b/src/core/model/records.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Records that a leader keeps in the state service beside the jobs, for the next leader.
+/// Records that a leader writes to the state service, in addition to the jobs, for the next leader.
 #pragma once
 
 #include <string>
@@ -25,7 +25,8 @@
   }
 };
 
-/// Adds an index above all that the ascending ranges contain; extends the last range if it can.
+/// Appends an index that is greater than all indexes in the ascending ranges; extends the last
+/// range if the index follows it directly.
 inline void append_index(std::vector<IndexRange>& ranges, TaskIndex index) {
   if (!ranges.empty() && ranges.back().last + 1 == index)
     ranges.back().last = index;
@@ -77,7 +78,7 @@
 struct PlacementRecord {
   JobId job;
   std::vector<MachineId> machines;  ///< By task; empty: the task was never started.
-  bool known = true;  ///< False: too many machines to record, the job may be on any of them.
+  bool known = true;  ///< False: too many machines to record; the tasks may be on any machine.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
--- a/src/core/model/resources.hpp
+++ b/src/core/model/resources.hpp
@@ -4,9 +4,9 @@
 
 namespace violetpulley::core {
 
-/// What a task needs, a machine offers or a team may use.
+/// Resources that a task needs, a machine offers or a team may use.
 struct Resources {
-  /// Amounts are decimal numbers, so sums may be off by a rounding error of up to this much.
+  /// Amounts are decimal fractions, so sums may have a rounding error of up to this amount.
   static constexpr double kRoundingTolerance = 1e-6;
 
   double cpus = 0;
--- a/src/core/model/settings.hpp
+++ b/src/core/model/settings.hpp
@@ -9,7 +9,8 @@
 
 namespace violetpulley::core {
 
-/// Shares of the allowed cloud calls. The sum exceeds 1: both rarely want all of theirs at once.
+/// Shares of the allowed rate of cloud calls for requesting and for returning machines. The sum
+/// exceeds 1 because both rarely need their full share at the same time.
 inline constexpr double kScaleOutCallShare = 0.65;
 inline constexpr double kScaleInCallShare = 0.5;
 
@@ -24,7 +25,8 @@
   }
 };
 
-/// Objective for late jobs of a class: done within this multiple of the job's deadline.
+/// Objective for late jobs of a class: done within this multiple of the time that the deadline
+/// allows.
 struct TardinessObjective {
   std::string job_class;
   double deadline_multiple = 1;
@@ -35,7 +37,7 @@
   }
 };
 
-/// Settings of a controller for the whole time it leads.
+/// Settings of a controller, fixed for the whole time it leads.
 struct ControllerSettings {
   std::vector<Team> teams;
   AgentTimes workers;
@@ -45,8 +47,8 @@
   std::vector<CompletionObjective> completion_objectives;
   std::vector<TardinessObjective> tardiness_objectives;
   WallTime wall_at_start{};  ///< Time of day at the controller's start.
-  /// False after a recent resignation for isolation: if the other controllers got no heartbeats
-  /// either, the machines are gone, and one leader has to wait until their leases have run out.
+  /// False after a recent resignation for isolation. If no other controller received heartbeats
+  /// either, the machines are gone, and one leader has to wait until their leases have expired.
   bool resigns_when_isolated = true;
   SocketBudget sockets{};
 
@@ -64,7 +66,7 @@
   std::vector<ProgressRecord> progress;
   LearnedState learned_state;
   std::vector<PlacementRecord> placements;
-  bool placements_marked = false;  ///< The records cover every start of gangs and services.
+  bool placements_marked = false;  ///< `placements` covers all gangs and services.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
--- a/src/core/model/tuning.hpp
+++ b/src/core/model/tuning.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Times that the platform prescribes for agents, and the constants that operators may tune.
+/// Times that the platform prescribes for agents, and constants that operators may tune.
 #pragma once
 
 #include <cstddef>
@@ -12,8 +12,8 @@
 struct AgentTimes {
   Seconds heartbeat_interval{3};
   Seconds lease{27};      ///< An agent without an answer for this long ends its tasks.
-  Seconds cancel{47};     ///< A cancelled task has ended after this time.
-  Seconds gang_wait{35};  ///< A gang's task that waits this long for the other tasks exits.
+  Seconds cancel{47};     ///< A cancelled task must have ended within this time.
+  Seconds gang_wait{35};  ///< A gang's task exits after waiting this long for the other tasks.
   Seconds gang_peer{4};   ///< The tasks of a gang notice a lost task within this time.
 
   template <class S, class F>
@@ -22,13 +22,13 @@
   }
 };
 
-/// Constants that the design leaves open, with their defaults; operators may change them in YAML.
+/// Tunable constants and their defaults; operators may override them in their YAML settings.
 struct Tuning {
-  /// Run-time bin i spans 2^(i-1) to 2^i of these.
+  /// Run-time bin i spans 2^(i-1) to 2^i times this unit.
   Seconds bin_unit{1};
-  /// Longest time between scheduling rounds, shortest between scaling rounds.
+  /// Longest time between two scheduling rounds, and shortest time between two scaling rounds.
   Seconds round_interval{2};
-  /// Shortest time between scheduling rounds after a job or capacity appeared.
+  /// Shortest time between two scheduling rounds when a job or capacity has appeared.
   Seconds min_round_interval{0.1};
   /// Time for which a machine must stay underused before it is drained.
   Seconds consolidation_wait{30};
@@ -36,7 +36,7 @@
   double consolidation_threshold = 0.5;
   /// Time for which an empty machine is kept.
   Seconds idle_wait{25};
-  /// A machine that boots for longer than this multiple of the usual boot time is returned.
+  /// A machine is returned if it boots for longer than this multiple of the usual boot time.
   double boot_late_factor = 2.0;
   /// Time for which a refused offering is not requested again.
   Seconds refused_cooldown{15};
@@ -44,25 +44,28 @@
   Seconds silent_after{7};
   /// Silence after which a machine is returned, if most other machines respond.
   Seconds lost_after{9};
-  /// The same, at most, for machines that have not answered a new leader.
+  /// Longest time for which a machine that leaves the queries of a new leader unanswered is waited
+  /// for.
   Seconds lost_after_failover{5};
   /// Tasks bound to a booting machine may use capacity that becomes free earlier.
   bool bound_tasks_may_move = true;
   /// Errors of several jobs in a row after which a machine is quarantined.
   int quarantine_errors = 3;
-  /// Waiting time after which a job that may use spot machines gets expensive machines.
+  /// Waiting time after which expensive machines are requested for a job that may use spot
+  /// machines.
   Seconds on_demand_wait{40};
   /// Time for which an empty expensive machine is kept.
   Seconds on_demand_idle_wait{10};
   /// Starts of gangs and services are committed before they are sent.
   bool commit_starts = false;
-  /// Command batches; 0: as the sockets allow.
+  /// Maximum number of command batches in flight; 0: limited by the socket shares only.
   std::size_t max_commands_in_flight = 0;
-  /// Share of the machines that may be returned early after a failover.
+  /// Largest share of silent machines for which machine failures are assumed. Above this share a
+  /// network partition is more likely, and silent machines are not returned early.
   double max_declared_dead_share = 0.25;
-  /// Share assumed alive of the machines that two probes did not reach.
+  /// Assumed share of machines that are alive among those that left two queries unanswered.
   double assumed_alive_share = 0.1;
-  /// Objective for the start of every job, the largest included.
+  /// Objective for the time until a job starts, whatever its size.
   Seconds begin_within{240};
 
   template <class S, class F>
--- a/src/core/scheduling/candidate_queue.cpp
+++ b/src/core/scheduling/candidate_queue.cpp
@@ -44,7 +44,7 @@
   std::vector<Job*> by_age;
   for (auto& [id, job] : jobs_) {
     if (job.waiting.empty() || now < job.backoff_until) continue;
-    if (task_starter_.startable(job) == 0) continue;
+    if (task_starter_.startable_tasks(job) == 0) continue;
     by_age.push_back(&job);
   }
   std::sort(by_age.begin(), by_age.end(), submitted_before);
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -62,7 +62,8 @@
   for (const auto& entry : slots) {
     zones[entry.machine->zone] += entry.tasks;
     const auto needed = spec.per_task * static_cast<double>(entry.tasks);
-    if (!task_starter_.placeable(*entry.machine, now) || !needed.fits_in(entry.machine->free()))
+    if (!task_starter_.accepts_new_tasks(*entry.machine, now) ||
+        !needed.fits_in(entry.machine->free()))
       return false;
   }
   if (spec.same_zone && zones.size() > 1) return false;
@@ -92,7 +93,7 @@
   const auto& id = job.spec().id;
   const auto* reservation = reservations_.find(id);
   if (reservation == nullptr || !reservation->is_short()) return false;
-  if (now - reservation->grown <= kReservationTime) return false;
+  if (now - reservation->grown <= kMaxReservationTime) return false;
   reservations_.close(fleet_, id);
   jobs_.before_change(job);
   job.backoff_until = now + kReservationPause;
@@ -148,7 +149,7 @@
   for (const auto& task : job.tasks) {
     if (task.phase != Phase::assigned) continue;
     const auto* machine = fleet_.find(task.machine);
-    if (machine != nullptr && task_starter_.placeable(*machine, now) &&
+    if (machine != nullptr && task_starter_.accepts_new_tasks(*machine, now) &&
         reservation.covers_zone(machine->zone))
       slots.add(machine->zone, 1);
   }
@@ -178,7 +179,7 @@
     return false;
   if (machine.up()) {
     const auto up_for = now - machine.up_since.value_or(now);
-    return task_starter_.placeable(machine, now) ||
+    return task_starter_.accepts_new_tasks(machine, now) ||
            (!machine.registered && up_for < kRegistrationTime);
   }
   const auto type = catalog_.types().find(machine.type);
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -67,14 +67,14 @@
 TaskIndex Preemption::startable_replicas(const std::vector<Candidate>& queue) const {
   TaskIndex replicas = 0;
   for (const auto& candidate : queue)
-    if (candidate.job->service()) replicas += task_starter_.startable(*candidate.job);
+    if (candidate.job->service()) replicas += task_starter_.startable_tasks(*candidate.job);
   return replicas;
 }
 
 Preemption::Victims Preemption::find_victims(TimePoint now) {
   Victims victims;
   for (auto& [id, machine] : fleet_.all()) {
-    if (!task_starter_.placeable(machine, now) || !machine.reserved_for.empty()) continue;
+    if (!task_starter_.accepts_new_tasks(machine, now) || !machine.reserved_for.empty()) continue;
     for (const auto& [key, assignment] : machine.tasks) {
       if (assignment.preempted && assignment.stop) ++victims.stopping;
       if (preemptible(key, assignment, Priority::production))
@@ -89,7 +89,7 @@
 void Preemption::preempt_for_service(const Job& job, Victims& victims, TimePoint now) {
   const auto& spec = job.spec();
   auto zones = task_starter_.zone_use(job);
-  auto needed = task_starter_.startable(job);
+  auto needed = task_starter_.startable_tasks(job);
   const auto coming = std::min(needed, victims.stopping);
   needed -= coming;
   victims.stopping -= coming;
@@ -148,7 +148,7 @@
 bool Preemption::may_host_gang(const Machine& machine, const Job& job, const std::string& region,
                                TimePoint now) const {
   if (!region.empty() && machine.zone != region) return false;
-  if (!task_starter_.placeable(machine, now) || !machine.reserved_for.empty()) return false;
+  if (!task_starter_.accepts_new_tasks(machine, now) || !machine.reserved_for.empty()) return false;
   if (machine.tasks.empty() || bindings_.holds(machine.id)) return false;
   if (job.avoids(machine.id, now)) return false;
   return allowed_on(job.spec(), machine.type, machine.zone, machine.spot);
--- a/src/core/scheduling/replica_consolidation.cpp
+++ b/src/core/scheduling/replica_consolidation.cpp
@@ -66,7 +66,7 @@
     fleet_.set(machine, &Machine::sparse_since, {});
     return;
   }
-  if (task_starter_.placeable(machine, now)) found.targets.push_back(&machine);
+  if (task_starter_.accepts_new_tasks(machine, now)) found.targets.push_back(&machine);
   if (!underused(machine, settings_.tuning.consolidation_threshold + kThresholdSlack)) {
     fleet_.set(machine, &Machine::sparse_since, {});
     return;
@@ -78,7 +78,7 @@
 bool ReplicaConsolidation::is_drainable(const Machine& machine, TimePoint now) const {
   if (machine.draining) return true;
   const auto wait = to_duration(settings_.tuning.consolidation_wait);
-  return now - *machine.sparse_since >= wait && task_starter_.placeable(machine, now);
+  return now - *machine.sparse_since >= wait && task_starter_.accepts_new_tasks(machine, now);
 }
 
 bool ReplicaConsolidation::can_move_all(const Machine& machine,
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -130,7 +130,7 @@
   std::vector<Machine*> schedulable;
   if (queue.empty()) return schedulable;
   for (auto& [id, machine] : fleet_.all())
-    if (smallest_need.fits_in(machine.free()) && task_starter_.placeable(machine, now))
+    if (smallest_need.fits_in(machine.free()) && task_starter_.accepts_new_tasks(machine, now))
       schedulable.push_back(&machine);
   return schedulable;
 }
@@ -151,7 +151,7 @@
 void Scheduler::place_bound(BinPacker& packer, TimePoint now) {
   const auto is_ready = [&](const MachineId& id) {
     const auto* machine = fleet_.find(id);
-    return machine == nullptr || task_starter_.placeable(*machine, now);
+    return machine == nullptr || task_starter_.accepts_new_tasks(*machine, now);
   };
   bindings_.settle(is_ready, [&](Job& job, TaskIndex index, const MachineId& id) {
     auto* machine = fleet_.find(id);
@@ -306,7 +306,7 @@
 bool Scheduler::may_uncordon_for(const Job& job, TimePoint now) const {
   if (job.gang() || job.waiting.empty()) return false;
   if (forecaster_.age(job, now) < kMaxHeldBack) return false;
-  return task_starter_.startable(job) > 0 && task_starter_.within_limit(job.spec());
+  return task_starter_.startable_tasks(job) > 0 && task_starter_.within_limit(job.spec());
 }
 
 // No machines are requested for tasks that only this round's limit has left over, nor before it is
--- a/src/core/scheduling/starvation_guard.cpp
+++ b/src/core/scheduling/starvation_guard.cpp
@@ -100,21 +100,22 @@
   if (!quota_suffices_in_time(job, tasks)) return;
   auto& yielded = yielded_quotas_[job.spec().team];
   if (now - yielded.last > kReservationPause) yielded.since = now;
-  if (now - yielded.since >= kReservationTime) return;
+  if (now - yielded.since >= kMaxReservationTime) return;
   yielded.last = now;
   blocked_teams_.insert(job.spec().team);
 }
 
 bool StarvationGuard::needs_machine(const Job& job, TimePoint now) const {
   return starving(job, now) && !job.gang() && now >= job.backoff_until &&
-         task_starter_.startable(job) > 0 && task_starter_.within_limit(job.spec());
+         task_starter_.startable_tasks(job) > 0 && task_starter_.within_limit(job.spec());
 }
 
 bool StarvationGuard::reservation_is_valid(TimePoint now) const {
   const auto job = jobs_.find(reserved_for_job_);
   const auto* machine = fleet_.find(reserved_machine_);
   return job != jobs_.end() && needs_machine(job->second, now) && machine != nullptr &&
-         machine->reserved_for == reserved_for_job_ && task_starter_.placeable(*machine, now);
+         machine->reserved_for == reserved_for_job_ &&
+         task_starter_.accepts_new_tasks(*machine, now);
 }
 
 void StarvationGuard::release_reservation() {
@@ -128,7 +129,7 @@
 void StarvationGuard::review_reservation(TimePoint now) {
   if (reserved_machine_.empty()) return;
   const bool valid = reservation_is_valid(now);
-  if (valid && now - reserved_since_ < kReservationTime) return;
+  if (valid && now - reserved_since_ < kMaxReservationTime) return;
   release_reservation();
   if (valid) no_reservation_before_ = now + kReservationPause;
 }
@@ -152,7 +153,7 @@
                                   TimePoint now) const {
   const auto& spec = job.spec();
   if (!machine.reserved_for.empty() || bindings_.holds(machine.id)) return false;
-  if (job.avoids(machine.id, now) || !task_starter_.placeable(machine, now)) return false;
+  if (job.avoids(machine.id, now) || !task_starter_.accepts_new_tasks(machine, now)) return false;
   if (!spec.per_task.fits_in(machine.capacity)) return false;
   return allowed_on(spec, machine.type, machine.zone, machine.spot) &&
          zone_allowed(spec, zones, machine.zone);
