--- a/src/core/failover/assignments.cpp
+++ b/src/core/failover/assignments.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Changes of jobs and machines when assignments begin or end.
+/// Updates of jobs and machines when assignments begin or end.
 #include "core/failover/assignments.hpp"
 
 #include <algorithm>
@@ -40,7 +40,7 @@
 
 void Assignments::record_saved_progress(Job& job, const TaskKey& key, const Assignment& assignment,
                                         TimePoint now, bool checkpoint_saved) {
-  // Tasks of a gang make their checkpoints together.
+  // The tasks of a gang save their checkpoints together, recorded with task 0.
   auto& saved = job.tasks[job.gang() ? 0 : key.index].saved;
   const auto until = assignment.stop_since.value_or(now);
   const Seconds run_time = assignment.saved + Seconds(until - *assignment.running_since);
--- a/src/core/failover/assignments.hpp
+++ b/src/core/failover/assignments.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Ends assignments: what the end of a task on a machine changes in its job, and how much of its
-/// run time a restart need not repeat (PROTOCOL, "Gangs", for what checkpoints are worth). Owns no
-/// state; connects jobs and machines.
+/// Begins and ends assignments, and keeps the tasks of jobs consistent with them. When an
+/// assignment ends, records how much run time the saved checkpoints cover, which a restart does not
+/// repeat (PROTOCOL, "Gangs"). Owns no state; changes jobs and machines.
 #pragma once
 
 #include "core/failover/recovery.hpp"
@@ -10,8 +10,8 @@
 
 namespace violetpulley::core {
 
-/// The assignment of an attempt that is placed at `now`. `estimate`: expected run time from its
-/// last checkpoint on.
+/// Returns the assignment of an attempt that is placed at `now`. `estimate`: expected run time from
+/// the last checkpoint on.
 Assignment assignment_of(const JobSpec& spec, Attempt attempt, Seconds estimate, TimePoint now);
 
 /// Keeps the assignments of machines and the tasks of jobs consistent.
@@ -25,18 +25,19 @@
         recovery_(recovery),
         ended_attempts_(ended_attempts) {}
 
-  /// Marks the task as running since `now`. `job`: null if it has ended.
+  /// Marks the task as running since `now`. `job`: null if the job has ended.
   void mark_running(Assignment& assignment, Job* job, TimePoint now);
-  /// Removes the assignment: nothing of it is on the machine any more. The task of the job keeps
-  /// its phase. `checkpoint_saved`: its progress was saved when it was stopped.
+  /// Removes the assignment of a task that is no longer on the machine. The task keeps its phase in
+  /// the job. `checkpoint_saved`: a checkpoint was saved when the task was stopped.
   void drop(Machine& machine, const TaskKey& key, TimePoint now, bool checkpoint_saved = false);
-  /// Makes a running task one whose start is unanswered: the machine has lost the task, and a
-  /// delayed start command may bring it back under the same attempt.
+  /// Resets the assignment of a task that the machine has lost to the state before its start was
+  /// answered: a delayed start command may run the task again under the same attempt.
   void reset_to_unseen(Machine& machine, const TaskKey& key, TimePoint now);
-  /// Makes the task wait for another start. Its former attempt is proven to have ended.
+  /// Makes the task wait for another start. Requires that its former attempt is proven to have
+  /// ended.
   void requeue(const TaskKey& key);
-  /// Removes all assignments of a machine that has lost its tasks, and its ended attempts that a
-  /// delayed start might have run again; requeues the tasks that are still needed.
+  /// Removes all assignments of a machine that has lost its tasks, and the machine's ended attempts
+  /// that a delayed start could have run again; requeues the tasks of jobs that still need them.
   void requeue_all(Machine& machine, TimePoint now);
 
  private:
--- a/src/core/failover/doubt_resolver.cpp
+++ b/src/core/failover/doubt_resolver.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which machines are settled for waiting jobs, in the order of what their return costs.
+/// Selection of the machines to settle for waiting jobs, cheapest return first.
 #include "core/failover/doubt_resolver.hpp"
 
 #include <algorithm>
@@ -9,17 +9,18 @@
 
 namespace {
 
-/// Attempts in doubt that one agent is to remember at most. Each takes about 100 bytes of every
-/// heartbeat, which holds 64 KiB at most (PROTOCOL).
+/// Maximum number of attempts in doubt that one agent remembers. Each takes about 100 bytes of
+/// every heartbeat, whose size is limited to 64 KiB (PROTOCOL).
 constexpr std::size_t kMaxAttemptsInDoubt = 200;
-/// Machines that are settled for limits at the same time: so many, or this share of the fleet.
+/// Maximum number of machines that are settled for team limits at the same time: the larger of
+/// `kMinSettling` and this share of the fleet.
 constexpr std::size_t kMinSettling = 2;
 constexpr double kMaxSettlingShare = 0.05;
 
-/// A machine with ended attempts of a team.
+/// A machine with ended attempts of a team, which may be settled for the team's limit.
 struct SettleCandidate {
   const Machine* machine = nullptr;
-  Resources freed;  ///< of the team's limit
+  Resources freed;  ///< part of the team's limit that the return of the machine frees
   Seconds cost{0};  ///< run time that the other tasks on the machine lose
 };
 
@@ -33,7 +34,7 @@
   return std::tie(a.cost, a.machine->id) < std::tie(b.cost, b.machine->id);
 }
 
-/// Tasks that start together, or the smallest number that can start.
+/// Smallest number of tasks that can start: all waiting tasks of a gang, else one.
 std::size_t min_tasks_to_start(const Job& job) { return job.gang() ? job.waiting.size() : 1; }
 
 }  // namespace
@@ -69,7 +70,7 @@
 }
 
 Resources DoubtResolver::blocked_demand(const std::string& team, TimePoint now) const {
-  // In the order of their names, so that equal states give equal sums.
+  // Sorted by id, so that equal states give equal floating-point sums.
   std::map<JobId, const Job*> blocked;
   for (const auto& [id, job] : jobs_) {
     if (job.spec().team != team || job.waiting.empty() || now < job.backoff_until) continue;
--- a/src/core/failover/doubt_resolver.hpp
+++ b/src/core/failover/doubt_resolver.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// Returns machines on which a delayed start may run an ended attempt again, where something waits
-/// for that or must be gone in time (docs/safety.md, "An attempt that has ended in doubt";
-/// docs/design.md, "Held back"). Owns no state; decides which machines of `EndedAttempts` are
-/// settled for waiting jobs, and when a settled machine is returned.
+/// Returns machines on which a delayed start command may run an ended attempt again, if waiting
+/// jobs depend on that attempt or it must end within a time limit (docs/safety.md, "An attempt that
+/// has ended in doubt"; docs/design.md, "Held back"). A settled machine takes no new tasks and is
+/// returned. Owns no state; decides which machines of `EndedAttempts` are settled for waiting jobs,
+/// and when a settled machine is returned.
 #pragma once
 
 #include "core/dispatch/task_starter.hpp"
@@ -20,22 +21,24 @@
         task_starter_(task_starter),
         ended_attempts_(ended_attempts) {}
 
-  /// Settles the machines that something waits for; called with each check of the machines.
+  /// Settles the machines whose return waiting jobs depend on; called in each check of the
+  /// machines.
   void settle_machines(TimePoint now);
-  /// The settled machines that are to be returned now: nothing else runs on them, or the settling
+  /// The settled machines that are to be returned now: they have no other tasks, or the settling
   /// time is over.
   std::vector<MachineId> machines_to_return(TimePoint now) const;
 
  private:
-  /// Machines whose agents have to remember too many attempts, all of which enter each heartbeat.
+  /// Settles machines whose agents remember too many attempts in doubt: each heartbeat lists them.
   void settle_for_heartbeat_size(TimePoint now);
-  /// Machines of jobs whose zone the ended attempts decide.
+  /// Settles machines whose ended attempts restrict the zones in which a waiting job may run.
   void settle_for_zones(TimePoint now);
-  /// Machines of teams whose jobs wait for their limit because of ended attempts.
+  /// Settles machines with ended attempts of teams whose limit would otherwise admit waiting jobs.
   void settle_for_team_limits(TimePoint now);
-  /// What the waiting jobs of a team need that the ended attempts keep from them.
+  /// Total demand of the team's waiting jobs that would fit the team's limit if its ended attempts
+  /// did not count.
   Resources blocked_demand(const std::string& team, TimePoint now) const;
-  /// Settles the machines with attempts of the team that cost least, until that makes `need` free.
+  /// Settles machines with ended attempts of the team, cheapest first, until they free `need`.
   void settle_for_team(const std::string& team, Resources need, TimePoint now);
   std::size_t max_settling() const;
 
--- a/src/core/failover/heartbeat_handler.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -10,13 +10,13 @@
 using std::chrono::milliseconds;
 
 namespace {
-constexpr milliseconds kCommandRetryDelay{1000};        // after commands without a response
+constexpr milliseconds kCommandRetryDelay{1000};        // after a batch without a response
 constexpr milliseconds kFirstQueryRetryDelay{100};      // after the first query without a response
 constexpr milliseconds kUnconfirmedRetryDelay{50};      // after a response without our token
-constexpr milliseconds kPendingCommandRetryDelay{500};  // commands that the response did not settle
+constexpr milliseconds kPendingCommandRetryDelay{500};  // if the response left commands pending
 
-// An attempt of a task in a heartbeat, without a copy of the task's key: each heartbeat sorts them.
-// The tasks of a gang share their attempt.
+// An attempt that a heartbeat lists. Refers to the task's key instead of copying it, as the
+// attempts are sorted for each heartbeat. The tasks of a gang share their attempt.
 struct ListedAttempt {
   Attempt attempt;
   std::string_view job;
@@ -41,10 +41,10 @@
   failure_detector_.record_heartbeat(machine, source, now);
   update_identity(machine, heartbeat, now);
   if (heartbeat.token == token_ && !machine.confirmed) confirm(machine, now);
-  // A machine that is neither expected nor confirmed may be known only from a late copy of a
-  // heartbeat, sent before an older leader returned the machine. Nothing may start there, the next
-  // leader must not wait for it, and the tasks it lists count as running nowhere. Until it answers,
-  // only the ends of tasks are accepted.
+  // A machine that is neither recorded as unconfirmed nor confirmed may be known only from a
+  // delayed copy of a heartbeat that was sent before an older leader returned the machine. Until
+  // the machine answers, no task starts there, it is not registered (the next leader would wait for
+  // it), and only the exits in its task list are applied.
   const bool is_list_trusted = machine.confirmed || recovery_.is_unconfirmed(machine.id);
   if (machine.confirmed && !machine.registered && !machine.registering) registry_.save(machine);
   if (heartbeat.notice && !machine.notice_ends)
@@ -59,7 +59,7 @@
 
 Machine* HeartbeatHandler::find_or_add(const MachineId& id, TimePoint now) {
   if (auto* machine = fleet_.find(id)) return machine;
-  // A heartbeat of a returned machine, or a copy of one, may still arrive.
+  // A heartbeat of a returned machine, or a delayed copy of one, may still arrive.
   if (registry_.was_released(id)) return nullptr;
   auto& machine = fleet_.add(id);
   machine.since = now;
@@ -105,7 +105,7 @@
 
 void HeartbeatHandler::confirm(Machine& machine, TimePoint now) {
   machine.confirmed = true;
-  // The agent knows our fencing token, so something that we sent has arrived.
+  // The agent knows our fencing token, so a message of this leader has reached the agent.
   failure_detector_.record_acknowledgement(machine, now);
   recovery_.confirm(machine.id);
   out_.want_placing();
@@ -119,11 +119,11 @@
   out_.want_placing();
 }
 
-// A task that was seen and is listed no more has ended. A task that was never seen may still be
-// started by a command on its way (docs/safety.md, "One copy of a task", 5). Missing tasks are
-// removed before the list is applied: a task may be here under a later attempt, which a delayed
-// heartbeat that came first after a failover could not list (found by seed 400 of Committing:
-// ran_twice).
+// A task that was listed before and is no longer listed has ended. A task that was never listed may
+// still be started by a command in transit (docs/safety.md, "One copy of a task", 5). Missing tasks
+// are removed before the list is applied, because the list may contain the same task under a later
+// attempt: if the first heartbeat after a failover is a delayed one, it lists only the earlier
+// attempt. With the reverse order the later attempt was taken for lost, and the task ran twice.
 void HeartbeatHandler::remove_missing_tasks(Machine& machine,
                                             const std::vector<TaskStatus>& statuses,
                                             TimePoint now) {
@@ -141,9 +141,8 @@
 }
 
 void HeartbeatHandler::remove_missing_task(Machine& machine, const TaskKey& key, TimePoint now) {
-  // A delayed start command may still reach a machine that has lost its tasks and run this one
-  // anew. So the same attempt is started there again, after which the delayed command has no
-  // effect.
+  // A delayed start command may still reach the machine that has lost this task and run it again.
+  // So the same attempt is started there again, after which the delayed command has no effect.
   if (machine.in_doubt_attempts.contains(machine.tasks.at(key).attempt)) {
     assignments_.reset_to_unseen(machine, key, now);
     return;
@@ -160,7 +159,7 @@
   if (found == machine.tasks.end() || found->second.attempt != status.attempt)
     return reconcile_unassigned_task(machine, status, now);
   auto& assignment = found->second;
-  // The start command has arrived.
+  // The first listing shows that the start command has arrived.
   if (!assignment.seen) failure_detector_.record_acknowledgement(machine, now);
   assignment.seen = true;
   if (status.state == TaskState::exited) return task_exits_.handle(machine, status, now);
@@ -210,13 +209,13 @@
   job.set_assigned(status.task.index, machine.id);
   if (!job.gang()) return;
   if (job.attempt != 0 && job.attempt != status.attempt) {
-    // Two attempts of one gang: both are stopped, then the gang starts anew.
+    // Machines list two attempts of the gang: both are stopped, then the gang is started again.
     jobs_.note_broken(status.task.job);
     job.attempt = std::max(job.attempt, status.attempt);
     return;
   }
   job.attempt = status.attempt;
-  // After the recovery the gang counted as ended, so the rest of it is not running.
+  // After the recovery, tasks that no machine has listed count as ended: the gang is incomplete.
   if (!recovery_.recovering()) jobs_.note_broken(status.task.job);
 }
 
@@ -230,8 +229,8 @@
   handle(*response, HeartbeatSource::command_response, now);
   machine = fleet_.find(id);
   if (machine == nullptr) return;
-  // The response came back on the connection that we opened. A response that is older than the
-  // newest heartbeat shows the same.
+  // The response shows that our connection reached the agent, even if the response is older than
+  // the newest heartbeat.
   failure_detector_.record_acknowledgement(*machine, now);
   out_.want_placing();
   schedule_next_commands(*machine, was_confirmed, now);
@@ -241,8 +240,8 @@
   failure_detector_.record_missed_response(machine, machine.commands_sent_at);
   machine.in_doubt_attempts.insert(machine.starts_in_flight.begin(),
                                    machine.starts_in_flight.end());
-  // An unconfirmed machine is queried a second time at once, to tell a lost packet from a dead
-  // machine.
+  // An unconfirmed machine is queried a second time without the usual delay, to tell a lost packet
+  // from a dead machine.
   const bool is_first_query =
       machine.unanswered_commands == 1 && recovery_.is_unconfirmed(machine.id);
   machine.next_commands_at = now + (is_first_query ? kFirstQueryRetryDelay : kCommandRetryDelay);
--- a/src/core/failover/heartbeat_handler.hpp
+++ b/src/core/failover/heartbeat_handler.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Applies what agents report to machines, tasks and jobs: periodic heartbeats and the responses to
 /// commands (PROTOCOL, "POST /agent/beat", "Delayed messages"; docs/design.md: a new leader
-/// rebuilds its state from heartbeats). Owns no state; connects the parts that a heartbeat changes.
+/// rebuilds its state from heartbeats). Owns no state; calls the modules that a heartbeat affects.
 #pragma once
 
 #include "core/failover/assignments.hpp"
@@ -12,8 +12,8 @@
 
 namespace violetpulley::core {
 
-/// Single entry point for heartbeats. Every effect of a heartbeat on the core happens here, in a
-/// fixed order that recorded histories depend on.
+/// Single entry point for heartbeats. All effects of a heartbeat on the core are applied here, in a
+/// fixed order on which the replay of recorded histories depends.
 class HeartbeatHandler {
  public:
   HeartbeatHandler(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
@@ -36,28 +36,30 @@
         task_exits_(settings, out, fleet, jobs, estimator, assignments, gangs, ended_attempts),
         token_(token) {}
 
-  /// Applies a periodic heartbeat. A heartbeat with a higher fencing token than ours ends this
-  /// leader; a heartbeat that is not newer than the newest one of its machine changes nothing.
+  /// Applies a periodic heartbeat. A fencing token higher than ours makes this leader resign; a
+  /// heartbeat that is not newer than the newest heartbeat of its machine changes nothing.
   void heartbeat(const Heartbeat& heartbeat, TimePoint now) {
     handle(heartbeat, HeartbeatSource::periodic, now);
   }
-  /// Applies the end of a command batch sent to the machine `id`. `response`: null if none came.
+  /// Applies the outcome of a command batch sent to the machine `id`. `response`: null if the batch
+  /// was not answered.
   void commands_answered(const MachineId& id, const Heartbeat* response, TimePoint now);
 
  private:
   void handle(const Heartbeat& heartbeat, HeartbeatSource source, TimePoint now);
 
-  /// The machine with this id, added if it is unknown; null if it has been returned.
+  /// The machine with this id, which is added if it is unknown; null if the machine was returned.
   Machine* find_or_add(const MachineId& id, TimePoint now);
-  /// Whether a heartbeat that is as new or newer has been applied already.
+  /// Whether a heartbeat with the same or a higher number has already been applied.
   static bool is_stale(const Heartbeat& heartbeat, const Machine& machine);
-  /// Takes over epoch and sequence; a grown epoch proves that all earlier tasks have ended.
+  /// Stores epoch and sequence; a higher epoch proves that all tasks of earlier epochs have ended.
   void update_epoch(Machine& machine, const Heartbeat& heartbeat, TimePoint now);
-  /// Takes over endpoint, type, zone and spot, and marks a machine as up at its first heartbeat.
+  /// Stores endpoint, type, zone and spot, and marks the machine as up at its first heartbeat.
   void update_identity(Machine& machine, const Heartbeat& heartbeat, TimePoint now);
-  /// The agent has answered under our fencing token, so its task list is complete.
+  /// Marks the machine as confirmed: its agent has answered under our fencing token, so the agent
+  /// refuses commands of older leaders and its task list is complete.
   void confirm(Machine& machine, TimePoint now);
-  /// The cloud reclaims the machine after `notice`: tasks that end later are stopped.
+  /// Stops the tasks that would still run when the cloud reclaims the machine after `notice`.
   void accept_reclaim_notice(Machine& machine, Seconds notice, TimePoint now);
   void remove_missing_tasks(Machine& machine, const std::vector<TaskStatus>& statuses,
                             TimePoint now);
@@ -65,14 +67,14 @@
 
   /// Applies one task status to its assignment.
   void update_assignment(Machine& machine, const TaskStatus& status, TimePoint now);
-  /// A listed attempt without an assignment: adopted, recorded as done, or counted and left for a
-  /// stop command.
+  /// Handles a listed attempt without an assignment: adopts the task, records it as done, or counts
+  /// the difference and leaves the attempt to a stop command.
   void reconcile_unassigned_task(Machine& machine, const TaskStatus& status, TimePoint now);
-  /// Makes a task that an older leader started an assignment of this machine.
+  /// Creates the assignment of a task that an older leader started on this machine.
   void adopt_task(Machine& machine, Job& job, const TaskStatus& status, TimePoint now);
 
   void handle_missed_response(Machine& machine, TimePoint now);
-  /// Decides whether and when commands that the response has not settled are sent.
+  /// Schedules another batch if commands are still pending after the response.
   void schedule_next_commands(Machine& machine, bool was_confirmed, TimePoint now);
 
   Outbox& out_;
--- a/src/core/failover/reconciler.hpp
+++ b/src/core/failover/reconciler.hpp
@@ -1,10 +1,10 @@
 /// @file
 /// Reconciliation: a new leader compares the stored state with the heartbeats of the machines
 /// (docs/reconciliation.md; docs/design.md: a new leader rebuilds its state from heartbeats before
-/// it places tasks). Owns the machines still to be queried, the cost of waiting so far and the
-/// counts of differences. Decides the order of the queries, how long a silent machine is waited for
-/// and when the fleet is known well enough to scale out. Which tasks are blocked is decided by
-/// Recovery.
+/// it places tasks). Owns the queue of machines to be queried, the accrued cost of waiting and the
+/// counts of differences. Decides the order of the queries, how long the leader waits for silent
+/// machines and when the fleet is known well enough to scale out. `Recovery` decides which tasks
+/// are blocked.
 #pragma once
 
 #include <deque>
@@ -13,13 +13,13 @@
 
 namespace violetpulley::core {
 
-/// Cost of waiting for unconfirmed machines, by shape: task-seconds in which blocked tasks could
-/// have run on free resources.
+/// Cost of waiting for unconfirmed machines, by job shape: task-seconds for which blocked tasks
+/// could have run on free resources.
 struct ReconciliationCost {
   Seconds arrays{0};
   Seconds gangs{0};
   Seconds replicas{0};
-  Seconds unseen{0};  ///< part of the above: jobs without any task seen or stored as done
+  Seconds unseen{0};  ///< included above: jobs of which every task is waiting
 
   Seconds total() const { return arrays + gangs + replicas; }
   template <class S, class F>
@@ -29,17 +29,17 @@
 };
 
 /// Differences between the state service and the heartbeats, counted until the recovery ends. Each
-/// count is a row of the table in docs/reconciliation.md.
+/// count corresponds to a row of the table in docs/reconciliation.md.
 struct ReconciliationStats {
-  std::size_t adopted = 0;           ///< tasks found on machines
+  std::size_t adopted = 0;           ///< running tasks found on machines and adopted
   std::size_t done_unrecorded = 0;   ///< reported done and not stored as done
   std::size_t duplicate_copies = 0;  ///< of a task known elsewhere or under another attempt
   std::size_t stored_done = 0;       ///< stored as done and still on a machine
-  std::size_t unknown_job = 0;       ///< tasks of jobs that have ended or were never known
-  std::size_t unregistered = 0;      ///< machines that sent a heartbeat and were not stored
-  std::size_t new_epochs = 0;        ///< agents that had lost their tasks
+  std::size_t unknown_job = 0;       ///< tasks of jobs that have ended or are unknown
+  std::size_t unregistered = 0;      ///< machines that sent a heartbeat without a stored record
+  std::size_t new_epochs = 0;        ///< agents whose epoch increased because they lost their tasks
   std::size_t stale_heartbeats = 0;  ///< older than a heartbeat that was applied before
-  std::size_t declared_dead = 0;     ///< unconfirmed machines that were silent for too long
+  std::size_t declared_dead = 0;     ///< unconfirmed machines that were returned as dead
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -48,7 +48,8 @@
   }
 };
 
-/// Paces the queries to unconfirmed machines and weighs waiting for them against returning them.
+/// Paces the queries to unconfirmed machines, and compares the cost of waiting for these machines
+/// with the cost of returning them.
 class Reconciler {
  public:
   Reconciler(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet,
@@ -63,38 +64,40 @@
         task_starter_(starts),
         elected_at_(elected_at) {}
 
-  /// Queues the unconfirmed machines; those that the most tasks may be on come first.
+  /// Queues the unconfirmed machines in descending order of the number of tasks they may run.
   void queue_unconfirmed();
   /// Queries as many machines as the in-flight window admits. A machine that has sent a heartbeat
-  /// under our fencing token is not queried. A machine that sent it under an older token learns
-  /// ours from the answer and sends another heartbeat; a query before that would double the work of
-  /// the leader when it has the most of it.
+  /// under our fencing token is not queried. A machine that has sent a heartbeat under an older
+  /// token learns ours from the answer and sends another heartbeat; it is queried only if that
+  /// heartbeat does not arrive, as an earlier query would double the load of a leader that was just
+  /// elected.
   void query_machines(TimePoint now);
 
-  /// Determines the silent machines and whether waiting for them still pays. Afterwards
-  /// `unresponsive_too_long` is true for silent machines once the wait has cost as much as
-  /// returning all of them would: the total never exceeds twice the cost of the better choice (ski
-  /// rental).
+  /// Counts the silent machines and compares the accrued cost of waiting with the cost of returning
+  /// all of them. Once waiting has cost as much, `unresponsive_too_long` is true for the silent
+  /// machines: as in the ski rental problem, the total cost is at most twice that of the better
+  /// choice.
   void evaluate_silent_machines(TimePoint now);
-  /// Whether an unconfirmed machine was queried more than once without an answer. A machine that
-  /// was not queried yet is not silent, however long ago the election was.
+  /// Whether an unconfirmed machine has left at least `kMinUnansweredQueries` queries unanswered. A
+  /// machine that has not been queried is not silent, however long ago the election was.
   bool silent(const Machine& machine) const {
     return recovery_.is_unconfirmed(machine.id) &&
            machine.unanswered_commands >= kMinUnansweredQueries;
   }
-  /// Whether a silent machine is not waited for any longer.
+  /// Whether the leader no longer waits for this silent machine, so that it may be returned.
   bool unresponsive_too_long(const Machine& machine) const {
     return wait_budget_exhausted_ && silent(machine) && responsive_zones_.contains(machine.zone);
   }
-  /// Whether every machine has answered or missed a query, so that resources that are lacking now
-  /// are really lacking.
+  /// Whether every unconfirmed machine has left a query unanswered, or the wait after the election
+  /// is over. Before that, a shortage of resources may only reflect machines that are still
+  /// unknown.
   bool fleet_known(TimePoint now) const;
 
-  /// Adds the cost of the tasks that are blocked now, once per interval.
+  /// Adds the cost of the tasks that are blocked now, at most once per `kCostInterval`.
   void accrue_waiting_cost(TimePoint now);
   const ReconciliationCost& cost() const { return cost_; }
 
-  /// Increments one of the counts while the recovery lasts.
+  /// Increments the counter during the recovery; has no effect afterwards.
   void count(std::size_t ReconciliationStats::*counter) {
     if (recovery_.recovering()) ++(stats_.*counter);
   }
@@ -112,7 +115,7 @@
  private:
   static constexpr int kMinUnansweredQueries = 2;
 
-  /// Blocked tasks of all jobs, and what keeping them waiting costs since the last time.
+  /// Blocked tasks of all jobs, and the cost of their waiting since the last update.
   struct BlockedWork {
     double tasks = 0;
     Resources resources;  ///< sum over the tasks
@@ -120,7 +123,7 @@
     ReconciliationCost cost;
   };
 
-  /// Number of tasks that may be running on a machine of this offering.
+  /// Number of waiting tasks that may be running on a machine of this offering.
   std::size_t tasks_possibly_on(const OfferingKey& offering) const;
   std::vector<const Machine*> machines_with_free_cpus(TimePoint now) const;
   BlockedWork blocked_work(const std::vector<const Machine*>& machines, Seconds elapsed) const;
@@ -134,16 +137,16 @@
   CommandDispatcher& commands_;
   const TaskStarter& task_starter_;
   TimePoint elected_at_;
-  std::deque<MachineId> queue_;  ///< to be queried, in this order
-  /// Machines that sent a heartbeat under an older token, and when to query them.
+  std::deque<MachineId> queue_;  ///< machines to be queried, in this order
+  /// Machines that sent a heartbeat under an older token, and the time from which they are queried.
   std::deque<std::pair<TimePoint, MachineId>> awaiting_second_heartbeat_;
   std::size_t queries_sent_ = 0;
   ReconciliationCost cost_;
   std::optional<TimePoint> cost_updated_at_;
-  Resources mean_blocked_resources_;  ///< of a blocked task
+  Resources mean_blocked_resources_;  ///< per blocked task
   Seconds mean_blocked_run_time_{0};
   bool wait_budget_exhausted_ = false;
-  std::set<std::string> responsive_zones_;  ///< zones without a mass event
+  std::set<std::string> responsive_zones_;  ///< zones whose share of silent machines is small
   ReconciliationStats stats_;
 };
 
--- a/src/core/failover/recovery.cpp
+++ b/src/core/failover/recovery.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// End of the recovery, and which tasks are blocked until then.
+/// End of the recovery, and the tasks that are blocked until then.
 #include "core/failover/recovery.hpp"
 
 #include <algorithm>
@@ -8,13 +8,14 @@
 
 namespace violetpulley::core {
 
-// Until every machine registered at the election is confirmed or gone, tasks of older jobs that
-// were seen nowhere may be on any other machine (docs/safety.md, "One copy of a task", 3).
+// Until every machine registered at the election is confirmed or gone, tasks of jobs of a former
+// leader that no machine has listed may run on an unconfirmed machine (docs/safety.md, "One copy of
+// a task", 3).
 void Recovery::check(TimePoint last_proven) {
   if (!recovering_) return;
-  // A machine that we have answered since, without knowing all its tasks, has its lease from us:
-  // its heartbeat may have been answered unread, or a command of an older leader may have come
-  // after it.
+  // Answering a heartbeat renews the lease even if the machine stays unconfirmed: the heartbeat may
+  // have been answered before it was processed, or a command of an older leader may have arrived
+  // after the heartbeat. So the lease counts from the last heartbeat of the machine.
   if (last_proven >= former_leases_end_)
     std::erase_if(unconfirmed_, [&](const MachineId& id) {
       const auto* machine = fleet_.find(id);
@@ -30,8 +31,8 @@
   former_leases_end_ = std::min(former_leases_end_, now + to_duration(full_lease()));
 }
 
-// A task of an older job that was seen nowhere may be on an unconfirmed machine if its job may run
-// there at all: no leader starts a task where its job does not allow it.
+// A task of a job of a former leader that no machine has listed may be on an unconfirmed machine if
+// the job is allowed there: no leader starts a task on a machine that its job does not allow.
 bool Recovery::blocked_on_reconciliation(const Job& job) const {
   if (!recovering_ || !job.from_former_leader) return false;
   if (job.placements_complete) {
@@ -44,8 +45,8 @@
                      });
 }
 
-// If all starts are recorded, only the machines of the records matter (docs/safety.md, "Committed
-// starts").
+// If all starts are recorded, a task can only be on the machine in its placement record
+// (docs/safety.md, "Committed starts").
 bool Recovery::is_recorded_on_unconfirmed(const Job& job, TaskIndex index) const {
   return index < job.placed.size() && unconfirmed_.contains(job.placed[index]);
 }
@@ -65,8 +66,8 @@
                     [&](TaskIndex index) { return is_blocked(job, index); }));
 }
 
-// The whole capacity of a machine that has not answered yet, and of a machine that lists tasks of
-// an unknown job, whose team is unknown too.
+// Counts the whole capacity of each machine that has not answered yet or that lists tasks of an
+// unknown job, as the team of such a job is unknown too.
 Resources Recovery::compute_possible_use() const {
   Resources total;
   for (const auto& [id, since] : unknown_tasks_since_)
--- a/src/core/failover/recovery.hpp
+++ b/src/core/failover/recovery.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// What a new leader does not know yet: machines registered before its election that have not
-/// answered, and machines that list tasks of unknown jobs (docs/safety.md, "One copy of a task", 3,
-/// and "Limits and places"; docs/design.md: a new leader rebuilds its state from heartbeats before
-/// it places tasks). Owns both sets. Decides which tasks are blocked on reconciliation and how many
-/// resources count as possibly in use.
+/// Tracks what a new leader does not know yet: machines registered before its election that have
+/// not answered, and machines that list tasks of unknown jobs (docs/safety.md, "One copy of a
+/// task", 3, and "Limits and places"; docs/design.md: a new leader rebuilds its state from
+/// heartbeats before it places tasks). Owns both sets. Decides which tasks are blocked on
+/// reconciliation and which resources count as possibly in use.
 #pragma once
 
 #include <algorithm>
@@ -15,43 +15,43 @@
 
 namespace violetpulley::core {
 
-/// Tracks the unconfirmed machines from the election until all of them have answered or ended.
+/// Tracks the unconfirmed machines from the election until all of them have answered or are gone.
 class Recovery {
  public:
-  /// `former_leases_end`: when the last lease that an older leader may have renewed has run out.
+  /// `former_leases_end`: when the last lease that an older leader may have renewed expires.
   /// `lease`: lease time of an agent.
   Recovery(Outbox& out, Fleet& fleet, TimePoint former_leases_end, Seconds lease)
       : out_(out), fleet_(fleet), former_leases_end_(former_leases_end), lease_(lease) {}
 
-  /// No older leader answers heartbeats any more: every other controller has seen our leader key
-  /// and said that it does not lead. So the last lease that they may have renewed ends a full lease
-  /// from `now` at the latest.
+  /// Records that no older leader answers heartbeats any more: every other controller has seen our
+  /// leader key and reported that it does not lead. So the last lease that an older leader may have
+  /// renewed expires at the latest one full lease after `now`.
   void former_leaders_gone(TimePoint now);
 
-  /// Time without any answer after which an agent has ended its tasks: the lease, the error of a
-  /// clock, and the travel time of the last answer.
-  Seconds full_lease() const { return lease_ * kClockErrorFactor + kAnswerTravelTime; }
+  /// Time without any answer after which an agent has ended its tasks: the lease, clock drift, and
+  /// the travel time of the last answer.
+  Seconds full_lease() const { return lease_ * kClockDriftFactor + kAnswerTravelTime; }
 
   /// Adds a machine on which an older leader may have started tasks.
   void add_unconfirmed(const Machine& machine) {
     unconfirmed_.insert(machine.id);
     unconfirmed_offerings_.insert({machine.type, machine.zone, machine.spot});
   }
-  /// The machine has answered under our fencing token, or is gone.
+  /// Removes a machine that has answered under our fencing token or is gone.
   void confirm(const MachineId& id) { unconfirmed_.erase(id); }
   bool is_unconfirmed(const MachineId& id) const { return unconfirmed_.contains(id); }
   std::size_t unconfirmed_count() const { return unconfirmed_.size(); }
   const std::set<MachineId>& unconfirmed() const { return unconfirmed_; }
 
-  /// Drops machines whose tasks have ended with their lease, and ends the recovery when no machine
-  /// is unconfirmed. `last_proven`: latest time by which no other node led; a newer leader may
-  /// renew leases that ran out under older ones.
+  /// Removes machines whose tasks have ended because their lease has expired, and ends the recovery
+  /// when no machine is unconfirmed. `last_proven`: latest time at which this node is proven to
+  /// have led; after that time a newer leader may have renewed leases.
   void check(TimePoint last_proven);
   bool recovering() const { return recovering_; }
   /// Whether any waiting task of this job may be running on an unconfirmed machine.
   bool blocked_on_reconciliation(const Job& job) const;
-  /// Whether this waiting task may be running on an unconfirmed machine. A gang starts whole, so
-  /// each of its tasks is blocked if one is.
+  /// Whether this waiting task may be running on an unconfirmed machine. The tasks of a gang start
+  /// together, so all of them are blocked if one is.
   bool is_blocked(const Job& job, TaskIndex index) const;
   /// Number of waiting tasks of the job that are blocked on reconciliation.
   std::size_t blocked_tasks(const Job& job) const;
@@ -78,7 +78,7 @@
   }
 
  private:
-  static constexpr double kClockErrorFactor = 1.001;
+  static constexpr double kClockDriftFactor = 1.001;
   static constexpr Seconds kAnswerTravelTime{1};
 
   bool is_recorded_on_unconfirmed(const Job& job, TaskIndex index) const;
--- a/src/core/failover/task_exit_handler.cpp
+++ b/src/core/failover/task_exit_handler.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the end of a task means for its job and its machine.
+/// Effects of task exits on jobs and machines.
 #include "core/failover/task_exit_handler.hpp"
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 namespace {
 constexpr std::chrono::seconds kRestartDelay{1};       // of a task that ended without a failure
 constexpr Seconds kInitialJobPause{2};                 // of a suspected job
-constexpr std::size_t kFaultyJobMachineThreshold = 3;  // failures on so many: the job is at fault
-constexpr int kMaxBackoffDoublings = 6;                // of one second
+constexpr std::size_t kFaultyJobMachineThreshold = 3;  // failures on this many: job at fault
+constexpr int kMaxBackoffDoublings = 6;                // of a backoff of 1 s
 }  // namespace
 
 void TaskExitHandler::handle(Machine& machine, const TaskStatus& status, TimePoint now) {
@@ -31,8 +31,8 @@
   }
   requeue(machine, status, assignment, job, now);
   if (status.cause == ExitCause::done) {
-    // A replica runs until its job is cancelled; a replica that ends by itself is replaced after a
-    // pause.
+    // A replica is meant to run until its job is cancelled; one that exits is restarted after a
+    // delay.
     delay_restart(job, now);
     return;
   }
@@ -54,7 +54,7 @@
 
 void TaskExitHandler::requeue(Machine& machine, const TaskStatus& status,
                               const Assignment& assignment, Job& job, TimePoint now) {
-  // Until the delayed start is ruled out the task stays assigned to its machine.
+  // The task stays assigned to its machine until a delayed start is ruled out.
   if (keep_if_in_doubt(machine, status, assignment, EndedTask::held, now))
     out_.push_back(
         TaskHeld{status.task, machine.id, status.attempt, settling_time(settings_.workers)});
@@ -87,8 +87,8 @@
   ++job.failures;
   job.failed_on.insert(machine.id);
   job.last_failure = now;
-  // A job that fails on machine after machine was submitted with a mistake: it must neither be
-  // retried without a pause nor put healthy machines into quarantine.
+  // A job that has failed on several machines without a completed task is likely faulty itself: it
+  // must neither be retried without a delay nor put healthy machines into quarantine.
   if (job.done == 0 && job.failed_on.size() >= kFaultyJobMachineThreshold) {
     if (job.waiting.size() == job.tasks.size()) return suspect_job(job, now);
     const int doublings =
@@ -103,8 +103,8 @@
     machine.quarantined = true;
 }
 
-// The pause grows with each retry. By then each retry starts a single task: a retry of all tasks
-// would cost as much as the first start.
+// The pause doubles with each retry. A suspected job retries with a single task, as a retry of all
+// tasks would cost as much as the first start.
 void TaskExitHandler::suspect_job(Job& job, TimePoint now) {
   const auto pause = std::clamp(job.pause * 2, kInitialJobPause, kLongestPause);
   if (pause > job.pause) out_.push_back(JobSuspected{job.spec().id, job.failed_on.size(), pause});
--- a/src/core/failover/task_exit_handler.hpp
+++ b/src/core/failover/task_exit_handler.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Handles tasks that an agent reports as ended: done, to be restarted, or failed. Attributes a
-/// failure to the job or to the machine. Owns no state; changes jobs and machines.
+/// Handles tasks that an agent reports as exited: records completions, requeues tasks that must run
+/// again, and attributes failures to the job or to the machine. Owns no state; changes jobs and
+/// machines.
 #pragma once
 
 #include "core/failover/assignments.hpp"
@@ -23,16 +24,17 @@
         gang_scheduler_(gangs),
         ended_attempts_(ended_attempts) {}
 
-  /// Ends the assignment of a task that has exited on this machine; there must be one.
+  /// Ends the assignment of a task that has exited on this machine. The assignment must exist.
   void handle(Machine& machine, const TaskStatus& status, TimePoint now);
   /// Records a task as done; a gang is done with its first task.
   void record_done(Job& job, TaskIndex index);
 
  private:
-  /// Keeps the attempt if a delayed start may run it again on its machine; returns whether it may.
+  /// Records the ended attempt if a delayed start may run it again on its machine; returns whether
+  /// it was recorded.
   bool keep_if_in_doubt(const Machine& machine, const TaskStatus& status,
                         const Assignment& assignment, EndedTask task, TimePoint now);
-  /// Lets the task wait for another start; it is held if its ended attempt is in doubt.
+  /// Makes the task wait for another start, or holds it if its ended attempt is in doubt.
   void requeue(Machine& machine, const TaskStatus& status, const Assignment& assignment, Job& job,
                TimePoint now);
   void handle_completion(Machine& machine, const Assignment& assignment, Job& job, TaskIndex index,
@@ -40,7 +42,8 @@
   static void delay_restart(Job& job, TimePoint now);
   /// Attributes a failure to the job or to the machine, and backs off or quarantines accordingly.
   void handle_failure(Machine& machine, Job& job, TimePoint now);
-  /// All tasks of the job have failed on several machines: it is retried after growing pauses.
+  /// Marks the job, whose tasks have all failed on several machines, as suspected: it is retried
+  /// after growing pauses.
   void suspect_job(Job& job, TimePoint now);
 
   const ControllerSettings& settings_;
