--- a/tests/core/dispatch/rate_limiter_test.cpp
+++ b/tests/core/dispatch/rate_limiter_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The token bucket.
+/// Tests of the token bucket.
 #include "core/dispatch/rate_limiter.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace violetpulley::core {
 namespace {
 
-TEST(RateLimiter, HoldsItsRate) {
+TEST(RateLimiter, AllowsABurstAndThenItsRate) {
   RateLimiter limiter(2.0, 2.0);
   auto now = kNow;
   EXPECT_TRUE(limiter.take(now));
--- a/tests/core/failover/leadership_test.cpp
+++ b/tests/core/failover/leadership_test.cpp
@@ -15,27 +15,28 @@
   EXPECT_FALSE(leadership.may_serve(kNow));
   leadership.record_read_barrier(kNow);
   leadership.won(7, 1, kNow);
-  EXPECT_FALSE(leadership.may_serve(kNow)) << "the key is ours; others' cancellations are unknown";
+  EXPECT_FALSE(leadership.may_serve(kNow))
+      << "cancellations confirmed by other nodes are not known yet";
   leadership.record_read_barrier(kNow);
   const auto limit = leadership.serving_time();
   EXPECT_LT(limit + times.lease, times.cancel);
   EXPECT_TRUE(leadership.may_serve(kNow + to_duration(limit - Seconds(0.1))));
   EXPECT_FALSE(leadership.may_serve(kNow + to_duration(limit + Seconds(0.1))));
-  // Neither time alone.
+  // Proof and read barrier must both be recent.
   leadership.record_proof(kNow + std::chrono::seconds(5));
   EXPECT_FALSE(leadership.may_serve(kNow + to_duration(limit + Seconds(0.1))));
   leadership.record_read_barrier(kNow + std::chrono::seconds(9));
   EXPECT_TRUE(leadership.may_serve(kNow + to_duration(limit + Seconds(4))));
   EXPECT_FALSE(leadership.may_serve(kNow + to_duration(limit + Seconds(6))));
-  // An answer that was overtaken takes nothing back.
+  // A late answer to an earlier read barrier does not shorten the time.
   leadership.record_read_barrier(kNow + std::chrono::seconds(2));
   EXPECT_TRUE(leadership.may_serve(kNow + to_duration(limit + Seconds(4))));
   leadership.lost();
   EXPECT_FALSE(leadership.may_serve(kNow));
 }
 
-// From the sending of the last barrier to the end of the last lease it lets be renewed: every
-// `cancel_s` that the settings' check takes leaves time to serve, and the sum holds.
+// Every `cancel_s` that passes the check of the settings leaves time to serve, and the last lease
+// renewed under a read barrier expires within `cancel_s` of the sending of the barrier.
 TEST(Leadership, TheSmallestCancelTimeLeavesTimeToServe) {
   for (const double lease : {1.0, 24.0, 45.0})
     for (const int skew : {0, 25, 2000}) {
--- a/tests/core/failover/reconciliation_test.cpp
+++ b/tests/core/failover/reconciliation_test.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// Tests of the reconciliation after a failover: a test for each row of the table in
-/// docs/reconciliation.md, and the parts that pace the queries. Tests with a whole fleet are in
-/// tests/simulation/fleet_simulation_test.cpp.
+/// Tests of the reconciliation after a failover: one test for each row of the table in
+/// docs/reconciliation.md, and tests of the socket shares and the in-flight window, which pace the
+/// queries. Tests with a whole fleet are in tests/simulation/fleet_simulation_test.cpp.
 #include <gtest/gtest.h>
 
 #include "core/controller.hpp"
@@ -13,7 +13,7 @@
 
 constexpr FencingToken kToken = 7;
 
-TEST(SocketBudget, HeartbeatsComeFirstAndNoShareIsLeftWithout) {
+TEST(SocketBudget, HeartbeatsHavePriorityAndEveryShareKeepsAMinimum) {
   for (const std::size_t sockets : {100, 1000, 3494, 20'000})
     for (const std::size_t machines : {0, 50, 2112, 7000, 40'000}) {
       SCOPED_TRACE(std::to_string(sockets) + " sockets, " + std::to_string(machines));
@@ -24,29 +24,30 @@
       EXPECT_GE(shares.heartbeats, std::min(machines, sockets / 3));
       EXPECT_EQ(shares.accepted(sockets), sockets - shares.internal - shares.commands);
     }
-  // The users' larger fleet with half as many machines again: a tenth of the sockets is left.
+  // With half as many machines again as the largest expected fleet, a tenth of the sockets is
+  // unused.
   const auto shares = share_sockets({3494, 5}, 2112);
   EXPECT_GE(shares.heartbeats, 2112U);
   EXPECT_LT(shares.internal + 2112 + shares.commands + shares.users, 3494U * 9 / 10);
 }
 
-TEST(InFlightWindow, GrowsOnAnswersAndShrinksOnSlowAndMissingOnes) {
+TEST(InFlightWindow, GrowsOnQuickAnswersAndShrinksOnSlowAnswersAndLosses) {
   TimePoint now = TimePoint{} + std::chrono::hours(1);
   InFlightWindow window;
   window.set_share(500);
   const auto start = window.size();
-  const auto exchange = [&](std::size_t times, Seconds took) {
+  const auto exchange = [&](std::size_t times, Seconds round_trip) {
     for (std::size_t i = 0; i < times; ++i) {
       window.sent();
-      window.answered(took);
+      window.answered(round_trip);
     }
   };
   exchange(start, Seconds(0.01));
-  EXPECT_EQ(window.size(), 2 * start) << "a wave doubles it";
+  EXPECT_EQ(window.size(), 2 * start) << "one quick answer per slot doubles the window";
   exchange(2000, Seconds(0.01));
-  EXPECT_EQ(window.size(), 500U) << "the share";
+  EXPECT_EQ(window.size(), 500U) << "the share is the upper limit";
   exchange(100, Seconds(0.8));
-  EXPECT_EQ(window.size(), 125U) << "never less than a quarter of the share";
+  EXPECT_EQ(window.size(), 125U) << "a quarter of the share is the lower limit";
   exchange(1000, Seconds(0.01));
   const auto lose = [&](int times) {
     for (int i = 0; i < times; ++i) {
@@ -54,7 +55,7 @@
       window.lost(now);
     }
   };
-  // Some machines are always dead.
+  // A few losses do not shrink the window, as some machines are always dead.
   now += milliseconds(600);
   exchange(20, Seconds(0.01));
   lose(1);
@@ -69,7 +70,7 @@
   EXPECT_EQ(window.in_flight(), 0U);
 }
 
-/// A leader with its recovered state, and heartbeats given to it one by one.
+/// A leader that starts from a given recovered state and receives single heartbeats.
 class Reconciliation : public ::testing::Test {
  protected:
   static JobRecord job(const JobId& id, TaskIndex tasks, Shape shape = Shape::array) {
@@ -85,8 +86,8 @@
     record.revision = 2;
     return record;
   }
-  void stored(const std::vector<MachineId>& machines, std::vector<JobRecord> jobs,
-              std::vector<ProgressRecord> progress = {}) {
+  void start_leader(const std::vector<MachineId>& machines, std::vector<JobRecord> jobs,
+                    std::vector<ProgressRecord> progress = {}) {
     RecoveredState recovered;
     for (const auto& id : machines)
       recovered.machines.push_back({id, "10.0.0.1:1", "bench", "a", true, {}});
@@ -114,13 +115,13 @@
       commands_.push_back(command);
     if (token <= kToken) last_heartbeats_[id] = std::move(heartbeat);
   }
-  /// Tasks of a machine that is neither idle nor full.
-  static std::vector<TaskStatus> busy() {
+  /// Task statuses of a machine that is partly used, so that it is neither idle nor full.
+  static std::vector<TaskStatus> partial_load() {
     return {task("req-2", 0, 3), task("req-2", 1, 4), task("req-2", 2, 5)};
   }
-  /// Machines that have sent a heartbeat respond to commands with the same task list, under the
-  /// leader's token.
-  void answer(const MachineId& id) {
+  /// Answers a command batch with the task list of the machine's last heartbeat, under the leader's
+  /// token. Without a heartbeat the batch stays unanswered, or fails if `unreachable_` is set.
+  void answer_commands(const MachineId& id) {
     const auto found = last_heartbeats_.find(id);
     if (found == last_heartbeats_.end()) {
       if (unreachable_) controller_->commands_answered(id, nullptr, now_);
@@ -131,7 +132,7 @@
     heartbeat.token = kToken;
     controller_->commands_answered(id, &heartbeat, now_);
   }
-  /// Passes time and collects the actions of the leader.
+  /// Advances the time in steps of 100 ms and handles the actions of the leader.
   void run(Seconds length) {
     for (const auto end = now_ + to_duration(length); now_ < end; now_ += milliseconds(100)) {
       controller_->tick(now_, true, now_);
@@ -139,20 +140,20 @@
         if (auto* batch = std::get_if<SendCommands>(&action)) {
           queried_.push_back(batch->machine);
           for (const auto& command : batch->commands) commands_.push_back(command);
-          answer(batch->machine);
-        } else if (const auto* rent = std::get_if<ScaleOut>(&action)) {
+          answer_commands(batch->machine);
+        } else if (const auto* request = std::get_if<ScaleOut>(&action)) {
           ++scale_outs_;
-          controller_->scale_out_answered(rent->name, {ScaleOutResult::Kind::no_capacity, {}},
+          controller_->scale_out_answered(request->name, {ScaleOutResult::Kind::no_capacity, {}},
                                           now_);
-        } else if (auto* release = std::get_if<ScaleIn>(&action)) {
-          returned_.insert(returned_.end(), release->machines.begin(), release->machines.end());
+        } else if (auto* scale_in = std::get_if<ScaleIn>(&action)) {
+          returned_.insert(returned_.end(), scale_in->machines.begin(), scale_in->machines.end());
         } else {
           actions_.push_back(std::move(action));
         }
       }
     }
   }
-  /// Number of tasks with a command of this type, however often it was sent.
+  /// Number of attempts for which a command of this type was sent; repetitions count once.
   std::size_t count(CommandType type) const {
     std::set<std::pair<TaskKey, Attempt>> attempts;
     for (const auto& command : commands_)
@@ -172,7 +173,7 @@
   std::unique_ptr<Controller> controller_;
   std::uint64_t sequence_ = 0;
   Tuning tuning_;
-  bool unreachable_ = false;  ///< commands to machines without a heartbeat fail at once
+  bool unreachable_ = false;  ///< batches to machines without a heartbeat fail at once
   std::map<MachineId, Heartbeat> last_heartbeats_;
   std::vector<MachineId> queried_;
   std::vector<MachineId> returned_;
@@ -182,63 +183,64 @@
 };
 
 TEST_F(Reconciliation, RunningTasksAreAdoptedAndTheRestStartsWhenAllHaveAnswered) {
-  stored({"m1", "m2"}, {job("req-1", 3)});
+  start_leader({"m1", "m2"}, {job("req-1", 3)});
   heartbeat("m1", {task("req-1", 0)});
   run(Seconds(0.5));
   EXPECT_EQ(stats().adopted, 1U);
-  EXPECT_EQ(count(CommandType::start), 0U) << "m2 may run the other two";
+  EXPECT_EQ(count(CommandType::start), 0U) << "m2 may run the other two tasks";
   heartbeat("m2", {});
   run(Seconds(0.5));
   EXPECT_EQ(count(CommandType::start), 2U);
 }
 
-TEST_F(Reconciliation, OperatorsMayLimitTheCommandsInFlight) {
+TEST_F(Reconciliation, TheOperatorsLimitBoundsTheCommandsInFlight) {
   std::vector<MachineId> machines;
   for (int i = 0; i < 60; ++i) machines.push_back(std::to_string(1000 + i));
-  for (const std::size_t most : {8, 0}) {
-    tuning_.max_commands_in_flight = most;
+  for (const std::size_t max_in_flight : {8, 0}) {
+    tuning_.max_commands_in_flight = max_in_flight;
     queried_.clear();
-    stored(machines, {job("req-1", 1)});
+    start_leader(machines, {job("req-1", 1)});
     run(Seconds(0.1));
-    EXPECT_EQ(queried_.size(), most > 0 ? most : 32U);
+    EXPECT_EQ(queried_.size(), max_in_flight > 0 ? max_in_flight : 32U);
   }
 }
 
-// Machines that do not answer are queried again, which must not keep others from being queried.
+// Repeated queries to machines that do not answer must not take the window from machines that were
+// not queried yet.
 TEST_F(Reconciliation, SilentMachinesDoNotBlockTheQueriesToOthers) {
   std::vector<MachineId> machines;
   for (int i = 0; i < 60; ++i) machines.push_back(std::to_string(1000 + i));
   tuning_.max_commands_in_flight = 8;
   unreachable_ = true;
-  stored(machines, {job("req-1", 1)});
+  start_leader(machines, {job("req-1", 1)});
   run(Seconds(3));
   EXPECT_EQ(std::set<MachineId>(queried_.begin(), queried_.end()).size(), machines.size());
 }
 
-// Found on the bench: right after a start 200 machines were requested while the whole fleet was
-// idle and had not sent heartbeats yet.
-TEST_F(Reconciliation, NothingIsScaledOutForYoungerJobsBeforeTheFleetIsKnown) {
-  stored({"m1", "m2"}, {});
-  auto younger = job("req-9", 4);
-  younger.revision = kToken + 1;
-  controller_->job_opened(younger, now_);
+// A new leader must not request machines for jobs submitted after its election while the existing
+// machines are idle but have not sent heartbeats yet.
+TEST_F(Reconciliation, NoMachinesAreRequestedForNewJobsBeforeTheFleetIsKnown) {
+  start_leader({"m1", "m2"}, {});
+  auto new_job = job("req-9", 4);
+  new_job.revision = kToken + 1;
+  controller_->job_opened(new_job, now_);
   run(Seconds(2.5));
   EXPECT_EQ(scale_outs_, 0U);
   controller_->commands_answered("m1", nullptr, now_);
   controller_->commands_answered("m2", nullptr, now_);
   run(Seconds(2.5));
-  EXPECT_GT(scale_outs_, 0U) << "they are gone: now it is lacking";
+  EXPECT_GT(scale_outs_, 0U) << "no machine answered, so capacity is lacking";
 }
 
 TEST_F(Reconciliation, AMachineWithAHeartbeatUnderOurTokenIsNotQueried) {
-  stored({"m1", "m2"}, {job("req-1", 3)});
+  start_leader({"m1", "m2"}, {job("req-1", 3)});
   heartbeat("m1", {});
   run(Seconds(0.3));
   EXPECT_EQ(queried_, std::vector<MachineId>{"m2"});
 }
 
-TEST_F(Reconciliation, AMachineWithAHeartbeatUnderAnOlderTokenGetsTimeForAnother) {
-  stored({"m1", "m2"}, {job("req-1", 3)});
+TEST_F(Reconciliation, AMachineWithAHeartbeatUnderAnOlderTokenIsQueriedAfterADelay) {
+  start_leader({"m1", "m2"}, {job("req-1", 3)});
   heartbeat("m1", {}, kToken - 1);
   run(Seconds(0.9));
   EXPECT_EQ(queried_, std::vector<MachineId>{"m2"});
@@ -247,7 +249,7 @@
 }
 
 TEST_F(Reconciliation, ATaskStoredAsDoneButStillRunningIsStopped) {
-  stored({"m1"}, {job("req-1", 2)}, {{"req-1", 0, {{0, 0}}, {}}});
+  start_leader({"m1"}, {job("req-1", 2)}, {{"req-1", 0, {{0, 0}}, {}}});
   heartbeat("m1", {task("req-1", 0)});
   run(Seconds(1));
   EXPECT_EQ(stats().stored_done, 1U);
@@ -255,25 +257,25 @@
 }
 
 TEST_F(Reconciliation, ATaskReportedDoneIsStoredBeforeItIsAcknowledged) {
-  stored({"m1"}, {job("req-1", 2)});
+  start_leader({"m1"}, {job("req-1", 2)});
   heartbeat("m1", {task("req-1", 0, 3, TaskState::exited, ExitCause::done)});
   run(Seconds(3));
   EXPECT_EQ(stats().done_unrecorded, 1U);
   EXPECT_GT(progress_saves(), 0U);
   EXPECT_EQ(count(CommandType::acknowledge), 0U);
   for (const auto& command : commands_)
-    EXPECT_FALSE(command.type == CommandType::start && command.task.index == 0) << "it is done";
+    EXPECT_FALSE(command.type == CommandType::start && command.task.index == 0) << "task 0 is done";
 }
 
 TEST_F(Reconciliation, TasksOfJobsThatEndedMeanwhileAreStopped) {
-  stored({"m1"}, {});
+  start_leader({"m1"}, {});
   heartbeat("m1", {task("req-9", 0)});
   EXPECT_EQ(stats().unknown_job, 1U);
   EXPECT_EQ(count(CommandType::stop), 1U);
 }
 
 TEST_F(Reconciliation, OfTwoCopiesTheSecondIsStopped) {
-  stored({"m1", "m2"}, {job("req-1", 1)});
+  start_leader({"m1", "m2"}, {job("req-1", 1)});
   heartbeat("m1", {task("req-1", 0, 3)});
   heartbeat("m2", {task("req-1", 0, 4)});
   run(Seconds(1));
@@ -282,20 +284,20 @@
   EXPECT_EQ(commands_.back().attempt, 4U);
 }
 
-TEST_F(Reconciliation, AnIncompleteGangIsStoppedWholeBeforeItStartsAnew) {
-  stored({"m1", "m2"}, {job("req-1", 2, Shape::gang)});
+TEST_F(Reconciliation, AnIncompleteGangIsStoppedBeforeItIsRestarted) {
+  start_leader({"m1", "m2"}, {job("req-1", 2, Shape::gang)});
   heartbeat("m1", {task("req-1", 0)});
   heartbeat("m2", {});
   run(Seconds(1));
   EXPECT_EQ(count(CommandType::stop), 1U);
-  EXPECT_EQ(count(CommandType::start), 0U) << "the first task is still there";
+  EXPECT_EQ(count(CommandType::start), 0U) << "task 0 is still running";
   heartbeat("m1", {});
   run(Seconds(1));
   EXPECT_EQ(count(CommandType::start), 2U);
 }
 
-TEST_F(Reconciliation, ASurplusReplicaIsNotStartedAgain) {
-  stored({"m1", "m2"}, {job("req-1", 1, Shape::service)});
+TEST_F(Reconciliation, ASurplusReplicaIsStoppedAndNotRestarted) {
+  start_leader({"m1", "m2"}, {job("req-1", 1, Shape::service)});
   heartbeat("m1", {task("req-1", 0, 3)});
   heartbeat("m2", {task("req-1", 0, 4)});
   run(Seconds(1));
@@ -303,8 +305,8 @@
   EXPECT_EQ(count(CommandType::start), 0U);
 }
 
-TEST_F(Reconciliation, ALaterEpochLosesTheTasksOfTheEarlierOne) {
-  stored({"m1"}, {job("req-1", 1)});
+TEST_F(Reconciliation, ALaterAgentEpochEndsTheTasksOfTheEarlierEpoch) {
+  start_leader({"m1"}, {job("req-1", 1)});
   heartbeat("m1", {task("req-1", 0)}, kToken - 1, 1, 5);
   heartbeat("m1", {}, kToken, 2, 6);
   run(Seconds(0.5));
@@ -313,28 +315,29 @@
 }
 
 TEST_F(Reconciliation, AStaleHeartbeatIsIgnored) {
-  stored({"m1", "m2"}, {job("req-1", 1)});
+  start_leader({"m1", "m2"}, {job("req-1", 1)});
   heartbeat("m1", {}, kToken, 2, 6);
-  heartbeat("m1", {task("req-1", 0)}, kToken - 1, 1, 9);  // delayed, of a former epoch
+  heartbeat("m1", {task("req-1", 0)}, kToken - 1, 1, 9);  // delayed, of an earlier epoch
   heartbeat("m1", {task("req-1", 0)}, kToken, 2, 5);
   EXPECT_EQ(stats().stale_heartbeats, 2U);
   EXPECT_EQ(stats().adopted, 0U);
 }
 
-// Found by seed 400 of Committing (ran_twice): the first heartbeat after the failover was delayed;
-// the task had since been started on the same machine under another attempt.
-TEST_F(Reconciliation, ALaterAttemptOnTheSameMachineIsNotLostWithTheEarlierOne) {
-  stored({"m1", "m2"}, {job("req-1", 1)});
+// A delayed heartbeat that arrives first after a failover lists an earlier attempt of a task that
+// has since been started on the same machine under a later attempt. When the next heartbeat lists
+// only the later attempt, the task must not count as lost, or it runs twice.
+TEST_F(Reconciliation, ALaterAttemptOnTheSameMachineOutlivesTheLossOfTheEarlierAttempt) {
+  start_leader({"m1", "m2"}, {job("req-1", 1)});
   heartbeat("m2", {});
   heartbeat("m1", {task("req-1", 0, 3)}, kToken - 1, 1, 27);
   heartbeat("m1", {task("req-1", 0, 4)}, kToken, 1, 49);
   run(Seconds(2));
-  EXPECT_EQ(count(CommandType::start), 0U) << "it runs on m1";
+  EXPECT_EQ(count(CommandType::start), 0U) << "the task runs on m1";
   EXPECT_EQ(count(CommandType::stop), 0U);
 }
 
 TEST_F(Reconciliation, AMachineThatIsNotStoredIsRegisteredBeforeAnythingStartsThere) {
-  stored({}, {job("req-1", 1)});
+  start_leader({}, {job("req-1", 1)});
   heartbeat("new", {});
   run(Seconds(0.5));
   EXPECT_EQ(count(CommandType::start), 0U);
@@ -343,8 +346,8 @@
   EXPECT_EQ(count(CommandType::start), 1U);
 }
 
-TEST_F(Reconciliation, CommandsGoToAMovedEndpoint) {
-  stored({"m1"}, {job("req-1", 1)});
+TEST_F(Reconciliation, CommandsGoToAChangedEndpointOnceItIsStored) {
+  start_leader({"m1"}, {job("req-1", 1)});
   Heartbeat moved{"m1", "10.0.0.9:9", "bench", "a", true, 1, 1, kToken, {}, {}};
   controller_->heartbeat(moved, now_);
   controller_->tick(now_, true, now_);
@@ -352,7 +355,7 @@
   for (auto& action : controller_->take_actions())
     if (const auto* save = std::get_if<SaveMachine>(&action))
       stored_endpoint = save->record.endpoint;
-  // The next leader needs the endpoint too: nothing starts before the record is committed.
+  // The next leader needs the endpoint too, so nothing starts before the record is committed.
   EXPECT_EQ(stored_endpoint, "10.0.0.9:9");
   controller_->machine_saved("m1", true, true);
   controller_->tick(now_ + milliseconds(200), true, now_);
@@ -362,8 +365,8 @@
   EXPECT_EQ(endpoint, "10.0.0.9:9");
 }
 
-TEST_F(Reconciliation, AnAgentThatHasSeenAHigherTokenEndsTheLeader) {
-  stored({"m1"}, {job("req-1", 1)});
+TEST_F(Reconciliation, AHeartbeatWithAHigherTokenMakesTheLeaderResign) {
+  start_leader({"m1"}, {job("req-1", 1)});
   heartbeat("m1", {}, kToken + 1);
   run(Seconds(0.2));
   EXPECT_TRUE(std::any_of(actions_.begin(), actions_.end(), [](const Action& action) {
@@ -372,48 +375,49 @@
   EXPECT_EQ(count(CommandType::start), 0U);
 }
 
-// Found on the bench: choosing machines for six thousand tasks in one round took a leader three
-// seconds of its share of a processor, in which it answered no heartbeat.
-TEST_F(Reconciliation, ARoundStartsNoMoreThanCommandsCanFollow) {
-  stored({}, {job("req-1", 2000)});
+// A leader answers no heartbeats during a scheduling round. Choosing machines for thousands of
+// tasks in one round blocks it for seconds.
+TEST_F(Reconciliation, ARoundStartsALimitedNumberOfTasks) {
+  start_leader({}, {job("req-1", 2000)});
   for (int i = 0; i < 400; ++i) {
     const auto id = std::to_string(1000 + i);
     heartbeat(id, {});
     controller_->machine_saved(id, true, true);
   }
-  const auto placed = [&] {
+  const auto assigned_tasks = [&] {
     std::size_t tasks = 0;
     for (const auto& [id, machine] : controller_->fleet().all()) tasks += machine.tasks.size();
     return tasks;
   };
-  std::size_t before = placed();
-  std::size_t most = 0;
+  std::size_t before = assigned_tasks();
+  std::size_t max_started = 0;
   for (int round = 0; round < 60; ++round) {
     run(Seconds(0.1));
-    most = std::max(most, placed() - before);
-    before = placed();
+    max_started = std::max(max_started, assigned_tasks() - before);
+    before = assigned_tasks();
     if (before < 1600) {
-      EXPECT_EQ(scale_outs_, 0U) << "the rest is not lacking room";
+      EXPECT_EQ(scale_outs_, 0U) << "the remaining tasks still fit on the fleet";
     }
   }
   EXPECT_EQ(before, 1600U);
-  EXPECT_GT(most, 0U);
-  EXPECT_LT(most, 1000U);
+  EXPECT_GT(max_started, 0U);
+  EXPECT_LT(max_started, 1000U);
 }
 
-// A heartbeat under an older token was answered, which renewed the lease of the machine; a delayed
-// command of an older leader may have arrived after that heartbeat.
+// The answer to a heartbeat under an older token renews the lease of the machine, and a delayed
+// command of an older leader may have arrived after that heartbeat. So the machine's tasks may run
+// until that lease has expired.
 TEST_F(Reconciliation, AMachineThatWasAnsweredIsWaitedForUntilItsLeaseHasRunOut) {
-  stored({"m1", "m2"}, {job("req-1", 1), job("req-2", 3)});
+  start_leader({"m1", "m2"}, {job("req-1", 1), job("req-2", 3)});
   for (int second = 0; second < 50; ++second) {
-    heartbeat("m2", busy());
+    heartbeat("m2", partial_load());
     run(Seconds(1));
   }
   heartbeat("m1", {}, kToken - 1);
   last_heartbeats_.erase("m1");
   const auto lease = AgentTimes{}.lease;
   for (int second = 0; second < 60; ++second) {
-    heartbeat("m2", busy());
+    heartbeat("m2", partial_load());
     run(Seconds(1));
     if (Seconds(second) < lease) {
       ASSERT_EQ(count(CommandType::start), 0U) << "after " << second << " s";
@@ -422,88 +426,90 @@
   EXPECT_EQ(count(CommandType::start), 1U);
 }
 
-// Found by seed 1379 of Hunted: the answer to its first heartbeat renewed the lease of a machine
-// with a task that had been cancelled under an older leader. The stop was to follow, but the
-// machine was cut off.
+// The answer to a machine's first heartbeat renews its lease. If the stop of a task that was
+// cancelled under an older leader does not come with that answer and the machine is then
+// partitioned, the task outlives the cancel time.
 TEST_F(Reconciliation, TheAnswerThatRenewsALeaseStopsTasksOfEndedJobs) {
-  stored({"m1"}, {job("req-1", 1)});
+  start_leader({"m1"}, {job("req-1", 1)});
   heartbeat("m1", {task("req-1", 0), task("req-9", 0, 4)}, kToken - 1);
-  ASSERT_EQ(commands_.size(), 1U) << "with that very answer";
+  ASSERT_EQ(commands_.size(), 1U) << "the answer itself carries the stop";
   EXPECT_EQ(commands_[0].type, CommandType::stop);
   EXPECT_EQ(commands_[0].task.job, "req-9");
 }
 
-// A job that was cancelled under the older leader has no record, and its task may be on any silent
-// machine. Machines that hang do not end their tasks with their lease.
+// A job that was cancelled under the older leader has no record any more, so its task may be on any
+// silent machine. A machine that hangs does not end its tasks when its lease expires.
 TEST_F(Reconciliation, AMachineThatMayRunCancelledTasksIsReturnedInTimeHoweverManyAreSilent) {
   const std::vector<MachineId> all{"m1", "m2", "m3", "m4", "m5", "m6"};
-  stored(all, {job("req-2", 3)});
+  start_leader(all, {job("req-2", 3)});
   unreachable_ = true;
-  const auto wait = [&](int seconds, int heard) {
+  const auto wait = [&](int seconds, int responding) {
     for (int second = 0; second < seconds; ++second) {
-      for (int i = 0; i < heard; ++i)
-        heartbeat(all[static_cast<std::size_t>(i)], i == 0 ? busy() : std::vector<TaskStatus>{});
+      for (int i = 0; i < responding; ++i)
+        heartbeat(all[static_cast<std::size_t>(i)],
+                  i == 0 ? partial_load() : std::vector<TaskStatus>{});
       run(Seconds(1));
     }
   };
   wait(12, 2);
-  EXPECT_TRUE(returned_.empty()) << "most are silent: it may be this leader that is cut off";
+  EXPECT_TRUE(returned_.empty()) << "most machines are silent: this leader may be partitioned";
   wait(5, 2);
   EXPECT_EQ(std::set<MachineId>(returned_.begin(), returned_.end()),
             std::set<MachineId>(all.begin() + 2, all.end()));
-  // A leader without any heartbeats is cut off itself.
+  // A leader without any heartbeats is partitioned itself and returns nothing.
   last_heartbeats_.clear();
   returned_.clear();
-  stored(all, {job("req-2", 3)});
+  start_leader(all, {job("req-2", 3)});
   wait(40, 0);
   EXPECT_TRUE(returned_.empty());
 }
 
-// The machine listed a task of a job that has ended, got the stop, and is silent since.
+// The machine listed a task of a job that has ended, was sent the stop, and has been silent since.
 TEST_F(Reconciliation, ASilentMachineThatListedEndedTasksIsReturnedInTimeHoweverManyAreSilent) {
-  stored({"m1", "m2", "m3", "m4"}, {job("req-2", 3)});
+  start_leader({"m1", "m2", "m3", "m4"}, {job("req-2", 3)});
   heartbeat("m1", {task("req-9", 0)});
-  heartbeat("m2", busy());
+  heartbeat("m2", partial_load());
   for (const auto* id : {"m3", "m4"}) heartbeat(id, {});
   last_heartbeats_.clear();
   unreachable_ = true;
   const auto lease = AgentTimes{}.lease;
   for (int second = 0; Seconds(second) < lease / 2 + Seconds(2); ++second) {
-    heartbeat("m2", busy());
+    heartbeat("m2", partial_load());
     run(Seconds(1));
   }
   EXPECT_EQ(std::set<MachineId>(returned_.begin(), returned_.end()), (std::set<MachineId>{"m1"}));
 }
 
-// Once every peer has said that it does not lead, no other node can have renewed a lease.
+// Once every other controller has reported that it does not lead, no lease is renewed by an older
+// leader any more.
 TEST_F(Reconciliation, FormerLeadersThatAreKnownToBeGoneShortenTheWait) {
-  for (const bool gone : {false, true}) {
+  for (const bool leaders_gone : {false, true}) {
     commands_.clear();
     last_heartbeats_.clear();
-    stored({"m1", "m2"}, {job("req-1", 1), job("req-2", 3)});
+    start_leader({"m1", "m2"}, {job("req-1", 1), job("req-2", 3)});
     const auto start = now_;
     std::optional<Seconds> started;
-    heartbeat("m2", busy());
+    heartbeat("m2", partial_load());
     run(Seconds(1));
-    if (gone) controller_->former_leaders_gone(now_);
+    if (leaders_gone) controller_->former_leaders_gone(now_);
     for (int second = 0; second < 70 && !started; ++second) {
-      heartbeat("m2", busy());
+      heartbeat("m2", partial_load());
       run(Seconds(1));
       if (count(CommandType::start) > 0) started = now_ - start;
     }
     ASSERT_TRUE(started);
-    EXPECT_EQ(*started < Seconds(32), gone) << started->count();
+    EXPECT_EQ(*started < Seconds(32), leaders_gone) << started->count();
     EXPECT_GT(*started, Seconds(1) + AgentTimes{}.lease);
   }
 }
 
-// A machine that was not queried is not silent: found on the bench, where a leader short of
-// processor time returned a quarter of a healthy fleet five seconds after its election.
+// A machine that was not queried is not silent: a leader that is short of processor time queries
+// late and must not return healthy machines for that.
 TEST_F(Reconciliation, AMachineThatWasNotQueriedTwiceIsNotReturned) {
-  stored({"m1", "m2", "m3"}, {job("req-1", 30)});
+  start_leader({"m1", "m2", "m3"}, {job("req-1", 30)});
   heartbeat("m1", {});
   heartbeat("m2", {});
-  run(Seconds(7));  // m3 is queried once, and the response is still awaited
+  run(Seconds(7));  // m3 was queried once, and its response is pending
   EXPECT_TRUE(returned_.empty());
   controller_->commands_answered("m3", nullptr, now_);
   heartbeat("m1", {});
