--- a/src/core/failover/reconciler.hpp
+++ b/src/core/failover/reconciler.hpp
@@ -145,6 +145,7 @@
   std::optional<TimePoint> cost_updated_at_;
   Resources mean_blocked_resources_;  ///< per blocked task
   Seconds mean_blocked_run_time_{0};
+  /// Whether waiting has cost as much as returning all silent machines, and these are few enough.
   bool wait_budget_exhausted_ = false;
   std::set<std::string> responsive_zones_;  ///< zones whose share of silent machines is small
   ReconciliationStats stats_;
--- a/tests/core/failover/reconciliation_test.cpp
+++ b/tests/core/failover/reconciliation_test.cpp
@@ -43,11 +43,11 @@
     }
   };
   exchange(start, Seconds(0.01));
-  EXPECT_EQ(window.size(), 2 * start) << "one quick answer per slot doubles the window";
+  EXPECT_EQ(window.size(), 2 * start) << "a quick answer for each slot doubles the window";
   exchange(2000, Seconds(0.01));
   EXPECT_EQ(window.size(), 500U) << "the share is the upper limit";
   exchange(100, Seconds(0.8));
-  EXPECT_EQ(window.size(), 125U) << "a quarter of the share is the lower limit";
+  EXPECT_EQ(window.size(), 125U) << "the window is never smaller than a quarter of the share";
   exchange(1000, Seconds(0.01));
   const auto lose = [&](int times) {
     for (int i = 0; i < times; ++i) {
@@ -290,7 +290,7 @@
   heartbeat("m2", {});
   run(Seconds(1));
   EXPECT_EQ(count(CommandType::stop), 1U);
-  EXPECT_EQ(count(CommandType::start), 0U) << "task 0 is still running";
+  EXPECT_EQ(count(CommandType::start), 0U) << "the first task is still running";
   heartbeat("m1", {});
   run(Seconds(1));
   EXPECT_EQ(count(CommandType::start), 2U);
@@ -452,7 +452,8 @@
     }
   };
   wait(12, 2);
-  EXPECT_TRUE(returned_.empty()) << "most machines are silent: this leader may be partitioned";
+  EXPECT_TRUE(returned_.empty())
+      << "most machines are silent: this leader may be cut off from them";
   wait(5, 2);
   EXPECT_EQ(std::set<MachineId>(returned_.begin(), returned_.end()),
             std::set<MachineId>(all.begin() + 2, all.end()));
