--- a/src/core/dispatch/command_dispatcher.hpp
+++ b/src/core/dispatch/command_dispatcher.hpp
@@ -67,8 +67,8 @@
   /// Whether the placement record of the assignment is committed, so that its start may be sent.
   bool committed(const TaskKey& key, const Assignment& assignment) const;
 
-  /// Marks the assignment to be stopped, with `grace` to save a checkpoint. A repeated stop only
-  /// ever shortens the grace.
+  /// Marks the assignment to be stopped, with `grace` as the time to save a checkpoint. A repeated
+  /// stop can shorten the grace but not extend it.
   void stop(Machine& machine, Assignment& assignment, TimePoint now, Seconds grace = Seconds(0));
 
   /// Stops a task that has to leave its machine, with time for a checkpoint if the checkpoint takes
--- a/src/core/dispatch/task_starter.hpp
+++ b/src/core/dispatch/task_starter.hpp
@@ -56,8 +56,9 @@
     return static_cast<TaskIndex>(job.waiting.size() - recovery_.blocked_tasks(job));
   }
 
-  /// Whether the machine accepts new tasks: it is up, confirmed, registered and responsive, and is
-  /// not about to be returned, drained, quarantined or reclaimed.
+  /// Whether the machine accepts new tasks: it is up, confirmed, registered, responsive and not
+  /// partitioned, and is neither being returned, drained or settled, nor quarantined, nor under a
+  /// reclaim notice.
   bool accepts_new_tasks(const Machine& machine, TimePoint now) const;
 
   /// Whether one more task of the job fits its team's limit.
