--- a/src/core/autoscaling/scale_out_planner.hpp
+++ b/src/core/autoscaling/scale_out_planner.hpp
@@ -72,7 +72,7 @@
 
   /// The tasks that were not placed and are not bound yet, in the order of the queue.
   std::vector<ScalerJob> unplaced_tasks(const std::vector<Candidate>& queue) const;
-  /// The job's unplaced tasks, as many as the team's quota allows; `quota_left` is reduced.
+  /// The job's unplaced tasks, as many as the team's quota allows; `remaining_quota` is reduced.
   std::vector<TaskIndex> unplaced_tasks_of(const Job& job, Resources& quota_left) const;
   /// How many more of the job's tasks each zone may take.
   std::map<std::string, TaskIndex> zone_capacity(const Job& job) const;
--- a/src/core/model/heartbeat.hpp
+++ b/src/core/model/heartbeat.hpp
@@ -32,13 +32,13 @@
   Attempt attempt = 0;
   TaskState state = TaskState::fetching;
   ExitCause cause = ExitCause::none;
-  bool stored = false;  ///< A checkpoint was saved when the task was stopped.
+  bool checkpoint_saved = false;  ///< A checkpoint was saved when the task was stopped.
 
   friend bool operator==(const TaskStatus&, const TaskStatus&) = default;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.task, s.attempt, s.state, s.cause, s.stored);
+    f(s.task, s.attempt, s.state, s.cause, s.checkpoint_saved);
   }
 };
 
@@ -60,7 +60,7 @@
   AgentEpoch epoch = 0;
   HeartbeatSequence heartbeat_sequence = 0;
   FencingToken token = 0;         ///< The highest fencing token that the agent has seen.
-  std::optional<Seconds> notice;  ///< Time until the cloud takes the spot machine; null: none.
+  std::optional<Seconds> notice;  ///< Time until the cloud reclaims the machine; null: unknown.
   std::vector<TaskStatus> tasks;
 
   HeartbeatNumber number() const { return {epoch, heartbeat_sequence}; }
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -60,9 +60,10 @@
 }  // namespace
 
 void Scheduler::round(TimePoint now) {
-  const bool round_due = now - last_round_ >= to_duration(settings_.tuning.round);
+  const bool round_due = now - last_round_ >= to_duration(settings_.tuning.round_interval);
   const bool quick_round_due =
-      out_.placing_wanted() && now - last_round_ >= to_duration(settings_.tuning.quick_round);
+      out_.placing_wanted() &&
+      now - last_round_ >= to_duration(settings_.tuning.min_round_interval);
   if (!round_due && !quick_round_due) return;
   last_round_ = now;
   out_.placing_begins();
@@ -93,7 +94,7 @@
   if (starts_left_ > 0) uncordon_draining(queue, now);
   preemption_.preempt_for_services(queue, now);
   out_.note_inspections(fleet_.all().size() + packer.inspections());
-  reconciler_.note_cost(now);
+  reconciler_.accrue_waiting_cost(now);
   scale_out(queue, now);
 }
 
@@ -129,7 +130,7 @@
   std::vector<Machine*> schedulable;
   if (queue.empty()) return schedulable;
   for (auto& [id, machine] : fleet_.all())
-    if (smallest_need.fits_in(machine.free()) && task_starter_.placeable(machine, now))
+    if (smallest_need.fits_in(machine.free()) && task_starter_.accepts_new_tasks(machine, now))
       schedulable.push_back(&machine);
   return schedulable;
 }
@@ -150,7 +151,7 @@
 void Scheduler::place_bound(BinPacker& packer, TimePoint now) {
   const auto is_ready = [&](const MachineId& id) {
     const auto* machine = fleet_.find(id);
-    return machine == nullptr || task_starter_.placeable(*machine, now);
+    return machine == nullptr || task_starter_.accepts_new_tasks(*machine, now);
   };
   bindings_.settle(is_ready, [&](Job& job, TaskIndex index, const MachineId& id) {
     auto* machine = fleet_.find(id);
@@ -203,7 +204,7 @@
   // Exception to the design: empty on-demand machines are left to work that may use no others
   // (docs/design.md, "On-demand machines").
   rules.spares_empty_expensive = scarcity_.on_demand_only_work() && spec.spot_allowed &&
-                                 forecaster_.age(job, now) < settings_.tuning.on_demand_patience;
+                                 forecaster_.age(job, now) < settings_.tuning.on_demand_wait;
   if (pass == ImagePass::holders_only && !image_wait_over(candidate, now))
     rules.min_image_rank = ImageRank::fetching;
   if (leaves_exclusive_types(candidate, now))
@@ -305,7 +306,7 @@
 bool Scheduler::may_uncordon_for(const Job& job, TimePoint now) const {
   if (job.gang() || job.waiting.empty()) return false;
   if (forecaster_.age(job, now) < kMaxHeldBack) return false;
-  return task_starter_.startable(job) > 0 && task_starter_.within_limit(job.spec());
+  return task_starter_.startable_tasks(job) > 0 && task_starter_.within_limit(job.spec());
 }
 
 // No machines are requested for tasks that only this round's limit has left over, nor before it is
