--- a/bench/history_bench.cpp
+++ b/bench/history_bench.cpp
@@ -63,7 +63,7 @@
     controller_ = core::make_controller(origin_, now_);
     elected_at_ = now_;
     sink_({7, now_, core::Event(origin_)}, *controller_, false);
-    feed(core::CatalogKnown{{{"big", {64, 0, 512}, 60, 1, 3.7, 1.1, Seconds(20), {"a", "b"}}}});
+    feed(core::CatalogReceived{{{"big", {64, 0, 512}, 60, 1, 3.7, 1.1, Seconds(20), {"a", "b"}}}});
   }
 
   // Runs until so many records were written.
--- a/src/core/autoscaling/consolidation.cpp
+++ b/src/core/autoscaling/consolidation.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Boot time of a machine whose type is not in the catalog.
-constexpr Seconds kUnknownBootTime{60};
+constexpr Seconds kDefaultBootTime{60};
 
 /// Whether the machine runs replicas or tasks of gangs. Other work fills what replicas leave free;
 /// moving one costs replica time, and moving one task of a gang stops them all (docs/design.md,
@@ -28,20 +28,20 @@
 }
 
 void Consolidation::consolidate(Machine& machine, TimePoint now) {
-  if (is_kept(machine)) {
+  if (is_exempt(machine)) {
     fleet_.set(machine, &Machine::idle_since, {});
     fleet_.set(machine, &Machine::underused_since, {});
     return;
   }
-  if (is_idle(machine, now) && machine.confirmed) return review_idle(machine, now);
+  if (is_idle(machine, now) && machine.confirmed) return check_idle(machine, now);
   fleet_.set(machine, &Machine::idle_since, {});
-  review_use(machine, now);
+  check_utilization(machine, now);
 }
 
 // A machine behind an outbound partition is idle because nothing is started there: how long it is
 // waited for is the failure detector's to decide. A machine that tasks are bound to waits until it
 // is ready: drained, it took no task, and the bound tasks waited for ever (seed 2647 of Hunted).
-bool Consolidation::is_kept(const Machine& machine) const {
+bool Consolidation::is_exempt(const Machine& machine) const {
   return !machine.reserved_for.empty() || machine.outbound_partition_since ||
          bindings_.holds(machine.id);
 }
@@ -52,15 +52,15 @@
   const auto lease = to_duration(settings_.workers.lease);
   return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
     const auto& task = entry.second;
-    return !task.seen && task.orphaned && now - task.placed > lease;
+    return !task.reported && task.orphaned && now - task.placed > lease;
   });
 }
 
-void Consolidation::review_idle(Machine& machine, TimePoint now) {
+void Consolidation::check_idle(Machine& machine, TimePoint now) {
   const auto& tuning = settings_.tuning;
   if (!machine.idle_since) fleet_.set(machine, &Machine::idle_since, {now});
   // For work that may use no others, on-demand machines are not expensive.
-  const bool expensive = !scarcity_.on_demand_only_work() &&
+  const bool expensive = !scarcity_.has_on_demand_only_jobs() &&
                          catalog_.types().contains(machine.type) &&
                          catalog_.expensive(machine.type, machine.spot);
   const auto wait = expensive ? tuning.on_demand_idle_wait : tuning.idle_wait;
@@ -68,7 +68,7 @@
   if (waited || machine.draining) watch_.request_release(machine, "idle", now);
 }
 
-void Consolidation::review_use(Machine& machine, TimePoint now) {
+void Consolidation::check_utilization(Machine& machine, TimePoint now) {
   const auto& tuning = settings_.tuning;
   if (has_unmovable_shape(machine) || !underused(machine, tuning.consolidation_threshold)) {
     fleet_.set(machine, &Machine::underused_since, {});
@@ -83,7 +83,7 @@
 
 bool Consolidation::may_restart_tasks(const Machine& machine, TimePoint now) const {
   const auto type = catalog_.types().find(machine.type);
-  const auto boot = type == catalog_.types().end() ? kUnknownBootTime : type->second.boot;
+  const auto boot = type == catalog_.types().end() ? kDefaultBootTime : type->second.boot;
   Seconds fetch{0};
   for (const auto& [key, assignment] : machine.tasks) {
     const auto job = jobs_.find(key.job);
--- a/src/core/autoscaling/consolidation.hpp
+++ b/src/core/autoscaling/consolidation.hpp
@@ -30,11 +30,11 @@
  private:
   void consolidate(Machine& machine, TimePoint now);
   /// Whether the machine's use has to be ignored, since its tasks wait for it or cannot start.
-  bool is_kept(const Machine& machine) const;
+  bool is_exempt(const Machine& machine) const;
   /// Whether nothing can run on the machine but starts that were never answered.
   bool is_idle(const Machine& machine, TimePoint now) const;
-  void review_idle(Machine& machine, TimePoint now);
-  void review_use(Machine& machine, TimePoint now);
+  void check_idle(Machine& machine, TimePoint now);
+  void check_utilization(Machine& machine, TimePoint now);
   bool may_restart_tasks(const Machine& machine, TimePoint now) const;
   void restart_tasks(Machine& machine, TimePoint now);
 
--- a/src/core/autoscaling/instance_offerings.cpp
+++ b/src/core/autoscaling/instance_offerings.cpp
@@ -34,11 +34,11 @@
   return offerings;
 }
 
-bool InstanceOfferings::can_scale_out(const JobSpec& spec, const std::string& region,
+bool InstanceOfferings::can_scale_out(const JobSpec& spec, const std::string& zone,
                                       TimePoint now) const {
   const auto offerings = available(now);
   return std::any_of(offerings.begin(), offerings.end(), [&](const InstanceOffering& offering) {
-    return (region.empty() || offering.zone == region) &&
+    return (zone.empty() || offering.zone == zone) &&
            allowed_on(spec, offering.type->name, offering.zone, offering.spot) &&
            spec.per_task.fits_in(offering.type->capacity);
   });
--- a/src/core/autoscaling/instance_offerings.hpp
+++ b/src/core/autoscaling/instance_offerings.hpp
@@ -17,9 +17,9 @@
   /// All offerings that have a price and no cooldown, those requested longest ago first.
   std::vector<InstanceOffering> available(TimePoint now) const;
   /// Whether a machine for the job can be requested in the zone; in any zone if empty.
-  bool can_scale_out(const JobSpec& spec, const std::string& region, TimePoint now) const;
+  bool can_scale_out(const JobSpec& spec, const std::string& zone, TimePoint now) const;
 
-  void note_requested(const OfferingKey& offering, TimePoint now) {
+  void record_request(const OfferingKey& offering, TimePoint now) {
     last_requested_[offering] = now;
   }
   /// The epoch of the clock if the offering was never requested.
--- a/src/core/autoscaling/scale_out_planner.cpp
+++ b/src/core/autoscaling/scale_out_planner.cpp
@@ -26,10 +26,10 @@
 }  // namespace
 
 void ScaleOutPlanner::round(const std::vector<Candidate>& queue, TimePoint now) {
-  if (now - last_scale_ < to_duration(settings_.tuning.round)) return;
+  if (now - last_planned_at_ < to_duration(settings_.tuning.round)) return;
   auto unplaced = unplaced_tasks(queue);
   if (unplaced.empty() && !scarcity_.has_gangs()) return;
-  last_scale_ = now;
+  last_planned_at_ = now;
   auto plan = plan_for_tasks(std::move(unplaced), now);
   gang_scheduler_.add_scale_out_groups(queue, plan, now);
   send_plan(plan, now);
@@ -114,11 +114,11 @@
                 });
   ScaleOutPlan plan;
   while (const auto choice = scaler.choose()) {
-    const auto& offering = scaler.option(*choice);
+    const auto& offering = scaler.offering_of(*choice);
     auto& groups = plan[{offering.type->name, offering.zone, offering.spot}];
     do {
       groups.push_back(group_of(scaler.take(*choice)));
-    } while (groups.size() < kMaxMachinesPerRequest && scaler.repeats(*choice));
+    } while (groups.size() < kMaxMachinesPerRequest && scaler.can_repeat(*choice));
     if (groups.size() >= kMaxMachinesPerRequest) scaler.exhaust(*choice);
   }
   return plan;
@@ -152,7 +152,7 @@
 
 void ScaleOutPlanner::send(const OfferingKey& offering, std::vector<ScaleOutGroup> groups,
                            TimePoint now) {
-  offerings_.note_requested(offering, now);
+  offerings_.record_request(offering, now);
   PendingScaleOut pending;
   pending.request = {next_request_name(), offering.type, offering.zone, offering.spot,
                      static_cast<int>(groups.size())};
@@ -177,7 +177,7 @@
   if (found == requests_in_flight_.end()) return;
   auto pending = std::move(found->second);
   requests_in_flight_.erase(found);
-  note_cooldown(pending, answer, now);
+  update_cooldown(pending, answer, now);
   for (std::size_t index = 0; index < pending.groups.size(); ++index) {
     auto& group = pending.groups[index];
     gang_scheduler_.request_answered(group.gang, group.slots);
@@ -189,14 +189,14 @@
     gang_scheduler_.machine_granted(group.gang, machine);
     bindings_.rebind(std::move(group.tasks), name, machine.id);
   }
-  last_scale_ = now - to_duration(settings_.tuning.round);
-  out_.want_placing();
+  last_planned_at_ = now - to_duration(settings_.tuning.round);
+  out_.request_scheduling_round();
 }
 
 // A refused offering has a cooldown and others are tried. With no answer, machines that were
 // granted after all will appear in the cloud's list.
-void ScaleOutPlanner::note_cooldown(const PendingScaleOut& pending, const ScaleOutResult& answer,
-                                    TimePoint now) {
+void ScaleOutPlanner::update_cooldown(const PendingScaleOut& pending, const ScaleOutResult& answer,
+                                      TimePoint now) {
   const auto& request = pending.request;
   const OfferingKey offering{request.type, request.zone, request.spot};
   const auto& refused_cooldown = settings_.tuning.refused_cooldown;
@@ -216,7 +216,7 @@
   machine.type = pending.request.type;
   machine.zone = pending.request.zone;
   machine.spot = pending.request.spot;
-  machine.since = pending.sent;
+  machine.requested_at = pending.sent;
   catalog_.apply(machine);
   registry_.save(machine);
   return machine;
--- a/src/core/autoscaling/scale_out_planner.hpp
+++ b/src/core/autoscaling/scale_out_planner.hpp
@@ -54,7 +54,7 @@
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.requests_in_flight_, s.next_request_, s.rate_, s.last_scale_);
+    f(s.requests_in_flight_, s.next_request_, s.rate_, s.last_planned_at_);
   }
 
  private:
@@ -85,7 +85,7 @@
   void send_plan(ScaleOutPlan& plan, TimePoint now);
   void send(const OfferingKey& offering, std::vector<ScaleOutGroup> groups, TimePoint now);
   std::string next_request_name();
-  void note_cooldown(const PendingScaleOut& pending, const ScaleOutResult& answer, TimePoint now);
+  void update_cooldown(const PendingScaleOut& pending, const ScaleOutResult& answer, TimePoint now);
   Machine& find_or_add_machine(const MachineId& id, const PendingScaleOut& pending);
 
   const ControllerSettings& settings_;
@@ -104,7 +104,7 @@
   std::map<std::string, PendingScaleOut> requests_in_flight_;  // by name
   std::uint64_t next_request_ = 1;
   RateLimiter rate_;
-  TimePoint last_scale_{};
+  TimePoint last_planned_at_{};
 };
 
 }  // namespace violetpulley::core
--- a/src/core/autoscaling/scaler.cpp
+++ b/src/core/autoscaling/scaler.cpp
@@ -53,7 +53,7 @@
     : unplaced_tasks_(std::move(unplaced_tasks)), offerings_(std::move(offerings)) {
   for (const auto& offering : offerings_) {
     const auto& capacity = offering.type->capacity;
-    note_smallest(capacity);
+    update_smallest_capacity(capacity);
     std::vector<bool> allowed;
     for (const auto& job : unplaced_tasks_)
       allowed.push_back(allowed_on(*job.spec, offering.type->name, offering.zone, offering.spot) &&
@@ -63,7 +63,7 @@
   }
 }
 
-void Scaler::note_smallest(const Resources& capacity) {
+void Scaler::update_smallest_capacity(const Resources& capacity) {
   smallest_.cpus = std::min(smallest_.cpus, capacity.cpus);
   smallest_.memory_gb = std::min(smallest_.memory_gb, capacity.memory_gb);
   if (capacity.gpus > 0) smallest_.gpus = std::min(smallest_.gpus, capacity.gpus);
@@ -114,7 +114,7 @@
       job.tasks.pop_back();
     }
     if (!job.zone_capacity.empty())
-      job.zone_capacity[offerings_[choice.option].zone] -= static_cast<TaskIndex>(part.tasks);
+      job.zone_capacity[offerings_[choice.offering].zone] -= static_cast<TaskIndex>(part.tasks);
   }
   return taken;
 }
@@ -125,18 +125,18 @@
 }
 
 void Scaler::exhaust(const ScaleOutChoice& choice) {
-  const auto served = allowed_[choice.option];
-  const double max_price = price_per_cpu(choice.option) * kAsCheapFactor;
+  const auto served = allowed_[choice.offering];
+  const double max_price = price_per_cpu(choice.offering) * kAsCheapFactor;
   for (std::size_t offering = 0; offering < offerings_.size(); ++offering) {
-    if (offering != choice.option && price_per_cpu(offering) <= max_price) continue;
+    if (offering != choice.offering && price_per_cpu(offering) <= max_price) continue;
     for (std::size_t job = 0; job < served.size(); ++job)
       if (served[job]) allowed_[offering][job] = false;
   }
 }
 
-bool Scaler::repeats(const ScaleOutChoice& choice) const {
+bool Scaler::can_repeat(const ScaleOutChoice& choice) const {
   return std::all_of(choice.group.begin(), choice.group.end(), [&](const GroupPart& part) {
-    return max_tasks_in(unplaced_tasks_[part.job], offerings_[choice.option].zone) >= part.tasks;
+    return max_tasks_in(unplaced_tasks_[part.job], offerings_[choice.offering].zone) >= part.tasks;
   });
 }
 
--- a/src/core/autoscaling/scaler.hpp
+++ b/src/core/autoscaling/scaler.hpp
@@ -39,7 +39,7 @@
 /// An offering and the group of tasks that one machine of it is for.
 struct ScaleOutChoice {
   /// Index into the offerings.
-  std::size_t option = 0;
+  std::size_t offering = 0;
   std::vector<GroupPart> group;
   double score = 0;
 };
@@ -73,22 +73,22 @@
   /// Takes the tasks of one such group off the unplaced tasks.
   std::vector<TaskKey> take(const ScaleOutChoice& choice);
   /// Whether the same choice could be made once more: then it is still the best one.
-  bool repeats(const ScaleOutChoice& choice) const;
+  bool can_repeat(const ScaleOutChoice& choice) const;
 
   /// No more of this offering in this round. What would have used it waits for the next round,
   /// unless an offering as cheap remains: tasks must not go to a more expensive one only because
   /// one request is full.
   void exhaust(const ScaleOutChoice& choice);
 
-  const InstanceOffering& option(const ScaleOutChoice& choice) const {
-    return offerings_[choice.option];
+  const InstanceOffering& offering_of(const ScaleOutChoice& choice) const {
+    return offerings_[choice.offering];
   }
 
  private:
   /// Grows the groups for the offering at this index and keeps the best of them, if it beats
   /// `best`.
   void consider(std::size_t index, std::optional<ScaleOutChoice>& best) const;
-  void note_smallest(const Resources& capacity);
+  void update_smallest_capacity(const Resources& capacity);
   double price_per_cpu(std::size_t offering) const;
 
   /// Above any machine's capacity, in each dimension.
--- a/src/core/autoscaling/scarcity.cpp
+++ b/src/core/autoscaling/scarcity.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// How long a type stays exclusive after the last job that needed it.
-constexpr std::chrono::minutes kExclusiveDemandMemory{5};
+constexpr std::chrono::minutes kExclusiveDemandRetention{5};
 /// Free slots are scarce if more tasks than this wait for each.
 constexpr std::size_t kMaxTasksPerSlot = 8;
 
@@ -18,14 +18,14 @@
 
 }  // namespace
 
-void Scarcity::note_exclusive_types(TimePoint now) {
+void Scarcity::update_exclusive_types(TimePoint now) {
   if (catalog_.types().size() > 1)
-    for (const auto& [id, job] : jobs_) note_types_of(job.spec(), now);
+    for (const auto& [id, job] : jobs_) add_exclusive_types(job.spec(), now);
   std::erase_if(exclusive_types_,
-                [&](const auto& entry) { return now - entry.second > kExclusiveDemandMemory; });
+                [&](const auto& entry) { return now - entry.second > kExclusiveDemandRetention; });
 }
 
-void Scarcity::note_types_of(const JobSpec& spec, TimePoint now) {
+void Scarcity::add_exclusive_types(const JobSpec& spec, TimePoint now) {
   const auto& types = catalog_.types();
   const auto fits = [&](const auto& entry) { return spec.per_task.fits_in(entry.second.capacity); };
   const auto fitting = static_cast<std::size_t>(std::count_if(types.begin(), types.end(), fits));
@@ -50,16 +50,16 @@
   return types;
 }
 
-void Scarcity::note_jobs() {
-  on_demand_only_work_ = false;
+void Scarcity::update_job_kinds() {
+  has_on_demand_only_jobs_ = false;
   has_gangs_ = false;
   for (const auto& [id, job] : jobs_) {
-    on_demand_only_work_ = on_demand_only_work_ || !job.spec().spot_allowed;
+    has_on_demand_only_jobs_ = has_on_demand_only_jobs_ || !job.spec().spot_allowed;
     has_gangs_ = has_gangs_ || job.gang();
   }
 }
 
-void Scarcity::note_free_slots(std::size_t waiting, std::size_t slots) {
+void Scarcity::update_slot_scarcity(std::size_t waiting, std::size_t slots) {
   slots_scarce_ = waiting > kMaxTasksPerSlot * slots;
 }
 
--- a/src/core/autoscaling/scarcity.hpp
+++ b/src/core/autoscaling/scarcity.hpp
@@ -17,41 +17,41 @@
 
   /// Finds the exclusive types: those that some job's tasks cannot do without. Exception to the
   /// design: they are left to those tasks by tasks that fit another type.
-  void note_exclusive_types(TimePoint now);
+  void update_exclusive_types(TimePoint now);
   /// Whether the job's tasks have to leave the type to others.
   bool reserved_for_others(const JobSpec& spec, const std::string& type) const;
   std::vector<std::string> types_reserved_for_others(const JobSpec& spec) const;
 
   /// Finds whether there are gangs and jobs that may use no spot machines.
-  void note_jobs();
-  void note_exclusive_demand(bool waiting) { exclusive_demand_waiting_ = waiting; }
+  void update_job_kinds();
+  void set_exclusive_demand_waiting(bool waiting) { exclusive_demand_waiting_ = waiting; }
   /// `waiting` tasks compete for `slots`, the tasks of the smallest size that fit now.
-  void note_free_slots(std::size_t waiting, std::size_t slots);
+  void update_slot_scarcity(std::size_t waiting, std::size_t slots);
 
   /// Whether some waiting task does not fit every type.
   bool exclusive_demand_waiting() const { return exclusive_demand_waiting_; }
   /// Whether some job may not use spot machines.
-  bool on_demand_only_work() const { return on_demand_only_work_; }
+  bool has_on_demand_only_jobs() const { return has_on_demand_only_jobs_; }
   bool has_gangs() const { return has_gangs_; }
   /// Whether many tasks wait for each free slot.
   bool slots_scarce() const { return slots_scarce_; }
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.exclusive_types_, s.exclusive_demand_waiting_, s.on_demand_only_work_, s.has_gangs_,
+    f(s.exclusive_types_, s.exclusive_demand_waiting_, s.has_on_demand_only_jobs_, s.has_gangs_,
       s.slots_scarce_);
   }
 
  private:
   /// Adds the types that the job's tasks fit, unless they fit all types or none.
-  void note_types_of(const JobSpec& spec, TimePoint now);
+  void add_exclusive_types(const JobSpec& spec, TimePoint now);
 
   const Catalog& catalog_;
   const Jobs& jobs_;
   /// When some open job last needed the type and could not use every other.
   std::map<std::string, TimePoint> exclusive_types_;
   bool exclusive_demand_waiting_ = false;
-  bool on_demand_only_work_ = false;
+  bool has_on_demand_only_jobs_ = false;
   bool has_gangs_ = false;
   bool slots_scarce_ = false;
 };
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -62,7 +62,7 @@
   machine.type = record.type;
   machine.zone = record.zone;
   machine.spot = record.spot;
-  machine.since = now;
+  machine.requested_at = now;
   for (const auto& image : record.images) machine.images.push_back({image.name, image.gb, true});
   if (!machine.up()) return;
   machine.registered = true;
@@ -76,7 +76,7 @@
     fleet_.before_change(machine);
     catalog_.apply(machine);
   }
-  out_.want_placing();
+  out_.request_scheduling_round();
 }
 
 void Controller::job_closed(const JobId& id, TimePoint now) {
@@ -120,12 +120,12 @@
     if (ok)
       forget_returned_machine(*machine, now);
     else
-      watch_.return_failed(*machine, now);
+      watch_.release_failed(*machine, now);
   }
-  out_.want_placing();
+  out_.request_scheduling_round();
 }
 
-void Controller::return_settled_machines(TimePoint now) {
+void Controller::return_retiring_machines(TimePoint now) {
   doubt_resolver_.settle_machines(now);
   for (const auto& id : doubt_resolver_.machines_to_return(now))
     watch_.request_release(*fleet_.find(id), "with a delayed start", now);
@@ -159,7 +159,7 @@
   machine.type = listed.type;
   machine.zone = listed.zone;
   machine.spot = listed.spot;
-  machine.since = now - to_duration(listed.failed ? Seconds(0) : listed.age);
+  machine.requested_at = now - to_duration(listed.failed ? Seconds(0) : listed.age);
   catalog_.apply(machine);
   return machine;
 }
@@ -167,8 +167,8 @@
 void Controller::tick(TimePoint now, bool may_place, TimePoint last_proven) {
   recovery_.check(last_proven);
   reconciler_.query_machines(now);
-  if (watch_.watch(now, may_place, last_proven)) {
-    return_settled_machines(now);
+  if (watch_.check_machines(now, may_place, last_proven)) {
+    return_retiring_machines(now);
     consolidation_.consolidate(now);
   }
   replica_consolidation_.consolidate(now);
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -92,7 +92,7 @@
   /// Returns the actions since the last call, in the order in which to carry them out.
   std::vector<Action> take_actions() { return out_.take(); }
   /// Whether a scheduling round is requested, so that the next tick should come soon.
-  bool placing_wanted() const { return out_.placing_wanted(); }
+  bool scheduling_round_requested() const { return out_.scheduling_round_requested(); }
 
   /// Null if the job is unknown.
   std::optional<JobCounts> counts(const JobId& id) const;
@@ -149,7 +149,7 @@
  private:
   void recover_jobs(const RecoveredState& recovered, FencingToken token, TimePoint now);
   void recover_machine(const MachineRecord& record, TimePoint now);
-  void return_settled_machines(TimePoint now);
+  void return_retiring_machines(TimePoint now);
   void forget_returned_machine(Machine& machine, TimePoint now);
   Machine& add_unexpected_machine(const ListedMachine& listed, TimePoint now);
 
--- a/src/core/dispatch/command_dispatcher.cpp
+++ b/src/core/dispatch/command_dispatcher.cpp
@@ -35,9 +35,10 @@
 }
 
 bool CommandDispatcher::committed(const TaskKey& key, const Assignment& assignment) const {
-  if (assignment.record == 0) return true;
+  if (assignment.placement_version == 0) return true;
   const auto job = jobs_.find(key.job);
-  return job != jobs_.end() && assignment.record <= job->second.committed_placement_version;
+  return job != jobs_.end() &&
+         assignment.placement_version <= job->second.committed_placement_version;
 }
 
 std::vector<Command> CommandDispatcher::commands_for(const Machine& machine,
@@ -86,7 +87,7 @@
   for (const auto& [key, assignment] : machine.tasks) {
     // A start that was not answered may be executed late. While the job still runs, a repeated
     // start before the stop makes the attempt known to the agent, so that its exit is reported.
-    if (include_starts == IncludeStarts::yes && !assignment.seen && !assignment.orphaned &&
+    if (include_starts == IncludeStarts::yes && !assignment.reported && !assignment.orphaned &&
         committed(key, assignment))
       commands.push_back({CommandType::start, key, assignment.attempt, Seconds(0)});
     if (assignment.stop && !is_checkpointing(assignment))
@@ -160,7 +161,7 @@
   Attempt oldest_unseen = std::numeric_limits<Attempt>::max();
   for (const auto& [key, assignment] : machine.tasks) {
     if (assignment.stop) return {UrgencyRank::stops, 0};
-    if (!assignment.seen) oldest_unseen = std::min(oldest_unseen, assignment.attempt);
+    if (!assignment.reported) oldest_unseen = std::min(oldest_unseen, assignment.attempt);
   }
   const bool unresponsive = machine.unanswered_commands > 0;
   return {unresponsive ? UrgencyRank::unresponsive : UrgencyRank::usual, oldest_unseen};
--- a/src/core/dispatch/task_starter.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -24,7 +24,7 @@
   // All tasks that start behind an outbound partition end with the machine's lease.
   if (!is_reachable(machine) || machine.outbound_partition_since) return false;
   if (machine.draining || machine.quarantined || machine.notice_ends) return false;
-  if (ended_attempts_.is_settling(machine.id)) return false;
+  if (ended_attempts_.is_retiring(machine.id)) return false;
   return machine.last_heartbeat &&
          now - *machine.last_heartbeat < to_duration(settings_.tuning.silent_after);
 }
@@ -96,7 +96,7 @@
   if (image_rank(machine, spec.image) < ImageRank::present)
     assignment.fetch = fetch_time(spec, machine.fetch_gb_per_s);
   if (settings_.tuning.commit_starts && job.records_starts())
-    assignment.record = jobs_.record_start(job, index, machine.id);
+    assignment.placement_version = jobs_.record_start(job, index, machine.id);
   return assignment;
 }
 
--- a/src/core/events.cpp
+++ b/src/core/events.cpp
@@ -38,7 +38,7 @@
   void operator()(const LeaderElected&) const {
     throw std::logic_error("LeaderElected makes a controller and cannot be applied to one");
   }
-  void operator()(const CatalogKnown& event) const { controller.set_catalog(event.types); }
+  void operator()(const CatalogReceived& event) const { controller.set_catalog(event.types); }
   void operator()(const JobOpened& event) const { controller.job_opened(event.record, now); }
   void operator()(const JobClosed& event) const { controller.job_closed(event.id, now); }
   void operator()(const HeartbeatReceived& event) const {
@@ -65,7 +65,7 @@
   }
   void operator()(const CloudListed& event) const { controller.cloud_listed(event.machines, now); }
   void operator()(const Ticked& event) const {
-    controller.tick(now, event.may_place, event.proved);
+    controller.tick(now, event.may_place, event.last_proven);
   }
   void operator()(const PlacementsSaved& event) const {
     controller.placements_saved(event.job, event.version);
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -24,7 +24,7 @@
 };
 
 /// The cloud's catalog was read.
-struct CatalogKnown {
+struct CatalogReceived {
   std::vector<MachineType> types;
 
   template <class S, class F>
@@ -142,12 +142,12 @@
 
 /// Time has passed.
 struct Ticked {
-  bool may_place = false;  ///< Leadership may still be served.
-  TimePoint proved{};      ///< No other leader had been elected by then.
+  bool may_place = false;   ///< Leadership may still be served.
+  TimePoint last_proven{};  ///< No other leader had been elected by then.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.may_place, s.proved);
+    f(s.may_place, s.last_proven);
   }
 };
 
@@ -180,7 +180,7 @@
 };
 
 /// New kinds go to the end: the history names a kind by its position here.
-using Event = std::variant<LeaderElected, CatalogKnown, JobOpened, JobClosed, HeartbeatReceived,
+using Event = std::variant<LeaderElected, CatalogReceived, JobOpened, JobClosed, HeartbeatReceived,
                            CommandsAnswered, MachineSaved, ProgressSaved, FinishAnswered,
                            ScaleOutAnswered, ScaleInAnswered, CloudListed, Ticked, PlacementsSaved,
                            FormerLeadersGone, PeerReceivesHeartbeats>;
--- a/src/core/failover/assignments.cpp
+++ b/src/core/failover/assignments.cpp
@@ -54,7 +54,7 @@
 void Assignments::reset_to_unseen(Machine& machine, const TaskKey& key, TimePoint now) {
   auto assignment = machine.tasks.at(key);
   drop(machine, key, now);
-  assignment.seen = false;
+  assignment.reported = false;
   assignment.state = TaskState::fetching;
   assignment.running_since.reset();
   assignment.placed = now;
@@ -67,7 +67,7 @@
   jobs_.before_change(found->second);
   found->second.set_waiting(key.index);
   if (found->second.gang()) jobs_.note_broken(key.job);
-  out_.want_placing();
+  out_.request_scheduling_round();
 }
 
 void Assignments::lose_all(Machine& machine, TimePoint now) {
--- a/src/core/failover/doubt_resolver.cpp
+++ b/src/core/failover/doubt_resolver.cpp
@@ -25,7 +25,7 @@
 
 Seconds cost_of_return(const Machine& machine, TimePoint now) {
   Seconds cost{0};
-  for (const auto& [key, assignment] : machine.tasks) cost += unsaved(assignment, now);
+  for (const auto& [key, assignment] : machine.tasks) cost += unsaved_run_time(assignment, now);
   return cost;
 }
 
@@ -47,7 +47,7 @@
 
 void DoubtResolver::settle_full_memories(TimePoint now) {
   for (const auto& [id, machine] : fleet_.all())
-    if (machine.in_doubt_attempts.size() > kMaxAttemptsInDoubt) ended_attempts_.settle(id, now);
+    if (machine.in_doubt_attempts.size() > kMaxAttemptsInDoubt) ended_attempts_.retire(id, now);
 }
 
 void DoubtResolver::settle_for_zones(TimePoint now) {
@@ -55,7 +55,7 @@
     const auto found = jobs_.find(task.job);
     if (found == jobs_.end() || found->second.waiting.empty()) continue;
     const auto& spec = found->second.spec();
-    if (spec.same_zone || spec.spread) ended_attempts_.settle(ended.machine, now);
+    if (spec.same_zone || spec.spread) ended_attempts_.retire(ended.machine, now);
   }
 }
 
@@ -96,7 +96,7 @@
   std::vector<SettleCandidate> candidates;
   for (const auto& [id, freed] : freed_by_machine) {
     const auto* machine = fleet_.find(id);
-    if (ended_attempts_.is_settling(id))
+    if (ended_attempts_.is_retiring(id))
       need -= freed;
     else if (machine != nullptr)
       candidates.push_back({machine, freed, cost_of_return(*machine, now)});
@@ -104,18 +104,18 @@
   std::sort(candidates.begin(), candidates.end(), is_cheaper);
   for (const auto& candidate : candidates) {
     if (need.fits_in(Resources{})) return;
-    if (ended_attempts_.settling().size() >= max_settling()) return;
-    ended_attempts_.settle(candidate.machine->id, now);
+    if (ended_attempts_.retiring().size() >= max_settling()) return;
+    ended_attempts_.retire(candidate.machine->id, now);
     need -= candidate.freed;
   }
 }
 
 std::vector<MachineId> DoubtResolver::machines_to_return(TimePoint now) const {
   std::vector<MachineId> machines;
-  for (const auto& [id, since] : ended_attempts_.settling()) {
+  for (const auto& [id, since] : ended_attempts_.retiring()) {
     const auto* machine = fleet_.find(id);
     if (machine == nullptr || machine->releasing) continue;
-    if (machine->tasks.empty() || now - since >= to_duration(settling_time(settings_.workers)))
+    if (machine->tasks.empty() || now - since >= to_duration(max_retiring_time(settings_.workers)))
       machines.push_back(id);
   }
   return machines;
--- a/src/core/failover/heartbeat_handler.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -62,7 +62,7 @@
   // A heartbeat of a returned machine, or a copy of one, may still arrive.
   if (registry_.was_released(id)) return nullptr;
   auto& machine = fleet_.add(id);
-  machine.since = now;
+  machine.requested_at = now;
   reconciler_.count(&ReconciliationStats::unregistered);
   return &machine;
 }
@@ -108,7 +108,7 @@
   // The agent knows our fencing token, so something that we sent has arrived.
   failure_detector_.record_acknowledgement(machine, now);
   recovery_.confirm(machine.id);
-  out_.want_placing();
+  out_.request_scheduling_round();
 }
 
 void HeartbeatHandler::accept_reclaim_notice(Machine& machine, Seconds notice, TimePoint now) {
@@ -116,7 +116,7 @@
   for (auto& [key, assignment] : machine.tasks)
     if (now + to_duration(remaining_of(assignment, now)) > *machine.notice_ends)
       commands_.stop_with_checkpoint(machine, key, assignment, notice, now);
-  out_.want_placing();
+  out_.request_scheduling_round();
 }
 
 // A task that was seen and is listed no more has ended. A task that was never seen may still be
@@ -132,7 +132,7 @@
   std::sort(listed.begin(), listed.end());
   std::vector<TaskKey> missing;
   for (const auto& [key, assignment] : machine.tasks)
-    if (assignment.seen &&
+    if (assignment.reported &&
         !std::binary_search(listed.begin(), listed.end(), ListedAttempt(assignment.attempt, key)))
       missing.push_back(key);
   if (missing.empty()) return;
@@ -151,7 +151,7 @@
   const bool orphaned = machine.tasks.at(key).orphaned;
   assignments_.drop(machine, key, now);
   if (!orphaned) assignments_.requeue(key);
-  out_.want_placing();
+  out_.request_scheduling_round();
 }
 
 void HeartbeatHandler::update_assignment(Machine& machine, const TaskStatus& status,
@@ -161,8 +161,8 @@
     return reconcile_unassigned_task(machine, status, now);
   auto& assignment = found->second;
   // The start command has arrived.
-  if (!assignment.seen) failure_detector_.record_acknowledgement(machine, now);
-  assignment.seen = true;
+  if (!assignment.reported) failure_detector_.record_acknowledgement(machine, now);
+  assignment.reported = true;
   if (status.state == TaskState::exited) return task_exits_.handle(machine, status, now);
   assignment.state = status.state;
   if (status.state == TaskState::running && !assignment.running_since) {
@@ -201,7 +201,7 @@
   auto assignment = assignment_of(job.spec(), status.attempt,
                                   forecaster_.estimate_left(job, status.task.index), now);
   assignment.state = status.state;
-  assignment.seen = true;
+  assignment.reported = true;
   if (status.state == TaskState::running) {
     assignments_.mark_running(assignment, &job, now);
     fleet_.touch_image(machine, assignment.image, job.spec().image_gb, true);
@@ -233,7 +233,7 @@
   // The response came back on the connection that we opened. A response that is older than the
   // newest heartbeat shows the same.
   failure_detector_.record_acknowledgement(*machine, now);
-  out_.want_placing();
+  out_.request_scheduling_round();
   schedule_next_commands(*machine, was_confirmed, now);
 }
 
--- a/src/core/failover/recovery.cpp
+++ b/src/core/failover/recovery.cpp
@@ -23,7 +23,7 @@
     });
   if (!unconfirmed_.empty()) return;
   recovering_ = false;
-  out_.want_placing();
+  out_.request_scheduling_round();
 }
 
 void Recovery::former_leaders_gone(TimePoint now) {
--- a/src/core/failover/task_exit_handler.cpp
+++ b/src/core/failover/task_exit_handler.cpp
@@ -16,7 +16,7 @@
 void TaskExitHandler::handle(Machine& machine, const TaskStatus& status, TimePoint now) {
   const auto assignment = machine.tasks.at(status.task);
   assignments_.drop(machine, status.task, now, status.stored);
-  out_.want_placing();
+  out_.request_scheduling_round();
   const auto found = jobs_.find(status.task.job);
   if (found == jobs_.end()) {
     const auto task = assignment.orphaned ? EndedTask::cancelled : EndedTask::done;
@@ -57,7 +57,7 @@
   // Until the delayed start is ruled out the task stays assigned to its machine.
   if (keep_if_in_doubt(machine, status, assignment, EndedTask::held, now))
     out_.push_back(
-        TaskHeld{status.task, machine.id, status.attempt, settling_time(settings_.workers)});
+        TaskHeld{status.task, machine.id, status.attempt, max_retiring_time(settings_.workers)});
   else
     job.set_waiting(status.task.index);
 }
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -22,7 +22,7 @@
   const auto [entry, added] = jobs_.try_emplace(record.spec.id, record);
   if (!added) return;
   entry->second.opened = now;
-  out_.want_placing();
+  out_.request_scheduling_round();
 }
 
 void Jobs::close(const JobId& id) {
@@ -36,7 +36,7 @@
   placements_dirty_.erase(id);
   complete_.erase(id);
   jobs_.erase(found);
-  out_.want_placing();
+  out_.request_scheduling_round();
 }
 
 void Jobs::restore_progress(const ProgressRecord& record) {
--- a/src/core/machines/ended_attempts.cpp
+++ b/src/core/machines/ended_attempts.cpp
@@ -8,7 +8,7 @@
 
 void EndedAttempts::add(const TaskKey& task, EndedAttempt ended, TimePoint now) {
   if (const auto known = attempts_.find(task); known != attempts_.end()) remove(known);
-  if (ended.task != EndedTask::done) settle(ended.machine, now);
+  if (ended.task != EndedTask::done) retire(ended.machine, now);
   by_machine_[ended.machine].insert(task);
   use_by_team_[ended.team] += ended.resources;
   attempts_.emplace(task, std::move(ended));
@@ -24,13 +24,13 @@
   const auto [first, last] = of_job(job);
   for (auto entry = first; entry != last; ++entry) {
     attempts_.at(entry->first).task = EndedTask::cancelled;
-    settle(entry->second.machine, now);
+    retire(entry->second.machine, now);
   }
 }
 
 std::vector<TaskKey> EndedAttempts::clear_machine(const MachineId& machine) {
   std::vector<TaskKey> held;
-  settling_.erase(machine);
+  retiring_.erase(machine);
   const auto found = by_machine_.find(machine);
   if (found == by_machine_.end()) return held;
   const auto tasks = std::move(found->second);
--- a/src/core/machines/ended_attempts.hpp
+++ b/src/core/machines/ended_attempts.hpp
@@ -19,7 +19,7 @@
 
 /// Time after which a settled machine is returned although other tasks run on it. A cancellation
 /// may have been confirmed a serving time (`cancel_s` - `lease_s`) before it was known here.
-inline Seconds settling_time(const WorkerTimes& workers) { return workers.lease / 2; }
+inline Seconds max_retiring_time(const WorkerTimes& workers) { return workers.lease / 2; }
 
 /// What has become of a task whose attempt has ended in doubt.
 enum class EndedTask : std::uint8_t {
@@ -55,25 +55,25 @@
   /// The job was cancelled: the machines of all its attempts are settled.
   void cancel_job(const JobId& job, TimePoint now);
   /// The machine takes no new tasks from now on and is to be returned.
-  void settle(const MachineId& machine, TimePoint now) { settling_.try_emplace(machine, now); }
+  void retire(const MachineId& machine, TimePoint now) { retiring_.try_emplace(machine, now); }
   /// The machine is gone or its agent has a new epoch, so no delayed start has an effect any more.
   /// Returns the tasks that were held.
   std::vector<TaskKey> clear_machine(const MachineId& machine);
 
-  bool empty() const { return attempts_.empty() && settling_.empty(); }
+  bool empty() const { return attempts_.empty() && retiring_.empty(); }
   const Table& attempts() const { return attempts_; }
   /// The entries of a job, as a range of `attempts`.
   std::pair<Table::const_iterator, Table::const_iterator> of_job(const JobId& job) const;
   /// Whether the machine is settled.
-  bool is_settling(const MachineId& machine) const { return settling_.contains(machine); }
+  bool is_retiring(const MachineId& machine) const { return retiring_.contains(machine); }
   /// The machines that are settled, and since when.
-  const std::map<MachineId, TimePoint>& settling() const { return settling_; }
+  const std::map<MachineId, TimePoint>& retiring() const { return retiring_; }
   /// Resources of the attempts of a team.
   Resources use_of(const std::string& team) const;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.attempts_, s.by_machine_, s.settling_, s.use_by_team_);
+    f(s.attempts_, s.by_machine_, s.retiring_, s.use_by_team_);
   }
 
  private:
@@ -81,7 +81,7 @@
 
   Table attempts_;
   std::map<MachineId, std::set<TaskKey>> by_machine_;  ///< the tasks of `attempts_`
-  std::map<MachineId, TimePoint> settling_;            ///< since when
+  std::map<MachineId, TimePoint> retiring_;            ///< since when
   std::map<std::string, Resources> use_by_team_;       ///< sums over `attempts_`
 };
 
--- a/src/core/machines/failure_detector.cpp
+++ b/src/core/machines/failure_detector.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 // The fleet is observed every half second; after a longer gap this process had been suspended.
-constexpr std::chrono::milliseconds kPauseThreshold{1500};
+constexpr std::chrono::milliseconds kSuspensionThreshold{1500};
 // Heartbeats of different machines are independent. With 8 expected and none received, chance is
 // unlikely (about 1 in 3,000); with 20 expected it is excluded even over a whole year.
-constexpr double kExpectedForSilence = 8;
-constexpr double kExpectedForIsolation = 20;
+constexpr double kMissedHeartbeatsForSilence = 8;
+constexpr double kMissedHeartbeatsForIsolation = 20;
 constexpr Seconds kMinSilence{1};
 constexpr Seconds kMinIsolation{2.5};
 // A leader that has received no heartbeat yet waits for the agents of its followers: this multiple
@@ -22,12 +22,12 @@
 constexpr double kFirstHeartbeatFactor = 1.5;
 // A healthy agent may send its heartbeat later than the interval by this factor.
 constexpr double kIntervalTolerance = 1.25;
-constexpr Seconds kProbeRetry{3};  // an unanswered probe, the pause after it, and a second probe
+constexpr Seconds kProbeTimeout{3};  // an unanswered probe, the pause after it, and a second probe
 // PROTOCOL, "Workers": an agent abandons a heartbeat after 4 s and tries the next controller 1 s
 // later; that controller may redirect the agent, which takes up to half a second.
 constexpr Seconds kNextControllerDelay{5.5};
-constexpr std::size_t kProbes = 4;
-constexpr std::chrono::seconds kPeerHeartbeatMemory{4};
+constexpr std::size_t kMaxProbes = 4;
+constexpr std::chrono::seconds kPeerHeartbeatValidity{4};
 }  // namespace
 
 const char* text_of(IsolationCause cause) {
@@ -53,7 +53,7 @@
     machine.outbound_partition_since.reset();
   }
   if (last_heartbeat_ && no_heartbeats(now)) heartbeats_expected_since_ = now;
-  if (last_heartbeat_ && now - *last_heartbeat_ > isolated_after() + to_duration(kProbeRetry))
+  if (last_heartbeat_ && now - *last_heartbeat_ > isolated_after() + to_duration(kProbeTimeout))
     renewals_expected_since_ = now;
   if (machine.unacknowledged_since && machine.last_heartbeat &&
       now - *machine.last_heartbeat > to_duration(settings_.tuning.silent_after))
@@ -82,7 +82,7 @@
 
 void FailureDetector::observe_fleet(TimePoint now, bool serving) {
   const bool was_suspended =
-      last_observation_ != TimePoint{} && now - last_observation_ > kPauseThreshold;
+      last_observation_ != TimePoint{} && now - last_observation_ > kSuspensionThreshold;
   if (!serving || was_suspended) heartbeats_expected_since_ = renewals_expected_since_ = now;
   last_observation_ = now;
   up_ = responsive_ = unacknowledged_ = outbound_partitioned_ = 0;
@@ -114,10 +114,10 @@
 }
 
 Seconds FailureDetector::silence(const Machine& machine, TimePoint now) const {
-  return time_since_heartbeat(machine.last_heartbeat.value_or(machine.since), now);
+  return time_since_heartbeat(machine.last_heartbeat.value_or(machine.requested_at), now);
 }
 
-Duration FailureDetector::expected_time_of(double heartbeats, Seconds min, Seconds max) const {
+Duration FailureDetector::expected_time_for(double heartbeats, Seconds min, Seconds max) const {
   const auto mean_gap =
       settings_.workers.heartbeat_interval / static_cast<double>(std::max<std::size_t>(1, up_));
   return to_duration(std::clamp(mean_gap * heartbeats, min, std::max(min, max)));
@@ -146,7 +146,7 @@
 
 bool FailureDetector::no_heartbeats(TimePoint now) const {
   return time_since_heartbeat(last_heartbeat_, now) >=
-         expected_time_of(kExpectedForSilence, kMinSilence, Seconds(isolated_after()));
+         expected_time_for(kMissedHeartbeatsForSilence, kMinSilence, Seconds(isolated_after()));
 }
 
 bool FailureDetector::most_machines_responsive(TimePoint now) const {
@@ -171,7 +171,7 @@
                               : Seconds(0);
   bool has_stuck_task = false;
   for (const auto& [key, assignment] : machine.tasks) {
-    if (!assignment.seen || assignment.stop)
+    if (!assignment.reported || assignment.stop)
       has_stuck_task = true;
     else if (remaining_of(assignment, now) < lease_left)
       return false;
@@ -200,16 +200,16 @@
   if (up_ < 2 || now - heartbeats_expected_since_ < kMinIsolation) return std::nullopt;
   // A leader that resigned recently does so again only if other controllers receive heartbeats.
   const bool peers_receive_heartbeats =
-      peer_heartbeats_at_ && now - *peer_heartbeats_at_ < kPeerHeartbeatMemory;
+      peer_heartbeats_at_ && now - *peer_heartbeats_at_ < kPeerHeartbeatValidity;
   if (!settings_.resigns_when_isolated && !peers_receive_heartbeats) return std::nullopt;
-  const auto patience =
-      last_heartbeat_
-          ? expected_time_of(kExpectedForIsolation, kMinIsolation, Seconds(isolated_after()))
-          : to_duration(settings_.tuning.silent_after * kFirstHeartbeatFactor);
-  if (time_since_heartbeat(last_heartbeat_, now) > patience) return IsolationCause::no_heartbeats;
-  if (last_heartbeat_ && unacknowledged_ >= std::min(kProbes, up_) &&
+  const auto timeout = last_heartbeat_
+                           ? expected_time_for(kMissedHeartbeatsForIsolation, kMinIsolation,
+                                               Seconds(isolated_after()))
+                           : to_duration(settings_.tuning.silent_after * kFirstHeartbeatFactor);
+  if (time_since_heartbeat(last_heartbeat_, now) > timeout) return IsolationCause::no_heartbeats;
+  if (last_heartbeat_ && unacknowledged_ >= std::min(kMaxProbes, up_) &&
       time_since_heartbeat(last_acknowledged_, now) >
-          to_duration(settings_.workers.heartbeat_interval + kProbeRetry))
+          to_duration(settings_.workers.heartbeat_interval + kProbeTimeout))
     return IsolationCause::no_acknowledgements;
   if (peers_receive_heartbeats && no_lease_renewals(now)) return IsolationCause::no_lease_renewals;
   return std::nullopt;
@@ -224,7 +224,7 @@
   for (const auto& [id, machine] : fleet_.all()) {
     if (!can_probe(machine, now)) continue;
     probes.push_back(id);
-    if (probes.size() == kProbes) break;
+    if (probes.size() == kMaxProbes) break;
   }
   return probes;
 }
--- a/src/core/machines/failure_detector.hpp
+++ b/src/core/machines/failure_detector.hpp
@@ -104,7 +104,7 @@
   /// The same for periodic heartbeats.
   Duration time_since_renewal(const std::optional<TimePoint>& last, TimePoint now) const;
   /// Time in which so many heartbeats of the fleet are expected, within [min, max].
-  Duration expected_time_of(double heartbeats, Seconds min, Seconds max) const;
+  Duration expected_time_for(double heartbeats, Seconds min, Seconds max) const;
   /// Longest time that a healthy machine without news may be silent.
   Duration isolated_after() const;
   /// Longest time between two periodic heartbeats of a healthy machine.
--- a/src/core/machines/fleet.cpp
+++ b/src/core/machines/fleet.cpp
@@ -27,7 +27,7 @@
   return assignment.estimate + std::max(Seconds(0), assignment.fetch - since_placed);
 }
 
-Seconds unsaved(const Assignment& assignment, TimePoint now) {
+Seconds unsaved_run_time(const Assignment& assignment, TimePoint now) {
   if (!assignment.running_since) return Seconds(0);
   const Seconds run_time = assignment.saved + Seconds(now - *assignment.running_since);
   if (assignment.checkpoint_every <= Seconds(0)) return run_time;
@@ -36,12 +36,12 @@
 
 bool worth_checkpointing(const Assignment& assignment, TimePoint now) {
   return assignment.checkpoint_every > Seconds(0) &&
-         unsaved(assignment, now) > assignment.checkpoint_time;
+         unsaved_run_time(assignment, now) > assignment.checkpoint_time;
 }
 
 Seconds cost_of_stop(const Assignment& assignment, TimePoint now) {
   return worth_checkpointing(assignment, now) ? assignment.checkpoint_time
-                                              : unsaved(assignment, now);
+                                              : unsaved_run_time(assignment, now);
 }
 
 Resources Machine::free_after_stops() const {
--- a/src/core/machines/fleet.hpp
+++ b/src/core/machines/fleet.hpp
@@ -32,7 +32,7 @@
   TimePoint placed{};
   std::optional<TimePoint> running_since;  ///< none: not reported as running yet
   TaskState state = TaskState::fetching;   ///< as last reported
-  bool seen = false;                       ///< reported by the agent under this attempt
+  bool reported = false;                   ///< reported by the agent under this attempt
 
   // Stopping (CommandDispatcher).
   bool stop = false;       ///< stop commands are sent until the agent reports the end
@@ -42,13 +42,13 @@
   std::optional<TimePoint> stop_since;
 
   /// Version of the placements of its job that must be committed before the start is sent.
-  std::uint64_t record = 0;
+  std::uint64_t placement_version = 0;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.attempt, s.resources, s.team, s.job_class, s.image, s.shape, s.estimate, s.saved, s.fetch,
-      s.checkpoint_every, s.checkpoint_time, s.placed, s.running_since, s.state, s.seen, s.stop,
-      s.orphaned, s.preempted, s.grace, s.stop_since, s.record);
+      s.checkpoint_every, s.checkpoint_time, s.placed, s.running_since, s.state, s.reported, s.stop,
+      s.orphaned, s.preempted, s.grace, s.stop_since, s.placement_version);
   }
 };
 
@@ -82,8 +82,8 @@
   // Agent state (HeartbeatHandler).
   std::uint64_t epoch = 0;               ///< grows when the agent has lost its tasks; 0: unknown
   std::uint64_t heartbeat_sequence = 0;  ///< of the newest heartbeat in this epoch
-  bool confirmed = false;  ///< answered under our fencing token: its task list is complete
-  TimePoint since{};       ///< when it was requested, or first known
+  bool confirmed = false;    ///< answered under our fencing token: its task list is complete
+  TimePoint requested_at{};  ///< when it was requested, or first known
   std::optional<TimePoint> up_since;      ///< first heartbeat to this leader
   std::optional<TimePoint> notice_ends;   ///< when the cloud reclaims a spot machine
   std::vector<TaskStatus> task_statuses;  ///< of the newest heartbeat
@@ -139,13 +139,13 @@
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.id, s.endpoint, s.type, s.zone, s.spot, s.capacity, s.used, s.cache_gb, s.fetch_gb_per_s,
-      s.price, s.epoch, s.heartbeat_sequence, s.confirmed, s.registered, s.registering, s.since,
-      s.up_since, s.last_heartbeat, s.notice_ends, s.tasks, s.task_statuses, s.images,
-      s.images_changed, s.draining, s.quarantined, s.releasing, s.release_cause, s.release_retry,
-      s.underused_since, s.sparse_since, s.idle_since, s.reserved_for, s.errors, s.error_jobs,
-      s.in_doubt_attempts, s.starts_in_flight, s.commands_in_flight, s.unanswered_commands,
-      s.next_commands_at, s.commands_sent_at, s.last_acknowledged, s.unacknowledged_since,
-      s.last_lease_renewal, s.outbound_partition_since);
+      s.price, s.epoch, s.heartbeat_sequence, s.confirmed, s.registered, s.registering,
+      s.requested_at, s.up_since, s.last_heartbeat, s.notice_ends, s.tasks, s.task_statuses,
+      s.images, s.images_changed, s.draining, s.quarantined, s.releasing, s.release_cause,
+      s.release_retry, s.underused_since, s.sparse_since, s.idle_since, s.reserved_for, s.errors,
+      s.error_jobs, s.in_doubt_attempts, s.starts_in_flight, s.commands_in_flight,
+      s.unanswered_commands, s.next_commands_at, s.commands_sent_at, s.last_acknowledged,
+      s.unacknowledged_since, s.last_lease_renewal, s.outbound_partition_since);
   }
 };
 
@@ -153,7 +153,7 @@
 Seconds remaining_of(const Assignment& assignment, TimePoint now);
 
 /// Run time that would be repeated if the task were stopped now without a checkpoint.
-Seconds unsaved(const Assignment& assignment, TimePoint now);
+Seconds unsaved_run_time(const Assignment& assignment, TimePoint now);
 
 /// Whether a checkpoint at the stop saves more run time than it takes. Other tasks are stopped
 /// without a checkpoint.
--- a/src/core/machines/machine_registry.cpp
+++ b/src/core/machines/machine_registry.cpp
@@ -29,7 +29,7 @@
   // A leader starts tasks only on machines whose record is committed with the endpoint: the next
   // leader must know every machine that it has to wait for.
   if (ok && with_endpoint) machine->registered = true;
-  out_.want_placing();
+  out_.request_scheduling_round();
 }
 
 void MachineRegistry::released(const MachineId& id) {
--- a/src/core/machines/machine_watch.cpp
+++ b/src/core/machines/machine_watch.cpp
@@ -7,14 +7,14 @@
 namespace violetpulley::core {
 
 namespace {
-constexpr std::chrono::milliseconds kWatchInterval{500};
-constexpr std::chrono::milliseconds kWatchIntervalWhileReconciling{200};
+constexpr std::chrono::milliseconds kCheckInterval{500};
+constexpr std::chrono::milliseconds kCheckIntervalWhileReconciling{200};
 constexpr std::chrono::seconds kReleaseRetry{3};
 constexpr std::size_t kMaxMachinesPerRelease = 100;  // PROTOCOL, POST /rentals/release
-constexpr std::size_t kMassLateBoots = 3;            // late machines of a type at once
-constexpr double kMaxBootPatienceFactor = 2.5;       // times the usual patience
-constexpr int kImagesPerPass = 20;       // these records only save fetches after a failover
-constexpr Seconds kDefaultBootTime{60};  // of a machine type that the catalog does not list
+constexpr std::size_t kMassLateBootCount = 3;        // late machines of a type at once
+constexpr double kMaxBootTimeoutFactor = 2.5;        // times the usual patience
+constexpr int kMaxImageSavesPerPass = 20;  // these records only save fetches after a failover
+constexpr Seconds kDefaultBootTime{60};    // of a machine type that the catalog does not list
 // From the end of a leader to the first check of the next one: its store lease, reading the stored
 // state, and the request to the cloud (docs/safety.md, "A cancellation that an older leader knew").
 constexpr Seconds kFailoverTime{5};
@@ -25,8 +25,9 @@
   for (const auto& [id, machine] : fleet_.all()) {
     auto& type = boots_[machine.type];
     if (machine.up())
-      type.youngest_up = std::max(type.youngest_up.value_or(machine.since), machine.since);
-    else if (now - machine.since > to_duration(boot_patience(machine, 1)))
+      type.youngest_up =
+          std::max(type.youngest_up.value_or(machine.requested_at), machine.requested_at);
+    else if (now - machine.requested_at > to_duration(boot_timeout(machine, 1)))
       ++type.late;
   }
 }
@@ -36,7 +37,7 @@
   return type == catalog_.types().end() ? kDefaultBootTime : type->second.boot;
 }
 
-Seconds MachineWatch::boot_patience(const Machine& machine, double factor) const {
+Seconds MachineWatch::boot_timeout(const Machine& machine, double factor) const {
   return boot_time_of(machine) * (settings_.tuning.boot_late_factor * factor) +
          settings_.workers.heartbeat_interval;
 }
@@ -46,12 +47,12 @@
 // one is up, a new machine would be late as well. Then the patience is longer, since a machine that
 // is requested anew starts its boot from the beginning.
 bool MachineWatch::is_late_to_boot(const Machine& machine, TimePoint now) const {
-  const Seconds waited = now - machine.since;
-  if (waited <= boot_patience(machine, 1)) return false;
+  const Seconds waited = now - machine.requested_at;
+  if (waited <= boot_timeout(machine, 1)) return false;
   const auto& type = boots_.at(machine.type);
-  const bool is_younger_up = type.youngest_up && *type.youngest_up > machine.since;
-  return is_younger_up || type.late < kMassLateBoots ||
-         waited > boot_patience(machine, kMaxBootPatienceFactor);
+  const bool is_younger_up = type.youngest_up && *type.youngest_up > machine.requested_at;
+  return is_younger_up || type.late < kMassLateBootCount ||
+         waited > boot_timeout(machine, kMaxBootTimeoutFactor);
 }
 
 void MachineWatch::request_release(Machine& machine, const std::string& cause, TimePoint now) {
@@ -60,7 +61,7 @@
   machine.releasing = true;
   machine.release_cause = cause;
   machine.release_retry = now;
-  out_.want_placing();
+  out_.request_scheduling_round();
 }
 
 // A cancelled task whose stop was sent long ago and whose end is not proven: its machine hangs, or
@@ -69,16 +70,16 @@
 // (docs/combined-failures.md). The cancellation may have been confirmed a serving time before it
 // was known here, so a machine that answers and does not list the task gets half a lease (seed 1758
 // of Meetings); a machine that does not answer runs its lease out unless it hangs.
-bool MachineWatch::holds_unconfirmed_cancellation(const Machine& machine, TimePoint now) const {
+bool MachineWatch::has_unconfirmed_cancellation(const Machine& machine, TimePoint now) const {
   const auto lease = settings_.workers.lease;
-  const auto patience = to_duration(is_reachable(machine) ? lease / 2 : lease);
+  const auto timeout = to_duration(is_reachable(machine) ? lease / 2 : lease);
   // Tasks of jobs that ended under an older leader: the time of the cancellation began before this
   // leader saw them listed.
   const auto unknown_since = recovery_.unknown_tasks_since(machine.id);
   if (unknown_since && now - *unknown_since > to_duration(lease / 2)) return true;
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
     const auto& assignment = entry.second;
-    return assignment.orphaned && assignment.stop_since && now - *assignment.stop_since > patience;
+    return assignment.orphaned && assignment.stop_since && now - *assignment.stop_since > timeout;
   });
 }
 
@@ -87,12 +88,12 @@
 // the end of the tasks a lease after the cancellation, so the rest of `cancel_s` counts from our
 // election. A leader without any heartbeats is cut off itself: then agents that do not hang end
 // their tasks with their leases.
-bool MachineWatch::may_hold_cancelled(const Machine& machine, TimePoint now) const {
+bool MachineWatch::may_run_cancelled_tasks(const Machine& machine, TimePoint now) const {
   const auto& times = settings_.workers;
-  const auto patience =
+  const auto timeout =
       std::max(settings_.tuning.lost_after_failover, times.cancel - times.lease - kFailoverTime);
   return reconciler_.silent(machine) && !failure_detector_.no_heartbeats(now) &&
-         now - elected_at_ > to_duration(patience);
+         now - elected_at_ > to_duration(timeout);
 }
 
 void MachineWatch::declare_dead(Machine& machine, TimePoint now) {
@@ -101,10 +102,10 @@
   request_release(machine, "silent", now);
 }
 
-bool MachineWatch::watch(TimePoint now, bool serving, TimePoint last_proven) {
-  const auto interval = recovery_.recovering() ? kWatchIntervalWhileReconciling : kWatchInterval;
-  if (now - last_watch_ < interval) return false;
-  last_watch_ = now;
+bool MachineWatch::check_machines(TimePoint now, bool serving, TimePoint last_proven) {
+  const auto interval = recovery_.recovering() ? kCheckIntervalWhileReconciling : kCheckInterval;
+  if (now - last_check_ < interval) return false;
+  last_check_ = now;
   reconciler_.judge_silent_machines(now);
   failure_detector_.observe_fleet(now, serving);
   count_boots(now);
@@ -132,11 +133,11 @@
 void MachineWatch::check_machine(Machine& machine, Pass& pass) {
   if (pass.fleet_responsive) release_if_cut_off(machine, pass.now);
   check_silence(machine, pass);
-  if (holds_unconfirmed_cancellation(machine, pass.now) || may_hold_cancelled(machine, pass.now))
+  if (has_unconfirmed_cancellation(machine, pass.now) || may_run_cancelled_tasks(machine, pass.now))
     request_release(machine, "with cancelled work", pass.now);
   if (machine.quarantined && machine.tasks.empty()) request_release(machine, "sick", pass.now);
   save_images(machine, pass);
-  repeat_commands(machine);
+  resend_commands(machine);
 }
 
 void MachineWatch::release_if_cut_off(Machine& machine, TimePoint now) {
@@ -175,7 +176,8 @@
 // leader renews it: a leader that is cut off and does not know its successor yet would start them
 // again (seed 1684 of the simulation). So no other node may have led until the end of the lease.
 bool MachineWatch::is_lease_expired(const Machine& machine, TimePoint last_proven) const {
-  const auto last_heartbeat = machine.last_heartbeat.value_or(std::max(machine.since, elected_at_));
+  const auto last_heartbeat =
+      machine.last_heartbeat.value_or(std::max(machine.requested_at, elected_at_));
   return machine.confirmed && last_proven - last_heartbeat > to_duration(recovery_.full_lease());
 }
 
@@ -189,14 +191,14 @@
 
 void MachineWatch::save_images(Machine& machine, Pass& pass) {
   if (!machine.images_changed || !machine.registered || machine.registering) return;
-  if (pass.images_saved >= kImagesPerPass) return;
+  if (pass.images_saved >= kMaxImageSavesPerPass) return;
   ++pass.images_saved;
   registry_.save(machine);
 }
 
-void MachineWatch::repeat_commands(const Machine& machine) {
+void MachineWatch::resend_commands(const Machine& machine) {
   for (const auto& [key, assignment] : machine.tasks)
-    if (!assignment.seen || assignment.stop) commands_.mark_due(machine);
+    if (!assignment.reported || assignment.stop) commands_.mark_due(machine);
   // Nothing starts on a machine until it has acknowledged something.
   if (machine.confirmed && !is_reachable(machine)) commands_.mark_due(machine);
 }
@@ -236,7 +238,7 @@
   out_.push_back(std::move(action));
 }
 
-void MachineWatch::return_failed(Machine& machine, TimePoint now) {
+void MachineWatch::release_failed(Machine& machine, TimePoint now) {
   fleet_.before_change(machine);
   machine.release_retry = now + kReleaseRetry;
 }
--- a/src/core/machines/machine_watch.hpp
+++ b/src/core/machines/machine_watch.hpp
@@ -33,16 +33,16 @@
 
   /// Checks all machines if that is due; returns whether it was. `serving`: heartbeats are
   /// accepted. `last_proven`: latest time by which no other node led.
-  bool watch(TimePoint now, bool serving, TimePoint last_proven);
+  bool check_machines(TimePoint now, bool serving, TimePoint last_proven);
   /// Marks a machine to be returned. `cause` enters the log and the ScaleIn action. Without effect
   /// on a machine that is being returned already.
   void request_release(Machine& machine, const std::string& cause, TimePoint now);
   /// The cloud did not confirm the return: it is requested again after a pause.
-  void return_failed(Machine& machine, TimePoint now);
+  void release_failed(Machine& machine, TimePoint now);
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.last_watch_, s.last_release_);
+    f(s.last_check_, s.last_release_);
   }
 
  private:
@@ -69,16 +69,16 @@
   void remove_expired_tasks(Machine& machine, TimePoint now);
   void save_images(Machine& machine, Pass& pass);
   /// Starts and stops without an effect yet are sent again.
-  void repeat_commands(const Machine& machine);
+  void resend_commands(const Machine& machine);
 
   Seconds boot_time_of(const Machine& machine) const;
   /// Time after the request of a machine at which it counts as late, times `factor`.
-  Seconds boot_patience(const Machine& machine, double factor) const;
+  Seconds boot_timeout(const Machine& machine, double factor) const;
   bool is_late_to_boot(const Machine& machine, TimePoint now) const;
   void count_boots(TimePoint now);
 
-  bool holds_unconfirmed_cancellation(const Machine& machine, TimePoint now) const;
-  bool may_hold_cancelled(const Machine& machine, TimePoint now) const;
+  bool has_unconfirmed_cancellation(const Machine& machine, TimePoint now) const;
+  bool may_run_cancelled_tasks(const Machine& machine, TimePoint now) const;
   void declare_dead(Machine& machine, TimePoint now);
 
   void release_machines(TimePoint now);
@@ -97,7 +97,7 @@
   Assignments& assignments_;
   MachineRegistry& registry_;
   TimePoint elected_at_;
-  TimePoint last_watch_{};
+  TimePoint last_check_{};
   TimePoint last_release_{};
   std::map<std::string, TypeBoots> boots_;  ///< by machine type
 };
--- a/src/core/outbox.hpp
+++ b/src/core/outbox.hpp
@@ -19,11 +19,11 @@
   std::vector<Action> take() { return std::exchange(actions_, {}); }
 
   /// Requests a scheduling round soon.
-  void want_placing() { placing_wanted_ = true; }
+  void request_scheduling_round() { scheduling_round_requested_ = true; }
   /// A scheduling round begins, which fulfils the request.
-  void placing_begins() { placing_wanted_ = false; }
+  void scheduling_round_started() { scheduling_round_requested_ = false; }
   /// Whether a scheduling round is requested.
-  bool placing_wanted() const { return placing_wanted_; }
+  bool scheduling_round_requested() const { return scheduling_round_requested_; }
 
   /// Counts machines that were examined, to bound what events cost.
   void note_inspections(std::uint64_t machines) { inspections_ += machines; }
@@ -32,12 +32,12 @@
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.placing_wanted_, s.inspections_);
+    f(s.scheduling_round_requested_, s.inspections_);
   }
 
  private:
   std::vector<Action> actions_;  // empty between events
-  bool placing_wanted_ = true;
+  bool scheduling_round_requested_ = true;
   std::uint64_t inspections_ = 0;
 };
 
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -183,7 +183,7 @@
   }
   const auto type = catalog_.types().find(machine.type);
   if (type == catalog_.types().end()) return false;
-  return now - machine.since < to_duration(type->second.boot * kBootLateFactor) + kBootSlack;
+  return now - machine.requested_at < to_duration(type->second.boot * kBootLateFactor) + kBootSlack;
 }
 
 std::size_t GangScheduler::count_zones() const {
@@ -204,7 +204,7 @@
                        if (assignment.state != TaskState::checkpointing)
                          commands_.stop(machine, assignment, now);
                      });
-    out_.want_placing();
+    out_.request_scheduling_round();
   }
 }
 
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -61,23 +61,23 @@
 
 void Scheduler::round(TimePoint now) {
   const bool round_due = now - last_round_ >= to_duration(settings_.tuning.round);
-  const bool quick_round_due =
-      out_.placing_wanted() && now - last_round_ >= to_duration(settings_.tuning.quick_round);
+  const bool quick_round_due = out_.scheduling_round_requested() &&
+                               now - last_round_ >= to_duration(settings_.tuning.quick_round);
   if (!round_due && !quick_round_due) return;
   last_round_ = now;
-  out_.placing_begins();
+  out_.scheduling_round_started();
   place(now);
 }
 
 void Scheduler::place(TimePoint now) {
   if (catalog_.types().empty()) return;
   recovery_.refresh();
-  scarcity_.note_exclusive_types(now);
+  scarcity_.update_exclusive_types(now);
   starvation_guard_.new_round();
-  scarcity_.note_jobs();
+  scarcity_.update_job_kinds();
   const auto queue = candidate_queue_.build(now);
   clear_suspicions(queue, now);
-  scarcity_.note_exclusive_demand(
+  scarcity_.set_exclusive_demand_waiting(
       std::any_of(queue.begin(), queue.end(),
                   [&](const Candidate& candidate) { return needs_exclusive_type(candidate); }));
   const auto smallest = smallest_need(queue);
@@ -143,7 +143,7 @@
   smallest.tasks = static_cast<TaskIndex>(std::min(waiting, kMaxCountedTasks));
   std::size_t slots = 1;
   for (const auto* machine : schedulable) slots += places_on(machine->free(), smallest);
-  scarcity_.note_free_slots(waiting, slots);
+  scarcity_.update_slot_scarcity(waiting, slots);
 }
 
 // Bound groups come first, on the machine that was requested for them.
@@ -202,7 +202,7 @@
   rules.zone_bound = spec.same_zone || spec.spread;
   // Exception to the design: empty on-demand machines are left to work that may use no others
   // (docs/design.md, "On-demand machines").
-  rules.spares_empty_expensive = scarcity_.on_demand_only_work() && spec.spot_allowed &&
+  rules.spares_empty_expensive = scarcity_.has_on_demand_only_jobs() && spec.spot_allowed &&
                                  forecaster_.age(job, now) < settings_.tuning.on_demand_patience;
   if (pass == ImagePass::holders_only && !image_wait_over(candidate, now))
     rules.min_image_rank = ImageRank::fetching;
@@ -298,7 +298,7 @@
     if (found == draining.end()) continue;
     fleet_.set(**found, &Machine::draining, false);
     fleet_.set(**found, &Machine::underused_since, {});
-    out_.want_placing();
+    out_.request_scheduling_round();
   }
 }
 
@@ -313,7 +313,7 @@
 // yet would seem to be lacking.
 void Scheduler::scale_out(const Queue& queue, TimePoint now) {
   if (starts_left_ == 0)
-    out_.want_placing();
+    out_.request_scheduling_round();
   else if (reconciler_.fleet_known(now))
     scale_out_.round(queue, now);
 }
--- a/src/core/scheduling/task_bindings.cpp
+++ b/src/core/scheduling/task_bindings.cpp
@@ -32,7 +32,7 @@
       jobs_.before_change(*job);
       job->tasks[key.index].bound.clear();
     }
-  out_.want_placing();
+  out_.request_scheduling_round();
 }
 
 void TaskBindings::machine_gone(const MachineId& id) {
--- a/src/diagnostics/placement_explanation.cpp
+++ b/src/diagnostics/placement_explanation.cpp
@@ -27,7 +27,7 @@
   if (!machine.confirmed) return "unconfirmed";
   if (machine.outbound_partition_since) return "not_reporting";
   if (!core::is_reachable(machine)) return "out_of_reach";
-  if (ended_attempts.is_settling(machine.id)) return "delayed_start";
+  if (ended_attempts.is_retiring(machine.id)) return "delayed_start";
   if (machine.draining) return "clearing";
   if (!machine.reserved_for.empty() && machine.reserved_for != job) return "reserved_for_a_gang";
   return nullptr;
--- a/src/history/describe.cpp
+++ b/src/history/describe.cpp
@@ -33,7 +33,7 @@
     if constexpr (std::is_same_v<T, core::LeaderElected>)
       out << e.recovered.jobs.size() << " jobs, " << e.recovered.machines.size()
           << " machines, beliefs about " << e.recovered.learned_state.jobs.size() << " jobs";
-    else if constexpr (std::is_same_v<T, core::CatalogKnown>)
+    else if constexpr (std::is_same_v<T, core::CatalogReceived>)
       out << e.types.size() << " types";
     else if constexpr (std::is_same_v<T, core::JobOpened>)
       out << e.record.spec.id << " of " << e.record.spec.team << ", class "
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -167,7 +167,7 @@
   if (!catalog_due_) return;
   if (services_.recorder != nullptr && services_.recorder->snapshotting()) return;
   catalog_due_ = false;
-  feed(core::CatalogKnown{types_});
+  feed(core::CatalogReceived{types_});
 }
 
 void Leader::commands_answered(const core::MachineId& machine, const core::Heartbeat* heartbeat) {
--- a/tests/core/autoscaling/scaler_test.cpp
+++ b/tests/core/autoscaling/scaler_test.cpp
@@ -10,7 +10,7 @@
 namespace violetpulley::core {
 namespace {
 
-TEST(Scaler, ScoreIsThePapersExample) {
+TEST(Scaler, ScoreIsTheUseOfTheConstrainingResourceOverThePrice) {
   MachineType type;
   type.capacity = {8, 0, 16};
   EXPECT_DOUBLE_EQ(offering_score({4, 0, 1}, type, 1.0, {2, 0, 4}), 2.0);
@@ -20,58 +20,59 @@
 TEST(Scaler, ChoosesTypeAndGroupTogether) {
   MachineType small{"small", {8, 0, 64}, 10, 1, 1.0, 0.3, Seconds(30), {"z"}};
   MachineType large{"large", {64, 0, 512}, 10, 1, 6.0, 2.2, Seconds(30), {"z"}};
-  const std::vector<InstanceOffering> options{
+  const std::vector<InstanceOffering> offerings{
       {&small, "z", true, 0.3}, {&small, "z", false, 1.0}, {&large, "z", true, 2.2}};
   auto spec = spec_of(1, 1, Seconds(10));
-  Scaler scaler({{&spec, Seconds(10), {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}}}, options);
+  Scaler scaler({{&spec, Seconds(10), {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}}}, offerings);
   auto choice = scaler.choose();
   ASSERT_TRUE(choice);
-  EXPECT_EQ(scaler.option(*choice).type->name, "small");
-  EXPECT_TRUE(scaler.option(*choice).spot);
+  EXPECT_EQ(scaler.offering_of(*choice).type->name, "small");
+  EXPECT_TRUE(scaler.offering_of(*choice).spot);
   EXPECT_EQ(scaler.take(*choice).size(), 8U);
-  EXPECT_FALSE(scaler.repeats(*choice)) << "two tasks are left, the group has eight";
+  EXPECT_FALSE(scaler.can_repeat(*choice)) << "two tasks are left, the group has eight";
   EXPECT_EQ(scaler.take(*scaler.choose()).size(), 2U);
   EXPECT_FALSE(scaler.choose());
 
   // A task of 16 CPUs fits only the large type; spot is barred, so nothing is left.
-  auto big = spec_of(16, 16, Seconds(10));
-  big.spot_allowed = false;
-  EXPECT_FALSE(Scaler({{&big, Seconds(10), {0}}}, options).choose());
-  big.spot_allowed = true;
-  Scaler for_big({{&big, Seconds(10), {0}}}, options);
-  choice = for_big.choose();
+  auto large_job = spec_of(16, 16, Seconds(10));
+  large_job.spot_allowed = false;
+  EXPECT_FALSE(Scaler({{&large_job, Seconds(10), {0}}}, offerings).choose());
+  large_job.spot_allowed = true;
+  Scaler large_job_scaler({{&large_job, Seconds(10), {0}}}, offerings);
+  choice = large_job_scaler.choose();
   ASSERT_TRUE(choice);
-  EXPECT_EQ(for_big.option(*choice).type->name, "large");
+  EXPECT_EQ(large_job_scaler.offering_of(*choice).type->name, "large");
 }
 
 // Found on a day with many small urgent tasks and large ones that fit the large type alone: the
 // first offering filled every round by itself, and no large machine was requested for two minutes.
-TEST(Scaler, AFullRequestLeavesTheRoundToOthersButNotToMoreExpensiveOfferings) {
+TEST(Scaler, TasksOfAnExhaustedOfferingWaitUnlessAnotherOneIsAsCheap) {
   MachineType small{"small", {8, 0, 64}, 10, 1, 1.0, 0.3, Seconds(30), {"y", "z"}};
   MachineType large{"large", {64, 0, 512}, 10, 1, 9.0, 3.0, Seconds(30), {"z"}};
-  auto little = spec_of(1, 1, Seconds(10));
-  auto big = spec_of(16, 16, Seconds(10));
-  Scaler scaler({{&little, Seconds(20), std::vector<TaskIndex>(100)}, {&big, Seconds(10), {0, 1}}},
-                {{&small, "z", true, 0.3},
-                 {&small, "y", true, 0.3},
-                 {&small, "z", false, 1.0},
-                 {&large, "z", true, 3.0}});
+  auto small_job = spec_of(1, 1, Seconds(10));
+  auto large_job = spec_of(16, 16, Seconds(10));
+  Scaler scaler(
+      {{&small_job, Seconds(20), std::vector<TaskIndex>(100)}, {&large_job, Seconds(10), {0, 1}}},
+      {{&small, "z", true, 0.3},
+       {&small, "y", true, 0.3},
+       {&small, "z", false, 1.0},
+       {&large, "z", true, 3.0}});
   const auto first = scaler.choose();
-  ASSERT_EQ(scaler.option(*first).type->name, "small");
+  ASSERT_EQ(scaler.offering_of(*first).type->name, "small");
   scaler.take(*first);
   scaler.exhaust(*first);
   const auto second = scaler.choose();
-  EXPECT_EQ(scaler.option(*second).price, 0.3) << "the same type in another zone";
-  EXPECT_NE(scaler.option(*second).zone, scaler.option(*first).zone);
+  EXPECT_EQ(scaler.offering_of(*second).price, 0.3) << "the same type in another zone";
+  EXPECT_NE(scaler.offering_of(*second).zone, scaler.offering_of(*first).zone);
   scaler.exhaust(*second);
   const auto third = scaler.choose();
   ASSERT_TRUE(third);
-  EXPECT_EQ(scaler.option(*third).type->name, "large");
+  EXPECT_EQ(scaler.offering_of(*third).type->name, "large");
   EXPECT_EQ(scaler.take(*third).size(), 2U) << "the small tasks wait for the next round";
   EXPECT_FALSE(scaler.choose());
 }
 
-TEST(Consolidation, RestartsOnlyTasksThatLoseLessThanTheySave) {
+TEST(Consolidation, RestartsTasksOnlyIfTheirRemainingTimeExceedsTheCostOfTheRestart) {
   Fleet fleet;
   auto& machine = machine_with(fleet, "m", 16, Seconds(100));
   EXPECT_TRUE(underused(machine, 0.5));
@@ -83,7 +84,7 @@
 
 // Found by the simulation (seed 7): work that may not use spot machines waited for ever for a spot
 // offering, because expensive offerings were kept for work that had waited.
-TEST(Controller, WorkThatMayNotUseSpotRequestsAnExpensiveOfferingAtOnce) {
+TEST(Controller, JobsThatMayNotUseSpotRequestOnDemandMachinesAtOnce) {
   for (const bool spot_allowed : {false, true}) {
     MachineType type{"small", {8, 0, 64}, 10, 1, 1.0, 0.3, Seconds(30), {"z"}};
     JobRecord record;
--- a/tests/core/machines/ended_attempts_test.cpp
+++ b/tests/core/machines/ended_attempts_test.cpp
@@ -9,7 +9,7 @@
 
 /// Every start is carried out and none is answered. Then a task ends, its machine loses its tasks
 /// within the same agent epoch, and the start arrives once more.
-class EndedAttempts : public LeaderWithAgents {
+class EndedAttemptsTest : public LeaderWithAgents {
  protected:
   /// The machine with the task; fails the test if there is none.
   std::map<MachineId, Agent>::iterator machine_of(const TaskKey& task) {
@@ -38,7 +38,7 @@
     return {CommandType::start, key, task.attempt, Seconds(0)};
   }
   /// The agent is back without its tasks, in the same epoch, and then the starts arrive.
-  void forget_and_deliver(Agent& agent, const std::vector<Command>& delayed) {
+  void restart_agent_and_deliver(Agent& agent, const std::vector<Command>& delayed) {
     agent.ended.clear();
     if (!agent.returned) execute(agent, delayed);
   }
@@ -56,7 +56,7 @@
   }
 };
 
-TEST_F(EndedAttempts, ADoneTaskThatMayBeStartedAgainCountsAgainstItsTeamsLimit) {
+TEST_F(EndedAttemptsTest, ADoneTaskThatMayBeStartedAgainCountsAgainstItsTeamsLimit) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(narrow_job("req-1", 2));
@@ -66,11 +66,11 @@
   run(Seconds(4));
   controller_->job_opened(narrow_job("req-2", 2), now_);
   run(Seconds(4));
-  forget_and_deliver(agent, {delayed});
+  restart_agent_and_deliver(agent, {delayed});
   EXPECT_LE(running(), 2U) << "quota: 8 CPUs at most, and each task takes 4";
 }
 
-TEST_F(EndedAttempts, ATeamAtItsLimitGetsItBackWithoutLosingMoreThanTheMachine) {
+TEST_F(EndedAttemptsTest, ATeamAtItsLimitStartsNewTasksOnceMachinesWithEndedAttemptsAreReturned) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(narrow_job("req-1", 2));
@@ -85,7 +85,7 @@
   EXPECT_EQ(running(), 2U) << "nothing waits for 90 s beside free capacity";
 }
 
-TEST_F(EndedAttempts, DoneTasksHoldNothingUpAndReturnNothingWhileTheirTeamHasRoom) {
+TEST_F(EndedAttemptsTest, DoneTasksTakeNoCapacityAndReturnNoMachineBelowTheTeamLimit) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 8));
@@ -100,7 +100,7 @@
   EXPECT_TRUE(returned_.empty()) << release_causes_;
 }
 
-TEST_F(EndedAttempts, ACancelledTaskIsSettledInTimeAfterItHasEnded) {
+TEST_F(EndedAttemptsTest, ACancelledTaskThatHasEndedIsNotRunAgainByADelayedStart) {
   begin(4, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 1));
@@ -110,11 +110,11 @@
   controller_->job_closed("req-1", now_);
   // The cancellation may have been confirmed a serving time (cancel - lease) before it was known.
   run(times_.lease * 0.6);
-  forget_and_deliver(agent, {delayed});
+  restart_agent_and_deliver(agent, {delayed});
   EXPECT_EQ(copies_of({"req-1", 0}), 0U) << "ran_cancelled";
 }
 
-TEST_F(EndedAttempts, ADoneTaskOfAJobThatIsCancelledLaterIsSettledInTime) {
+TEST_F(EndedAttemptsTest, ADoneTaskOfAJobThatIsCancelledLaterIsNotRunAgain) {
   begin(4, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 2));
@@ -123,12 +123,12 @@
   run(Seconds(30));
   controller_->job_closed("req-1", now_);
   run(times_.lease * 0.6);
-  forget_and_deliver(agent, {delayed});
+  restart_agent_and_deliver(agent, {delayed});
   EXPECT_EQ(copies_of({"req-1", 0}), 0U) << "ran_cancelled";
 }
 
 // The cancellation won against the end of the job, which had been requested already.
-TEST_F(EndedAttempts, ADoneTaskOfAJobWhoseEndWasRefusedIsSettledInTime) {
+TEST_F(EndedAttemptsTest, ADoneTaskOfAJobWhoseFinishWasRefusedIsNotRunAgain) {
   begin(4, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 1));
@@ -138,11 +138,11 @@
   ASSERT_TRUE(done_.contains("req-1"));
   controller_->finish_answered("req-1", now_ + seconds(2), now_);
   run(times_.lease * 0.6);
-  forget_and_deliver(agent, {delayed});
+  restart_agent_and_deliver(agent, {delayed});
   EXPECT_EQ(copies_of({"req-1", 0}), 0U) << "ran_cancelled";
 }
 
-TEST_F(EndedAttempts, AGangStartsAnewOnlyWhenNoneOfItsFormerTasksMayStartAgain) {
+TEST_F(EndedAttemptsTest, AGangRestartsOnlyWhenNoEarlierAttemptCanRunAgain) {
   begin(4, 0);
   run(Seconds(2));
   auto gang = job("req-1", 2);
@@ -158,8 +158,8 @@
   for (int step = 0; step < 30; ++step) {
     run(Seconds(1));
     const auto before = agents_;
-    forget_and_deliver(agents_[first], delayed);
-    forget_and_deliver(agents_[second], other);
+    restart_agent_and_deliver(agents_[first], delayed);
+    restart_agent_and_deliver(agents_[second], other);
     ASSERT_LE(copies_of({"req-1", 0}), 1U) << "ran_twice after " << step << " s";
     ASSERT_LE(copies_of({"req-1", 1}), 1U) << "ran_twice after " << step << " s";
     agents_ = before;
@@ -167,7 +167,7 @@
   EXPECT_EQ(running(), 2U) << "the gang runs on other machines";
 }
 
-TEST_F(EndedAttempts, AReplicaIsReplacedOnlyWhenItsFormerStartMayNotArriveAgain) {
+TEST_F(EndedAttemptsTest, AReplicaIsReplacedOnlyWhenItsEarlierAttemptCannotRunAgain) {
   begin(4, 0);
   run(Seconds(2));
   auto service = job("req-1", 1);
@@ -179,7 +179,7 @@
   for (int step = 0; step < 30; ++step) {
     run(Seconds(1));
     const auto before = agents_;
-    forget_and_deliver(agents_[first], delayed);
+    restart_agent_and_deliver(agents_[first], delayed);
     ASSERT_LE(copies_of({"req-1", 0}), 1U) << "ran_twice after " << step << " s";
     agents_ = before;
   }
@@ -187,7 +187,7 @@
 }
 
 // The loss is noticed before the delayed start arrives: the machine lists nothing.
-TEST_F(EndedAttempts, ANoticedLossDoesNotFreeTheTask) {
+TEST_F(EndedAttemptsTest, AHeldTaskStaysHeldWhenItsMachineReportsNoTasks) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 8));
@@ -196,7 +196,7 @@
   run(Seconds(3));
   first->second.ended.clear();
   run(Seconds(5));
-  forget_and_deliver(first->second, delayed);
+  restart_agent_and_deliver(first->second, delayed);
   EXPECT_LE(copies_of({"req-1", 0}), 1U) << "ran_twice";
   run(Seconds(15));
   EXPECT_EQ(running(), 8U);
@@ -204,7 +204,7 @@
 
 // The machine runs other tasks as well: they lose at most what they have not saved, and the task
 // that has ended does not wait for their end.
-TEST_F(EndedAttempts, AHeldTaskRunsAgainWithinItsBoundBesideLongTasks) {
+TEST_F(EndedAttemptsTest, AHeldTaskRestartsWithinHalfALeaseDespiteLongTasksOnItsMachine) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 8));
@@ -214,7 +214,7 @@
   EXPECT_EQ(running(), 8U);
 }
 
-TEST_F(EndedAttempts, AGrownEpochFreesTheTaskAtOnce) {
+TEST_F(EndedAttemptsTest, ANewAgentEpochReleasesTheHeldTaskAtOnce) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 5));
@@ -231,7 +231,7 @@
 
 // With the cloud down nothing rules the delayed start out, so the task waits; it runs again soon
 // after the cloud has answered.
-TEST_F(EndedAttempts, WhileTheCloudIsDownTheTaskWaits) {
+TEST_F(EndedAttemptsTest, AHeldTaskWaitsWhileTheCloudDoesNotAnswer) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 1));
@@ -247,7 +247,7 @@
 }
 
 // The machine of the done task runs nothing else of the cancelled job.
-TEST_F(EndedAttempts, ADoneTaskIsSettledAlsoWhereNothingOfItsCancelledJobRuns) {
+TEST_F(EndedAttemptsTest, ADoneTaskOfACancelledJobIsNotRunAgainOnAMachineWithoutOtherTasks) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 5));
@@ -259,11 +259,11 @@
   run(Seconds(4));
   controller_->job_closed("req-1", now_);
   run(times_.lease * 0.6);
-  forget_and_deliver(alone->second, {delayed});
+  restart_agent_and_deliver(alone->second, {delayed});
   EXPECT_EQ(copies_of(task), 0U) << "ran_cancelled";
 }
 
-TEST_F(EndedAttempts, NothingStartsOnAMachineThatIsSettled) {
+TEST_F(EndedAttemptsTest, NothingStartsOnARetiringMachine) {
   begin(2, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 4));
@@ -279,7 +279,7 @@
 }
 
 // A delayed start would pin the zone of the job's waiting tasks, so the machine is returned.
-TEST_F(EndedAttempts, AJobBoundToOneZoneDoesNotWaitForAZoneThatADoneTaskDecides) {
+TEST_F(EndedAttemptsTest, AMachineIsReturnedIfItsEndedAttemptRestrictsTheZoneOfWaitingTasks) {
   begin(2, 0);
   run(Seconds(2));
   auto bound = job("req-1", 10);
@@ -293,7 +293,7 @@
 }
 
 // Each attempt in doubt stays in the agent's memory and in every heartbeat.
-TEST_F(EndedAttempts, AMachineWithTooManyAttemptsInDoubtIsReturned) {
+TEST_F(EndedAttemptsTest, AMachineWithTooManyAttemptsInDoubtIsReturned) {
   begin(1, 0);
   run(Seconds(2));
   auto small = job("req-1", 240);
--- a/tests/core/machines/failure_detector_test.cpp
+++ b/tests/core/machines/failure_detector_test.cpp
@@ -12,7 +12,7 @@
 /// Machines that send heartbeats and acknowledge nothing, and isolated leaders.
 class FailureDetectorTest : public LeaderWithAgents {
  protected:
-  void fill_eight_machines() {
+  void start_tasks_on_eight_machines() {
     begin(8, 0);
     run(Seconds(2));
     controller_->job_opened(job("req-1", 32), now_);
@@ -35,7 +35,7 @@
 };
 
 // An earlier version sent the same starts once a second for as long as heartbeats came.
-TEST_F(FailureDetectorTest, AnUnacknowledgedMachineGetsNoStartRepeatedly) {
+TEST_F(FailureDetectorTest, AnUnacknowledgedMachineGetsEachStartOnlyOnce) {
   begin(10, 0);
   run(Seconds(2));
   for (int i = 0; i < 2; ++i) agents_[name(i)].receives_commands = false;
@@ -62,7 +62,7 @@
 }
 
 // A new epoch proves that the earlier tasks have ended, not that commands arrive at the machine.
-TEST_F(FailureDetectorTest, ANewEpochWaitsForAnAcknowledgementBeforeAnythingStarts) {
+TEST_F(FailureDetectorTest, NothingStartsInANewEpochBeforeAnAcknowledgement) {
   begin(4, 0);
   run(Seconds(2));
   auto& agent = agents_[name(0)];
@@ -78,8 +78,8 @@
   EXPECT_GT(starts_sent_[name(0)], 0);
 }
 
-TEST_F(FailureDetectorTest, ACancelledTaskOnAnUnacknowledgedMachineIsGoneInTime) {
-  fill_eight_machines();
+TEST_F(FailureDetectorTest, CancelledTasksOnAnUnacknowledgedMachineEndWithin15Seconds) {
+  start_tasks_on_eight_machines();
   agents_[name(3)].receives_commands = false;
   controller_->job_closed("req-1", now_);
   run(Seconds(15));
@@ -89,8 +89,8 @@
 
 // A hung machine does not end its tasks with its lease. With most of the fleet silent no machine is
 // returned for its silence, but machines with cancelled tasks must be.
-TEST_F(FailureDetectorTest, CancelledTasksOnHungMachinesAreGoneInTimeHoweverManyHang) {
-  fill_eight_machines();
+TEST_F(FailureDetectorTest, HungMachinesWithCancelledTasksAreReturnedInTimeHoweverManyHang) {
+  start_tasks_on_eight_machines();
   for (int i = 0; i < 5; ++i)
     agents_[name(i)].sends_heartbeats = agents_[name(i)].receives_commands = false;
   run(Seconds(1));
@@ -100,7 +100,7 @@
 }
 
 // The start was lost or is delayed; the stop that overtook it proves nothing.
-TEST_F(FailureDetectorTest, ADelayedStartOfACancelledTaskIsSettledInTime) {
+TEST_F(FailureDetectorTest, AMachineWithADelayedStartOfACancelledTaskIsReturnedInTime) {
   cancel_while_a_start_is_delayed();
   // The cancellation may have been confirmed a serving time (cancel - lease) before it was known
   // here.
@@ -121,14 +121,14 @@
 }
 
 // Tasks that end before the lease are worth more than an earlier return of the machine.
-TEST_F(FailureDetectorTest, TasksThatEndWithinTheLeaseAreLeftToEnd) {
+TEST_F(FailureDetectorTest, AnUnacknowledgedMachineIsKeptWhileItsTasksCanEndWithinTheLease) {
   begin(8, 0);
   run(Seconds(2));
   controller_->job_opened(job("req-2", 1), now_);
   run(Seconds(2));
-  auto brief = job("req-1", 31);
-  brief.spec.estimate = Seconds(20);
-  controller_->job_opened(brief, now_);
+  auto short_job = job("req-1", 31);
+  short_job.spec.estimate = Seconds(20);
+  controller_->job_opened(short_job, now_);
   run(Seconds(3));
   const auto busy = std::find_if(agents_.begin(), agents_.end(), [](const auto& entry) {
     return entry.second.tasks.contains({"req-2", 0});
@@ -143,7 +143,7 @@
 }
 
 // A delayed start may arrive once more: the task must not be started elsewhere meanwhile.
-TEST_F(FailureDetectorTest, AVanishedTaskWithADelayedStartStaysOnItsMachine) {
+TEST_F(FailureDetectorTest, AMissingTaskWithADelayedStartRestartsOnItsMachineUnderTheSameAttempt) {
   begin(3, 0);
   run(Seconds(2));
   for (auto& [id, agent] : agents_) agent.answers_commands = false;
@@ -168,7 +168,7 @@
 // repeated start, and it is lost with the tasks; the task is held now until the machine is returned
 // or has a new epoch. Shown by seed 3130 of CorrelatedFaults (docs/incidents/seed-3130.md); further
 // cases are in ended_attempts_test.cpp.
-TEST_F(FailureDetectorTest, ADelayedStartRunsNothingTwiceOnAMachineThatLostItsTasks) {
+TEST_F(FailureDetectorTest, ADelayedStartOnAMachineThatLostItsTasksRunsNoTaskTwice) {
   begin(2, 0);
   run(Seconds(2));
   for (auto& [id, agent] : agents_) agent.answers_commands = false;
@@ -180,27 +180,27 @@
                                   [](const auto& entry) { return !entry.second.tasks.empty(); });
   ASSERT_NE(first, agents_.end());
   auto& task = first->second.tasks.begin()->second;
-  const Command held{CommandType::start, {"req-1", 0}, task.attempt, Seconds(0)};
+  const Command delayed{CommandType::start, {"req-1", 0}, task.attempt, Seconds(0)};
   task.ends = now_;
   task.fails = true;
   run(Seconds(8));
   first->second.ended.clear();
-  if (!first->second.returned) execute(first->second, {held});
+  if (!first->second.returned) execute(first->second, {delayed});
   EXPECT_LE(running(), 1U) << "ran_twice";
 }
 
-TEST_F(FailureDetectorTest, ALeaderWithoutAcknowledgementsResignsAndOneThatMissesAFewDoesNot) {
+TEST_F(FailureDetectorTest, ALeaderResignsIfNoMachineAcknowledgesAndStaysIfAFewDoNot) {
   begin(12, 0);
   run(Seconds(3));
   for (int i = 0; i < 3; ++i) agents_[name(i)].receives_commands = false;
   run(Seconds(20));
   EXPECT_FALSE(resigned_);
   for (auto& [id, agent] : agents_) agent.receives_commands = false;
-  const auto cut = now_;
+  const auto partitioned_at = now_;
   run(Seconds(12));
   ASSERT_TRUE(resigned_);
   EXPECT_EQ(resigned_->second, "its machines are heard, and none of them is reached");
-  EXPECT_LT(resigned_->first - cut, seconds(12));
+  EXPECT_LT(resigned_->first - partitioned_at, seconds(12));
 }
 
 // Found by inc-c2d3: a leader cut off from its agents returned nine healthy machines, those with
@@ -210,11 +210,11 @@
   begin(40, 0);
   run(Seconds(5));
   for (auto& [id, agent] : agents_) agent.sends_heartbeats = agent.receives_commands = false;
-  const auto cut = now_;
+  const auto partitioned_at = now_;
   run(Seconds(12));
   ASSERT_TRUE(resigned_);
   EXPECT_EQ(resigned_->second, "no machine is heard from");
-  EXPECT_LT(resigned_->first - cut, seconds(4));
+  EXPECT_LT(resigned_->first - partitioned_at, seconds(4));
   EXPECT_TRUE(returned_.empty()) << release_causes_;
 }
 
@@ -237,7 +237,7 @@
 
 // Found by hunt-fa96: isolated for the second time within three minutes, a leader stayed for 50 s,
 // and all tasks ended with their leases, while agents sent heartbeats to its peers.
-TEST_F(FailureDetectorTest, ALeaderThatResignedLatelyResignsAgainIfPeersReceiveHeartbeats) {
+TEST_F(FailureDetectorTest, ALeaderThatResignedRecentlyResignsAgainIfPeersReceiveHeartbeats) {
   resigns_when_isolated_ = false;
   begin(40, 0);
   run(Seconds(5));
@@ -251,7 +251,7 @@
 }
 
 // While the leader may not serve no heartbeats are accepted; afterwards they return one by one.
-TEST_F(FailureDetectorTest, TimeInWhichHeartbeatsAreNotAcceptedIsNoSilenceOfMachines) {
+TEST_F(FailureDetectorTest, TimeInWhichHeartbeatsAreNotAcceptedCountsAsSilenceOfNoMachine) {
   begin(20, 0);
   run(Seconds(5));
   serving_ = false;
@@ -270,7 +270,7 @@
 
 // Copies of heartbeats of the same epoch and of an earlier one. The next tests have copies of a
 // machine that was returned, by this leader and by an older one.
-TEST_F(FailureDetectorTest, DelayedCopiesOfHeartbeatsRenewNothingAndCarryNothing) {
+TEST_F(FailureDetectorTest, DelayedCopiesOfHeartbeatsChangeNoMachineAndGetNoCommands) {
   begin(3, 0);
   run(Seconds(2));
   controller_->job_opened(job("req-1", 12), now_);
@@ -292,7 +292,7 @@
   EXPECT_EQ(controller_->fleet().find(name(0))->epoch, 2U);
 }
 
-TEST_F(FailureDetectorTest, ACopyOfAHeartbeatNeverBringsAReturnedMachineBack) {
+TEST_F(FailureDetectorTest, ADelayedHeartbeatDoesNotAddAReturnedMachine) {
   begin(3, 0);
   run(Seconds(2));
   const auto copy = heartbeat_of(name(0));
@@ -308,7 +308,7 @@
 
 // The first heartbeat that a new leader gets may be the copy of one from a machine that an older
 // leader returned: its task has been started elsewhere, or has to be.
-TEST_F(FailureDetectorTest, ACopyThatIsTheFirstHeartbeatProvesWhatEndedAndNothingElse) {
+TEST_F(FailureDetectorTest, AFirstHeartbeatThatMayBeACopyProvesOnlyWhichTasksEnded) {
   begin(2, 2, 1);
   Heartbeat copy{"m900", "m900", "bench", "a", true, 1, 80, kToken - 1, {}, {}};
   copy.tasks.push_back({{"req-0", 0}, 5, TaskState::running, ExitCause::none, false});
@@ -323,22 +323,22 @@
 }
 
 // Heartbeats that PROTOCOL does not allow change no other machine and start nothing.
-TEST_F(FailureDetectorTest, AHeartbeatOfAnUnknownTypeOrOfAnEarlierEpochIsNoPlaceForTasks) {
+TEST_F(FailureDetectorTest, AHeartbeatOfAnUnknownTypeGetsNoTasksAndOneOfAnEarlierEpochIsIgnored) {
   begin(2, 0);
   run(Seconds(2));
-  Heartbeat odd{"m900", "m900", "none such", "nowhere", true, 1, 1, kToken, {}, {}};
-  odd.tasks.push_back({{"req-404", 7}, 3, TaskState::running, ExitCause::none, false});
-  controller_->heartbeat(odd, now_);
-  auto back = heartbeat_of(name(0));
-  back.epoch = 0;  // a restarted counter cannot be distinguished from a delayed copy
-  controller_->heartbeat(back, now_);
+  Heartbeat invalid{"m900", "m900", "none such", "nowhere", true, 1, 1, kToken, {}, {}};
+  invalid.tasks.push_back({{"req-404", 7}, 3, TaskState::running, ExitCause::none, false});
+  controller_->heartbeat(invalid, now_);
+  auto older_epoch = heartbeat_of(name(0));
+  older_epoch.epoch = 0;  // a restarted counter cannot be distinguished from a delayed copy
+  controller_->heartbeat(older_epoch, now_);
   controller_->job_opened(job("req-1", 8), now_);
   run(Seconds(4));
   EXPECT_EQ(starts_sent_["m900"], 0);
   EXPECT_EQ(running(), 8U);
 }
 
-TEST_F(FailureDetectorTest, ABootedMachineIsUsedOnceItAnswers) {
+TEST_F(FailureDetectorTest, ABootedMachineGetsTasksOnceItAnswers) {
   begin(2, 0);
   agents_["m900"].lease_renewed_at = now_;
   run(Seconds(1));
@@ -353,25 +353,25 @@
 // heartbeat, so such a machine counted as healthy for ever, and got new tasks after each lease.
 class OutboundPartition : public FailureDetectorTest {
  protected:
-  void outbound_partitioned(int first, int last, bool so = true) {
-    for (int i = first; i < last; ++i) agents_[name(i)].outbound_partitioned = so;
+  void set_outbound_partitioned(int first, int last, bool partitioned = true) {
+    for (int i = first; i < last; ++i) agents_[name(i)].outbound_partitioned = partitioned;
   }
-  int starts(int first, int last) {
+  int starts_sent_to(int first, int last) {
     int sum = 0;
     for (int i = first; i < last; ++i) sum += starts_sent_[name(i)];
     return sum;
   }
 };
 
-TEST_F(OutboundPartition, MachinesGetNothingThatTheirLeaseEndsAndAreReturnedWhenThatPays) {
-  fill_eight_machines();
-  outbound_partitioned(0, 2);
+TEST_F(OutboundPartition, MachinesGetNoTasksAndAreReturnedOnceTheirTasksCannotEndWithinTheLease) {
+  start_tasks_on_eight_machines();
+  set_outbound_partitioned(0, 2);
   run(Seconds(14));
   starts_sent_.clear();
   EXPECT_TRUE(returned_.empty()) << release_causes_;
   controller_->job_opened(job("req-2", 8), now_);
   run(times_.lease + Seconds(4));
-  EXPECT_EQ(starts(0, 2), 0) << "all that starts there ends with the lease";
+  EXPECT_EQ(starts_sent_to(0, 2), 0) << "all that starts there ends with the lease";
   EXPECT_EQ(returned_, (std::set<MachineId>{name(0), name(1)})) << release_causes_;
   EXPECT_NE(release_causes_.find("not reporting"), std::string::npos) << release_causes_;
   EXPECT_EQ(running(), 24U) << "the others go on";
@@ -379,10 +379,10 @@
 }
 
 TEST_F(OutboundPartition, MachinesAreUsedAgainWithTheirFirstHeartbeat) {
-  fill_eight_machines();
-  outbound_partitioned(0, 2);
+  start_tasks_on_eight_machines();
+  set_outbound_partitioned(0, 2);
   run(Seconds(20));
-  outbound_partitioned(0, 2, false);
+  set_outbound_partitioned(0, 2, false);
   run(Seconds(8));
   controller_->job_closed("req-1", now_);
   run(Seconds(4));
@@ -393,8 +393,8 @@
 }
 
 TEST_F(OutboundPartition, MachinesGetStopsForCancelledTasks) {
-  fill_eight_machines();
-  outbound_partitioned(0, 8);
+  start_tasks_on_eight_machines();
+  set_outbound_partitioned(0, 8);
   run(Seconds(18));
   controller_->job_closed("req-1", now_);
   run(Seconds(2));
@@ -402,59 +402,60 @@
 }
 
 // A partition of all agents: returning the fleet gains nothing, and no peer gets heartbeats either.
-TEST_F(OutboundPartition, ManyMachinesAtOnceAreWaitedForAndTheLeaderStays) {
+TEST_F(OutboundPartition, ManyMachinesAtOnceAreKeptAndTheLeaderDoesNotResign) {
   idle_wait_ = Seconds(15);  // the machines must not be returned as idle either
-  fill_eight_machines();
-  outbound_partitioned(0, 8);
+  start_tasks_on_eight_machines();
+  set_outbound_partitioned(0, 8);
   run(times_.lease + Seconds(25));
   EXPECT_TRUE(returned_.empty()) << release_causes_;
   EXPECT_FALSE(resigned_);
   EXPECT_EQ(running(), 0U) << "their leases have ended, and nothing was started anew";
-  outbound_partitioned(0, 8, false);
+  set_outbound_partitioned(0, 8, false);
   run(Seconds(8));
   EXPECT_EQ(running(), 32U);
   EXPECT_TRUE(returned_.empty()) << release_causes_;
 }
 
 // Idle machines whose leases cannot be renewed cost money.
-TEST_F(OutboundPartition, MachinesAreNotKeptForEver) {
-  fill_eight_machines();
-  outbound_partitioned(0, 4);
+TEST_F(OutboundPartition, MachinesOfAMassPartitionAreReturnedAfterTheLeaseAndABootTime) {
+  start_tasks_on_eight_machines();
+  set_outbound_partitioned(0, 4);
   run(times_.lease + Seconds(45));
   EXPECT_EQ(returned_.size(), 4U) << release_causes_;
 }
 
-TEST_F(OutboundPartition, MachinesThatSendHeartbeatsToPeersMakeTheLeaderResign) {
-  fill_eight_machines();
-  outbound_partitioned(0, 8);
-  const auto cut = now_;
-  while (!resigned_ && now_ - cut < to_duration(times_.lease)) {
+TEST_F(OutboundPartition, TheLeaderResignsIfItsMachinesSendHeartbeatsToPeers) {
+  start_tasks_on_eight_machines();
+  set_outbound_partitioned(0, 8);
+  const auto partitioned_at = now_;
+  while (!resigned_ && now_ - partitioned_at < to_duration(times_.lease)) {
     run(Seconds(1));
     if (controller_->possibly_isolated(now_)) controller_->note_peer_receives_heartbeats(now_);
   }
   ASSERT_TRUE(resigned_);
   EXPECT_EQ(resigned_->second, "its machines answer, and report to other controllers");
-  EXPECT_LT(resigned_->first - cut, to_duration(times_.lease * 0.6)) << "while leases can be saved";
+  EXPECT_LT(resigned_->first - partitioned_at, to_duration(times_.lease * 0.6))
+      << "while leases can be saved";
   EXPECT_TRUE(returned_.empty()) << release_causes_;
 }
 
 // A response to commands confirms the machine and renews no lease.
-TEST_F(OutboundPartition, MachinesPartitionedSinceBeforeAFailoverGetNoTasksEither) {
+TEST_F(OutboundPartition, MachinesPartitionedBeforeAFailoverGetNoTasks) {
   begin(8, 0);
-  outbound_partitioned(0, 2);
+  set_outbound_partitioned(0, 2);
   run(Seconds(14));
   ASSERT_FALSE(controller_->recovering());
   starts_sent_.clear();
   controller_->job_opened(job("req-1", 32), now_);
   run(Seconds(5));
-  EXPECT_EQ(starts(0, 2), 0);
+  EXPECT_EQ(starts_sent_to(0, 2), 0);
   EXPECT_EQ(running(), 24U);
 }
 
 // Jobs submitted with a mistake fail on every machine until their user cancels them.
 class FaultyJobs : public LeaderWithAgents {};
 
-TEST_F(FaultyJobs, AreRetriedOneTaskAtATimeAndCostNoHealthyMachine) {
+TEST_F(FaultyJobs, AreRetriedOneTaskAtATimeAndReturnNoHealthyMachine) {
   begin(8, 0);
   run(Seconds(2));
   faulty_jobs_.insert("req-1");
@@ -489,7 +490,7 @@
 // Found by seed 3917 of CorrelatedFaults (139.2 s beside free capacity): a service that had failed
 // on faulty machines stayed suspected for ever, since a replica never ends, so its other replicas
 // were never started. The same holds an array back for as long as its first task runs.
-TEST_F(FaultyJobs, ASuspectedJobWhoseTaskRunsOnGetsItsOtherTasks) {
+TEST_F(FaultyJobs, ASuspectedJobStartsItsOtherTasksWhileItsFirstTaskKeepsRunning) {
   for (const auto shape : {Shape::service, Shape::array}) {
     begin(8, 0);
     run(Seconds(2));
@@ -514,24 +515,24 @@
 // A machine that is returned and requested anew starts its boot from the beginning.
 class LateBoots : public FailureDetectorTest {
  protected:
-  void rent(const MachineId& id, Seconds ago) {
+  void add_booting_machine(const MachineId& id, Seconds ago) {
     controller_->cloud_listed({{id, "", "bench", "a", true, false, ago}}, now_);
   }
 };
 
-TEST_F(LateBoots, AMachineThatYoungerOnesOvertakeIsReturned) {
+TEST_F(LateBoots, ASingleLateMachineIsReturned) {
   begin(2, 0);
-  rent("b1", Seconds(0));
+  add_booting_machine("b1", Seconds(0));
   run(Seconds(70));
   EXPECT_TRUE(returned_.contains("b1")) << "boots take 30 s";
 }
 
-TEST_F(LateBoots, MachinesThatAreLateTogetherAreWaitedFor) {
+TEST_F(LateBoots, MachinesThatAreLateTogetherAreReturnedOnlyOnceALaterOneIsUp) {
   begin(2, 0);
-  for (const auto* id : {"b1", "b2", "b3", "b4"}) rent(id, Seconds(0));
+  for (const auto* id : {"b1", "b2", "b3", "b4"}) add_booting_machine(id, Seconds(0));
   run(Seconds(100));
   EXPECT_TRUE(returned_.empty()) << release_causes_;
-  rent("b5", Seconds(5));
+  add_booting_machine("b5", Seconds(5));
   agents_["b5"].lease_renewed_at = now_;
   run(Seconds(4));
   EXPECT_EQ(returned_.size(), 4U) << "a younger one is up: " << release_causes_;
--- a/tests/core/scale_test.cpp
+++ b/tests/core/scale_test.cpp
@@ -71,10 +71,10 @@
   };
 
   static core::ControllerSettings settings() {
-    core::ControllerSettings out;
-    out.teams = {{"blue", 0, 0, 0, 0}};
-    out.cloud_calls_per_s = 3;
-    return out;
+    core::ControllerSettings settings;
+    settings.teams = {{"blue", 0, 0, 0, 0}};
+    settings.cloud_calls_per_s = 3;
+    return settings;
   }
 
   void submit() {
@@ -196,24 +196,24 @@
 // Found when the deployments grew: one key for each machine and one progress change a second for
 // every running array kept machines unregistered for minutes; inspecting the whole fleet for every
 // waiting task used up the processor.
-TEST(Scale, WritesAndWorkPerEventDoNotGrowWithTheFleet) {
-  const auto few = FleetRun(100).run();
-  const auto many = FleetRun(600).run();
-  ASSERT_GT(few.done, 50U);
-  EXPECT_GT(many.done, few.done * 5);
+TEST(Scale, WritesAndInspectionsPerEventDoNotGrowWithTheFleet) {
+  const auto small_fleet = FleetRun(100).run();
+  const auto large_fleet = FleetRun(600).run();
+  ASSERT_GT(small_fleet.done, 50U);
+  EXPECT_GT(large_fleet.done, small_fleet.done * 5);
   // All machines are registered soon after the wave (5 s of boots), however many they are.
-  ASSERT_TRUE(few.all_registered && many.all_registered);
-  EXPECT_LT(*many.all_registered, Seconds(10));
+  ASSERT_TRUE(small_fleet.all_registered && large_fleet.all_registered);
+  EXPECT_LT(*large_fleet.all_registered, Seconds(10));
   // Pages: six times the machines and arrays take far fewer than six times the changes, beyond the
   // two that each finished job needs.
-  const auto paged = [](const Outcome& o) { return o.changes - 2 * o.done; };
-  EXPECT_LT(paged(many), paged(few) * 4);
-  EXPECT_LT(paged(many), 90U * 15) << "a second's share of the budget";
-  const auto per_event = [](const Outcome& o) {
+  const auto page_writes = [](const Outcome& o) { return o.changes - 2 * o.done; };
+  EXPECT_LT(page_writes(large_fleet), page_writes(small_fleet) * 4);
+  EXPECT_LT(page_writes(large_fleet), 90U * 15) << "a second's share of the budget";
+  const auto inspections_per_event = [](const Outcome& o) {
     return static_cast<double>(o.inspections) / static_cast<double>(o.events);
   };
-  EXPECT_LT(per_event(many), per_event(few) * 2.5);
-  EXPECT_LT(per_event(many), 60);
+  EXPECT_LT(inspections_per_event(large_fleet), inspections_per_event(small_fleet) * 2.5);
+  EXPECT_LT(inspections_per_event(large_fleet), 60);
 }
 
 }  // namespace
--- a/tests/simulation/diagnosis.cpp
+++ b/tests/simulation/diagnosis.cpp
@@ -98,7 +98,7 @@
        << "' paused " << -seconds_since(job.backoff_until) << (job.suspected ? ", suspected" : "")
        << ", team uses " << controller.fleet().team_use(job.spec().team).cpus << ", ended attempts "
        << controller.ended_attempts().use_of(job.spec().team).cpus << ", "
-       << controller.ended_attempts().settling().size() << " machines settled";
+       << controller.ended_attempts().retiring().size() << " machines settled";
 }
 
 void Diagnosis::describe_waiting_jobs(std::ostream& text, const std::string& team) const {
@@ -126,7 +126,7 @@
 void Diagnosis::describe_counted_task(std::ostream& text, const Machine& machine,
                                       const TaskKey& key, const Assignment& assignment) const {
   text << "\n  counted, and not live: " << key.job << "/" << key.index << " on " << machine.id
-       << (assignment.seen ? ", seen" : "") << (assignment.stop ? ", stopped" : "")
+       << (assignment.reported ? ", seen" : "") << (assignment.stop ? ", stopped" : "")
        << (assignment.orphaned ? ", orphaned" : "") << ", placed "
        << seconds_since(assignment.placed) << " s ago"
        << (machine.releasing ? ", returned: " + machine.release_cause : "")
--- a/tests/simulation/leaders.cpp
+++ b/tests/simulation/leaders.cpp
@@ -50,7 +50,7 @@
                             current_->leadership.former_leases_end(now), read_recovered_state()};
   current_->controller = make_controller(event, now);
   if (observer_.event) observer_.event(current_->token, now, event);
-  feed(*current_, CatalogKnown{machine_types()});
+  feed(*current_, CatalogReceived{machine_types()});
   announce_former_leaders_gone();
 }
 
