--- a/src/core/autoscaling/consolidation.cpp
+++ b/src/core/autoscaling/consolidation.cpp
@@ -9,12 +9,11 @@
 
 namespace {
 
-/// Boot time of a machine whose type is not in the catalog.
-constexpr Seconds kDefaultBootTime{60};
+constexpr Seconds kDefaultBootTime{60};  // of a machine type that is not in the catalog
 
-/// Whether the machine runs replicas or tasks of gangs. Other work fills what replicas leave free;
-/// moving one costs replica time, and moving one task of a gang stops them all (docs/design.md,
-/// "Services", "Gangs").
+/// Whether the machine runs replicas or tasks of gangs, which are not moved for consolidation. The
+/// capacity that replicas leave free is used by other tasks, and moving a replica interrupts the
+/// service; moving one task of a gang stops all of its tasks (docs/design.md, "Services", "Gangs").
 bool has_unmovable_shape(const Machine& machine) {
   return std::any_of(machine.tasks.begin(), machine.tasks.end(),
                      [](const auto& entry) { return entry.second.shape != Shape::array; });
@@ -38,16 +37,16 @@
   check_utilization(machine, now);
 }
 
-// A machine behind an outbound partition is idle because nothing is started there: how long it is
-// waited for is the failure detector's to decide. A machine that tasks are bound to waits until it
-// is ready: drained, it took no task, and the bound tasks waited for ever (seed 2647 of Hunted).
+// A machine in an outbound partition is idle only because no task is started there; the failure
+// detector decides when it is returned. A machine that tasks are bound to must not be drained: it
+// would take none of these tasks, and they would wait for ever.
 bool Consolidation::is_exempt(const Machine& machine) const {
   return !machine.reserved_for.empty() || machine.outbound_partition_since ||
          bindings_.holds(machine.id);
 }
 
-// A start that was never answered, of a job that has ended: nothing but the machine's return
-// proves that it will not be executed yet.
+// A start that was never answered, of a job that has ended, does not count as use: only the return
+// of the machine proves that the start will not be executed after all.
 bool Consolidation::is_idle(const Machine& machine, TimePoint now) const {
   const auto lease = to_duration(settings_.workers.lease);
   return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
@@ -59,7 +58,7 @@
 void Consolidation::check_idle(Machine& machine, TimePoint now) {
   const auto& tuning = settings_.tuning;
   if (!machine.idle_since) fleet_.set(machine, &Machine::idle_since, {now});
-  // For work that may use no others, on-demand machines are not expensive.
+  // On-demand machines do not count as expensive while some job may not use spot machines.
   const bool expensive = !scarcity_.has_on_demand_only_jobs() &&
                          catalog_.types().contains(machine.type) &&
                          catalog_.expensive(machine.type, machine.spot);
--- a/src/core/autoscaling/consolidation.hpp
+++ b/src/core/autoscaling/consolidation.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Returns idle machines and drains underused ones whole (paper 3.4, DESIGN). Owns nothing: the
-/// times are kept in the machines.
+/// Returns idle machines to the cloud and drains underused ones (paper 3.4, DESIGN). Decides when a
+/// machine counts as idle or underused for long enough. Owns no state: the times are kept in the
+/// machines.
 #pragma once
 
 #include "core/autoscaling/scarcity.hpp"
@@ -9,7 +10,7 @@
 
 namespace violetpulley::core {
 
-/// Scales in: idle machines are returned, tasks of underused machines restart elsewhere.
+/// Scales in: returns idle machines and restarts the tasks of underused machines elsewhere.
 class Consolidation {
  public:
   Consolidation(const ControllerSettings& settings, const Catalog& catalog, Fleet& fleet,
@@ -24,14 +25,15 @@
         scarcity_(scarcity),
         watch_(watch) {}
 
-  /// Examines all machines.
+  /// Checks the use of all machines.
   void consolidate(TimePoint now);
 
  private:
   void consolidate(Machine& machine, TimePoint now);
-  /// Whether the machine's use has to be ignored, since its tasks wait for it or cannot start.
+  /// Whether the machine is neither returned nor drained however little it is used, because it is
+  /// reserved or bound, or because tasks cannot start there now.
   bool is_exempt(const Machine& machine) const;
-  /// Whether nothing can run on the machine but starts that were never answered.
+  /// Whether the machine has no tasks but unanswered starts of jobs that have ended.
   bool is_idle(const Machine& machine, TimePoint now) const;
   void check_idle(Machine& machine, TimePoint now);
   void check_utilization(Machine& machine, TimePoint now);
--- a/src/core/autoscaling/consolidation_rules.hpp
+++ b/src/core/autoscaling/consolidation_rules.hpp
@@ -1,12 +1,13 @@
 /// @file
-/// When an underused machine is drained and its tasks restarted (paper 3.4, heuristic 2; DESIGN).
+/// Conditions under which an underused machine is drained and its tasks are restarted elsewhere
+/// (paper 3.4, heuristic 2; DESIGN). Owns no state.
 #pragma once
 
 #include "core/machines/fleet.hpp"
 
 namespace violetpulley::core {
 
-/// Whether less than this share of the machine's capacity is used, in each dimension.
+/// Whether the used share of the machine's capacity is below `max_share` for every resource.
 inline bool underused(const Machine& machine, double max_share) {
   const auto share = [](double used, double capacity) {
     return capacity > 0 ? used / capacity : 0;
@@ -16,8 +17,9 @@
          share(machine.used.memory_gb, machine.capacity.memory_gb) < max_share;
 }
 
-/// Tasks restart elsewhere only if the longest remaining estimate exceeds the run time they lose
-/// plus the time to boot a machine and fetch the image. All of a machine's tasks move, or none.
+/// Whether a restart of the machine's tasks elsewhere pays off: the longest remaining run time
+/// exceeds the largest cost of a stop plus the time to boot a machine and fetch the image. Either
+/// all tasks of a machine are restarted or none.
 inline bool worth_restarting(const Machine& machine, TimePoint now, Seconds boot, Seconds fetch) {
   Seconds max_remaining{0};
   Seconds max_lost{0};
--- a/src/core/autoscaling/instance_offerings.cpp
+++ b/src/core/autoscaling/instance_offerings.cpp
@@ -26,7 +26,8 @@
         const double price = spot ? type.spot_price : type.price;
         if (price > 0) offerings.push_back({&type, zone, spot, price});
       }
-  // Of offerings that score alike the first one is chosen: zones take turns.
+  // The first one of several offerings with equal scores is chosen, so this order makes zones
+  // alternate.
   std::stable_sort(offerings.begin(), offerings.end(),
                    [&](const InstanceOffering& a, const InstanceOffering& b) {
                      return last_requested(key_of(a)) < last_requested(key_of(b));
--- a/src/core/autoscaling/scale_out_groups.hpp
+++ b/src/core/autoscaling/scale_out_groups.hpp
@@ -1,20 +1,21 @@
 /// @file
-/// What machines are requested for: values handed between the parts that plan a scale-out.
+/// The purpose of requested machines, as values that the parts which plan a scale-out exchange.
+/// Owns no state.
 #pragma once
 
 #include "core/model/catalog.hpp"
 
 namespace violetpulley::core {
 
-/// Where fewer machines come than were requested, groups of the first rank get them.
+/// Order in which groups get machines if the cloud grants fewer machines than were requested.
 enum class ScaleOutRank { service, gang, array };
 
-/// What one requested machine is for: the tasks bound to it, or slots for a gang.
+/// The purpose of one requested machine: the tasks that are bound to it, or slots for a gang.
 struct ScaleOutGroup {
   std::vector<TaskKey> tasks;
   /// Empty unless the machine is for a gang.
   JobId gang;
-  /// How many tasks of the gang fit the machine.
+  /// Number of the gang's tasks that fit the machine.
   TaskIndex slots = 0;
   ScaleOutRank rank = ScaleOutRank::array;
 
@@ -24,7 +25,7 @@
   }
 };
 
-/// The machines to request, one group for each, by instance offering.
+/// The machines to request by instance offering, with one group for each machine.
 using ScaleOutPlan = std::map<OfferingKey, std::vector<ScaleOutGroup>>;
 
 }  // namespace violetpulley::core
--- a/src/core/autoscaling/scale_out_planner.cpp
+++ b/src/core/autoscaling/scale_out_planner.cpp
@@ -10,15 +10,14 @@
 
 constexpr std::size_t kMaxMachinesPerRequest = 50;  // PROTOCOL, POST /rentals
 
-/// How long an offering is not requested after an answer that tells nothing about its capacity, or
-/// after none.
+/// Cooldown of an offering after an answer that says nothing about its capacity, or after none.
 constexpr Seconds kUnclearAnswerCooldown{3};
 
 bool has_longer_estimate(const ScalerJob& a, const ScalerJob& b) { return a.estimate > b.estimate; }
 
 bool ranks_before(const ScaleOutGroup& a, const ScaleOutGroup& b) { return a.rank < b.rank; }
 
-/// Whether the request has brought a machine for the group at this index.
+/// Whether the cloud has granted a machine for the group at this index.
 bool is_granted(const ScaleOutResult& answer, std::size_t group) {
   return answer.kind == ScaleOutResult::Kind::granted && group < answer.machines.size();
 }
@@ -37,7 +36,7 @@
 
 std::vector<ScalerJob> ScaleOutPlanner::unplaced_tasks(const std::vector<Candidate>& queue) const {
   std::vector<ScalerJob> unplaced;
-  // No machines are requested for tasks that their team's quota would not let start.
+  // No machines are requested for tasks that cannot start because of their team's quota.
   std::map<std::string, Resources> quota_left_by_team;
   for (const auto& candidate : queue) {
     const auto& job = *candidate.job;
@@ -96,8 +95,9 @@
 bool ScaleOutPlanner::may_use_offering(const JobSpec& spec, const InstanceOffering& offering,
                                        TimePoint now) const {
   const auto& job = jobs_.at(spec.id);
-  // Exception to the design: an expensive offering is requested only for work that has waited,
-  // since capacity on a cheap machine may come first (docs/design.md, "Expensive machines last").
+  // Exception to the design: for a job that may use spot machines, an expensive offering is
+  // requested only after `on_demand_patience`, since capacity on a cheap machine may become
+  // available earlier (docs/design.md, "Expensive machines last").
   const bool waited =
       !spec.spot_allowed || forecaster_.age(job, now) > settings_.tuning.on_demand_patience;
   return (waited || !catalog_.expensive(offering.type->name, offering.spot)) &&
@@ -132,8 +132,8 @@
   return group;
 }
 
-// Requests are few a second: the offering that was requested longest ago comes first, so that no
-// offering waits for ever behind another one that fills one request after the other.
+// The rate limit permits few requests per second. The least recently requested offering is first,
+// so that an offering that fills every request does not keep the others waiting for ever.
 void ScaleOutPlanner::send_plan(ScaleOutPlan& plan, TimePoint now) {
   std::vector<OfferingKey> order;
   for (const auto& [offering, groups] : plan) order.push_back(offering);
@@ -143,7 +143,7 @@
   for (const auto& offering : order) {
     auto& groups = plan.at(offering);
     if (!rate_.take(now)) break;
-    // Where fewer machines come than were requested, the first groups get them.
+    // If the cloud grants fewer machines than were requested, the first groups get them.
     std::stable_sort(groups.begin(), groups.end(), ranks_before);
     if (groups.size() > kMaxMachinesPerRequest) groups.resize(kMaxMachinesPerRequest);
     send(offering, std::move(groups), now);
@@ -166,7 +166,7 @@
   requests_in_flight_.emplace(pending.request.name, std::move(pending));
 }
 
-// The fencing token and a counter make the name: no other request ever has it.
+// The name consists of the fencing token and a counter, so it is unique over all leaders.
 std::string ScaleOutPlanner::next_request_name() {
   return "r-" + std::to_string(token_) + "-" + std::to_string(next_request_++);
 }
@@ -193,8 +193,8 @@
   out_.request_scheduling_round();
 }
 
-// A refused offering has a cooldown and others are tried. With no answer, machines that were
-// granted after all will appear in the cloud's list.
+// A cooldown excludes a refused offering, so that others are tried. If a request was not answered,
+// machines that were granted nevertheless will appear in the cloud's list.
 void ScaleOutPlanner::update_cooldown(const PendingScaleOut& pending, const ScaleOutResult& answer,
                                       TimePoint now) {
   const auto& request = pending.request;
--- a/src/core/autoscaling/scale_out_planner.hpp
+++ b/src/core/autoscaling/scale_out_planner.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Requests machines: types chosen jointly with groups of unplaced tasks (paper 3.3, DESIGN), and
-/// the groups bound to the machines that come. Owns the requests in flight and their rate limit.
+/// Requests machines from the cloud. Chooses machine types jointly with groups of unplaced tasks
+/// (paper 3.3, DESIGN) and binds each group to the machine that is granted for it. Owns the
+/// requests in flight and their rate limit.
 #pragma once
 
 #include "core/autoscaling/scarcity.hpp"
@@ -13,7 +14,7 @@
 /// The cloud's answer to a request for machines.
 struct ScaleOutResult {
   enum class Kind { granted, no_capacity, refused, unknown } kind = Kind::unknown;
-  /// At most as many as were requested; empty unless granted.
+  /// At most the requested number; empty unless granted.
   std::vector<MachineId> machines;
 
   template <class S, class F>
@@ -46,10 +47,10 @@
         rate_(settings.cloud_calls_per_s * kScaleOutCallShare,
               std::max(1.0, settings.cloud_calls_per_s * kScaleOutCallShare)) {}
 
-  /// Requests machines for what the scheduling round has not placed, if the last time is long
-  /// enough ago.
+  /// Requests machines for the tasks that the scheduling round has not placed. Does nothing until
+  /// the round interval has passed since the last requests.
   void round(const std::vector<Candidate>& queue, TimePoint now);
-  /// The request with this name was answered. Unknown names are ignored.
+  /// Handles the answer to the request with this name. Unknown names are ignored.
   void answered(const std::string& name, const ScaleOutResult& answer, TimePoint now);
 
   template <class S, class F>
@@ -58,7 +59,7 @@
   }
 
  private:
-  /// A request that is not answered yet, with a group for each of its machines.
+  /// A request in flight, with one group for each requested machine.
   struct PendingScaleOut {
     ScaleOut request;
     std::vector<ScaleOutGroup> groups;
@@ -70,14 +71,15 @@
     }
   };
 
-  /// The tasks that were not placed and are not bound yet, in the order of the queue.
+  /// The tasks that are neither placed nor bound to a machine, in the order of the queue.
   std::vector<ScalerJob> unplaced_tasks(const std::vector<Candidate>& queue) const;
-  /// The job's unplaced tasks, as many as the team's quota allows; `quota_left` is reduced.
+  /// The job's unplaced tasks, as many as the team's quota allows. Subtracts the resources of the
+  /// job's waiting tasks, bound ones included, from `quota_left`.
   std::vector<TaskIndex> unplaced_tasks_of(const Job& job, Resources& quota_left) const;
-  /// How many more of the job's tasks each zone may take.
+  /// Number of further tasks of the job that each zone may take.
   std::map<std::string, TaskIndex> zone_capacity(const Job& job) const;
-  /// Where the job's tasks are or will be: also those that wait for machines which boot or are
-  /// being requested.
+  /// Number of the job's tasks by zone, including tasks that are bound to machines which are
+  /// booting or requested.
   ZoneUse zone_claims(const Job& job) const;
   bool may_use_offering(const JobSpec& spec, const InstanceOffering& offering, TimePoint now) const;
   ScaleOutPlan plan_for_tasks(std::vector<ScalerJob> unplaced_tasks, TimePoint now) const;
--- a/src/core/autoscaling/scaler.cpp
+++ b/src/core/autoscaling/scaler.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Prices per CPU that differ by less than this factor count as the same.
+/// Prices per CPU that differ by less than this factor count as equal.
 constexpr double kAsCheapFactor = 1.05;
-/// Scores that differ by less than this part are the same: a rounding error decides nothing.
+/// Relative difference below which scores count as equal, so that rounding errors decide nothing.
 constexpr double kScoreTolerance = 1e-9;
-/// In place of the CPUs of a machine type that has none.
+/// Divisor in place of the CPUs of a machine type that has none.
 constexpr double kMinCpus = 1e-9;
 
 }  // namespace
@@ -82,8 +82,8 @@
   return best;
 }
 
-// The groups for an offering grow by the next longest task that fits and may run there; a task that
-// may not run there is left for another offering.
+// A group for an offering grows by the next longest task that may run there, until a task does not
+// fit. Tasks that may not run there are left for other offerings.
 void Scaler::consider(std::size_t index, std::optional<ScaleOutChoice>& best) const {
   const auto& offering = offerings_[index];
   std::vector<GroupPart> group;
--- a/src/core/autoscaling/scaler.hpp
+++ b/src/core/autoscaling/scaler.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// Chooses machine types jointly with task groups (paper 3.3): the groups are the first i longest
-/// unplaced tasks, the score is the normalized used constraining resource over the price. Tasks of
-/// one job are alike, so they are counted and not listed: the cost grows with the jobs, not with
-/// the tasks.
+/// Chooses machine types jointly with task groups (paper 3.3). A group consists of the i longest
+/// unplaced tasks; its score is the normalized use of the constraining resource divided by the
+/// price. The tasks of one job are equal, so groups hold only their number, and the cost of a
+/// choice grows with the number of jobs rather than tasks. Owns the unplaced tasks and the
+/// offerings while a scale-out is planned.
 #pragma once
 
 #include <functional>
@@ -12,12 +13,12 @@
 
 namespace violetpulley::core {
 
-/// The waiting tasks of one job that no machine has capacity for.
+/// The waiting tasks of one job for which no machine has capacity.
 struct ScalerJob {
   const JobSpec* spec = nullptr;
   Seconds estimate{0};
   std::vector<TaskIndex> tasks;
-  /// How many more tasks a zone may take; empty: any number.
+  /// Number of further tasks that each zone may take; empty: unlimited.
   std::map<std::string, TaskIndex> zone_capacity{};
 };
 
@@ -36,7 +37,7 @@
   std::size_t tasks = 0;
 };
 
-/// An offering and the group of tasks that one machine of it is for.
+/// An offering and the group of tasks that one of its machines would take.
 struct ScaleOutChoice {
   /// Index into the offerings.
   std::size_t offering = 0;
@@ -44,40 +45,40 @@
   double score = 0;
 };
 
-/// Whether a task may run on a machine of this type in this zone, spot or on demand.
+/// Whether the job's tasks may run on a machine of this type in this zone, spot or on demand.
 bool allowed_on(const JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
 
-/// Score of a group on a machine type: its use of the constraining resource, in the smallest
-/// machine's capacity, over the price. 0 if there is no such resource or no price.
+/// Score of a group on a machine type: the use of the constraining resource, in units of the
+/// smallest capacity of any type, divided by the price. 0 if there is no such resource or no price.
 double offering_score(const Resources& used, const MachineType& type, double price,
                       const Resources& smallest);
 
-/// Whether an offering may be requested for a job, beyond what `allowed_on` demands.
+/// Whether an offering may be requested for a job; checked in addition to `allowed_on`.
 using OfferingFilter = std::function<bool(const JobSpec&, const InstanceOffering&)>;
 
-/// Pairs groups of unplaced tasks with offerings, best pair first.
+/// Selects pairs of a task group and an offering, the best pair first.
 class Scaler {
  public:
-  /// How many tasks of a job may go to a zone.
+  /// Number of the job's unplaced tasks that the zone may take.
   static std::size_t max_tasks_in(const ScalerJob& job, const std::string& zone);
 
-  /// `unplaced_tasks` are sorted by falling estimate.
+  /// `unplaced_tasks` must be sorted by descending estimate.
   Scaler(
       std::vector<ScalerJob> unplaced_tasks, std::vector<InstanceOffering> offerings,
       const OfferingFilter& may_use_offering = [](const JobSpec&, const InstanceOffering&) {
         return true;
       });
 
-  /// The best pair of group and offering, or none.
+  /// The best pair of group and offering; nullopt if no offering takes any task.
   std::optional<ScaleOutChoice> choose() const;
-  /// Takes the tasks of one such group off the unplaced tasks.
+  /// Removes the tasks of one such group from the unplaced tasks and returns them.
   std::vector<TaskKey> take(const ScaleOutChoice& choice);
-  /// Whether the same choice could be made once more: then it is still the best one.
+  /// Whether enough tasks are left to make the same choice again. If so, it is still the best one.
   bool can_repeat(const ScaleOutChoice& choice) const;
 
-  /// No more of this offering in this round. What would have used it waits for the next round,
-  /// unless an offering as cheap remains: tasks must not go to a more expensive one only because
-  /// one request is full.
+  /// Excludes the offering for the rest of the round, because its request is full. The tasks that
+  /// may use it then use only other offerings that are as cheap, or wait for the next round, so
+  /// that no task gets a more expensive machine only because one request is full.
   void exhaust(const ScaleOutChoice& choice);
 
   const InstanceOffering& offering_of(const ScaleOutChoice& choice) const {
@@ -85,13 +86,13 @@
   }
 
  private:
-  /// Grows the groups for the offering at this index and keeps the best of them, if it beats
-  /// `best`.
+  /// Scores the groups for the offering at this index and replaces `best` if one of them scores
+  /// higher.
   void consider(std::size_t index, std::optional<ScaleOutChoice>& best) const;
   void update_smallest_capacity(const Resources& capacity);
   double price_per_cpu(std::size_t offering) const;
 
-  /// Above any machine's capacity, in each dimension.
+  /// Initial value for the search for the smallest capacity; above the capacity of any machine.
   static constexpr double kNoCapacity = 1e18;
 
   std::vector<ScalerJob> unplaced_tasks_;
--- a/src/core/autoscaling/scarcity.cpp
+++ b/src/core/autoscaling/scarcity.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// How long a type stays exclusive after the last job that needed it.
+/// Time for which a type stays exclusive after the last job that needed it.
 constexpr std::chrono::minutes kExclusiveDemandRetention{5};
-/// Free slots are scarce if more tasks than this wait for each.
+/// Free slots count as scarce if more waiting tasks than this compete for each slot.
 constexpr std::size_t kMaxTasksPerSlot = 8;
 
 bool lists_type(const JobSpec& spec, const std::string& type) {
--- a/src/core/autoscaling/scarcity.hpp
+++ b/src/core/autoscaling/scarcity.hpp
@@ -1,8 +1,7 @@
 /// @file
-/// Which machine types, and which of spot and on-demand machines, are short for whom
-/// (docs/design.md, "Scarce types", "On-demand machines", "Scarce places"): exceptions to the
-/// design, decided here once a round for packing, scaling out and consolidation. Owns what the last
-/// rounds have found.
+/// Determines once a round which machine types, on-demand machines and free slots are scarce, for
+/// packing, scaling out and consolidation. These are exceptions to the design (docs/design.md,
+/// "Scarce types", "On-demand machines", "Scarce places"). Owns the results of the last rounds.
 #pragma once
 
 #include "core/jobs/jobs.hpp"
@@ -10,22 +9,23 @@
 
 namespace violetpulley::core {
 
-/// Finds and remembers what is scarce.
+/// Determines and stores which resources are scarce.
 class Scarcity {
  public:
   Scarcity(const Catalog& catalog, const Jobs& jobs) : catalog_(catalog), jobs_(jobs) {}
 
-  /// Finds the exclusive types: those that some job's tasks cannot do without. Exception to the
-  /// design: they are left to those tasks by tasks that fit another type.
+  /// Updates the exclusive types: machine types that some open job needs because its tasks do not
+  /// fit every type. Exception to the design: tasks that fit another type do not use these types.
   void update_exclusive_types(TimePoint now);
-  /// Whether the job's tasks have to leave the type to others.
+  /// Whether the type is exclusive and the job's tasks can use a type that is not.
   bool reserved_for_others(const JobSpec& spec, const std::string& type) const;
   std::vector<std::string> types_reserved_for_others(const JobSpec& spec) const;
 
-  /// Finds whether there are gangs and jobs that may use no spot machines.
+  /// Updates whether there are gangs, and jobs that may not use spot machines.
   void update_job_kinds();
   void set_exclusive_demand_waiting(bool waiting) { exclusive_demand_waiting_ = waiting; }
-  /// `waiting` tasks compete for `slots`, the tasks of the smallest size that fit now.
+  /// Updates whether free slots are scarce. `waiting`: number of waiting tasks. `slots`: number of
+  /// tasks of the smallest size that fit the free capacity.
   void update_slot_scarcity(std::size_t waiting, std::size_t slots);
 
   /// Whether some waiting task does not fit every type.
@@ -33,7 +33,7 @@
   /// Whether some job may not use spot machines.
   bool has_on_demand_only_jobs() const { return has_on_demand_only_jobs_; }
   bool has_gangs() const { return has_gangs_; }
-  /// Whether many tasks wait for each free slot.
+  /// Whether many waiting tasks compete for each free slot.
   bool slots_scarce() const { return slots_scarce_; }
 
   template <class S, class F>
@@ -43,12 +43,12 @@
   }
 
  private:
-  /// Adds the types that the job's tasks fit, unless they fit all types or none.
+  /// Adds the types that the job's tasks fit as exclusive, unless they fit all types or none.
   void add_exclusive_types(const JobSpec& spec, TimePoint now);
 
   const Catalog& catalog_;
   const Jobs& jobs_;
-  /// When some open job last needed the type and could not use every other.
+  /// Exclusive types, with the last time at which an open job needed the type.
   std::map<std::string, TimePoint> exclusive_types_;
   bool exclusive_demand_waiting_ = false;
   bool has_on_demand_only_jobs_ = false;
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -83,22 +83,22 @@
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return;
   const auto end_assignment = [&](Machine& machine, const TaskKey& key, Assignment& assignment) {
-    // A start that was not committed was never sent and never will be.
+    // A start whose placement is not committed was not sent, and will not be sent.
     if (!commands_.committed(key, assignment)) return assignments_.drop(machine, key, now);
     fleet_.before_change(machine);
     assignment.orphaned = true;
     commands_.stop(machine, assignment, now);
   };
   each_on_machines(fleet_, found->second, end_assignment);
-  // A job that has not asked for its end was cancelled. If its end was refused, that is known when
-  // the request is answered.
+  // A job whose finish was not requested was cancelled. If the finish was requested but refused
+  // because of a cancellation, `finish_answered` handles that.
   if (!found->second.complete() || !found->second.finishing) ended_attempts_.cancel_job(id, now);
   gang_scheduler_.job_closed(id);
   jobs_.close(id);
 }
 
 void Controller::finish_answered(const JobId& job, TimePoint retry, TimePoint now) {
-  // The job has ended, and not by this request: it may have been cancelled.
+  // The job is closed although this request has failed, so it may have been cancelled.
   if (jobs_.find(job) == jobs_.end()) ended_attempts_.cancel_job(job, now);
   jobs_.finish_answered(job, retry);
 }
@@ -131,7 +131,8 @@
     watch_.request_release(*fleet_.find(id), "with a delayed start", now);
 }
 
-// The cloud's answer proves that the machine and all its tasks are gone.
+// Removes a machine after the cloud has confirmed its return, which proves that all its tasks have
+// ended.
 void Controller::forget_returned_machine(Machine& machine, TimePoint now) {
   const MachineId id = machine.id;
   assignments_.lose_all(machine, now);
@@ -152,8 +153,8 @@
   }
 }
 
-// This leader knows of no request for the machine: the request was late, or a former leader's. The
-// machine is used or returned.
+// Adds a machine that this leader has not requested, or whose request is not answered yet: the
+// request was delayed, or sent by a former leader. The machine is used like any other, or returned.
 Machine& Controller::add_unexpected_machine(const ListedMachine& listed, TimePoint now) {
   auto& machine = fleet_.add(listed.id);
   machine.type = listed.type;
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The leader's decisions: events and the time go in, actions come out. The controller does no
-/// input or output, reads no clock, and is made anew at every election. This class only hands
-/// events to its parts, each of which owns its state and says in its header what it decides.
+/// The decisions of the leader: takes events with their time and returns actions. The controller
+/// performs no input or output, reads no clock, and is created anew at every election. It passes
+/// events to its parts; each part owns its state, and its header says what it decides.
 #pragma once
 
 #include "core/autoscaling/consolidation.hpp"
@@ -14,21 +14,22 @@
 
 namespace violetpulley::core {
 
-/// Tasks of a job by what has become of them.
+/// Numbers of a job's tasks by state.
 struct JobCounts {
   TaskIndex done = 0;
   TaskIndex running = 0;
 };
 
-/// The scheduler core of a leader. Equal events at equal times lead to equal actions.
+/// The scheduler core of a leader. It is deterministic: equal events at equal times lead to equal
+/// actions.
 class Controller {
  public:
-  /// Recovers the jobs, machines and hints that the former leaders have left. `token`: this
-  /// leader's fencing token. `former_leases_end`: when the agents' leases that former leaders may
-  /// have renewed have run out.
+  /// Recovers the jobs, machines and learned state that former leaders have stored. `token`: this
+  /// leader's fencing token. `former_leases_end`: when the last agent lease that a former leader
+  /// may have renewed has run out.
   Controller(ControllerSettings settings, FencingToken token, TimePoint now,
              TimePoint former_leases_end, const RecoveredState& recovered);
-  // The parts refer to each other.
+  // Not copyable, since the parts hold references to each other.
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
@@ -37,61 +38,64 @@
 
   /// Adds a job. The job must have been read while leadership was proven.
   void job_opened(const JobRecord& record, TimePoint now) { jobs_.open(record, now); }
-  /// The job has ended or was cancelled: stops its tasks and forgets it. Unknown jobs are ignored.
+  /// Stops the tasks of a job that has ended or was cancelled, and removes the job. Unknown jobs
+  /// are ignored.
   void job_closed(const JobId& id, TimePoint now);
 
   /// Handles an agent's periodic heartbeat.
   void heartbeat(const Heartbeat& heartbeat, TimePoint now) {
     heartbeats_.heartbeat(heartbeat, now);
   }
-  /// The stops and acknowledgements that travel in the answer to a heartbeat.
+  /// The stops and acknowledgements that are sent in the answer to a heartbeat.
   std::vector<Command> response_commands(const Heartbeat& heartbeat) const {
     return commands_.response_commands(heartbeat.machine, heartbeat.number());
   }
-  /// Handles the outcome of a command batch. `heartbeat`: the agent's response; null if none came.
+  /// Handles the outcome of a command batch. `heartbeat`: the agent's response; null if none
+  /// arrived.
   void commands_answered(const MachineId& machine, const Heartbeat* heartbeat, TimePoint now) {
     heartbeats_.commands_answered(machine, heartbeat, now);
   }
 
-  /// Every other controller has said, after it saw our leader key, that it does not lead.
+  /// Records that every other controller has seen this leader's key and reported that it does not
+  /// lead.
   void former_leaders_gone(TimePoint now) { recovery_.former_leaders_gone(now); }
-  /// Agents send their heartbeats to another controller.
+  /// Records that agents send their heartbeats to another controller.
   void note_peer_receives_heartbeats(TimePoint now) {
     failure_detector_.note_peer_receives_heartbeats(now);
   }
-  /// Whether this leader may be isolated, so that it matters where agents send their heartbeats.
+  /// Whether this leader may be isolated. Only then it matters whether peers receive heartbeats.
   bool possibly_isolated(TimePoint now) const {
     return failure_detector_.no_heartbeats(now) || failure_detector_.no_lease_renewals(now);
   }
 
-  /// Result of a `SaveMachine`. `with_endpoint`: the saved record had an endpoint.
+  /// Handles the result of a `SaveMachine`. `with_endpoint`: the record contained the endpoint.
   void machine_saved(const MachineId& id, bool with_endpoint, bool ok) {
     registry_.saved(id, with_endpoint, ok);
   }
-  /// Result of a `SaveProgress`.
+  /// Handles the result of a `SaveProgress`.
   void progress_saved(const SaveProgress& saved, bool ok) { jobs_.progress_saved(saved, ok); }
-  /// A `SavePlacements` of this version was committed: the starts that waited for it are sent.
+  /// Handles the commit of a `SavePlacements` of this version: starts that waited for it are sent.
   void placements_saved(const JobId& id, PlacementVersion version);
-  /// A `FinishJob` was not carried out; the next try is not before `retry`.
+  /// Handles a `FinishJob` that was not carried out; it is not retried before `retry`.
   void finish_answered(const JobId& job, TimePoint retry, TimePoint now);
 
-  /// Result of the `ScaleOut` with this name.
+  /// Handles the result of the `ScaleOut` with this name.
   void scale_out_answered(const std::string& name, const ScaleOutResult& answer, TimePoint now) {
     scale_out_.answered(name, answer, now);
   }
-  /// Result of a `ScaleIn`. `ok`: the machines are proven gone.
+  /// Handles the result of a `ScaleIn`. `ok`: the machines are proven to be gone.
   void scale_in_answered(const std::vector<MachineId>& machines, bool ok, TimePoint now);
   /// Handles the cloud's list of machines.
   void cloud_listed(const std::vector<ListedMachine>& machines, TimePoint now);
 
-  /// Does what depends on time: failure detection, scheduling, scaling, writes that are due and
-  /// commands. `may_place`: leadership may still be served. `last_proven`: the latest time of which
-  /// it is known that no other controller led then (`Leadership::last_proven`).
+  /// Runs the periodic work: failure detection, scheduling, scaling, and the writes and commands
+  /// that are due. `may_place`: this controller may still act as leader. `last_proven`: the latest
+  /// time at which it is proven that no other controller led (`Leadership::last_proven`).
   void tick(TimePoint now, bool may_place, TimePoint last_proven);
 
   /// Returns the actions since the last call, in the order in which to carry them out.
   std::vector<Action> take_actions() { return out_.take(); }
-  /// Whether a scheduling round is requested, so that the next tick should come soon.
+  /// Whether a scheduling round is requested, so that the next tick should follow soon.
   bool scheduling_round_requested() const { return out_.scheduling_round_requested(); }
 
   /// Null if the job is unknown.
@@ -105,22 +109,22 @@
   const EndedAttempts& ended_attempts() const { return ended_attempts_; }
   /// Whether tasks of former leaders may still be on unconfirmed machines.
   bool recovering() const { return recovery_.recovering(); }
-  /// Machines examined so far, each time counted; tests compare the count with the events.
+  /// Number of machine inspections so far; tests compare it with the number of events.
   std::uint64_t inspections() const { return out_.inspections(); }
-  /// One line for the log.
+  /// State of the controller in one line, for the log.
   std::string summary() const;
-  /// Hints for the next leader. `wall`: the time of day at `now`.
+  /// Learned state for the next leader. `wall`: the time of day at `now`.
   LearnedState learned_state(TimePoint now, WallTime wall) const {
     return learned_state_handover_.collect(now, wall);
   }
 
-  /// Registers observers that are called with each machine and job before it changes or is erased,
-  /// for a snapshot that is taken in parts.
+  /// Registers observers that are called with each machine and job before it changes or is erased.
+  /// A snapshot that is written in several steps uses them to keep the earlier state.
   void before_changes(Fleet::BeforeChange machine, Jobs::BeforeChange job);
 
   /// Calls `visit(name, part)` for every part that owns state, in the order of snapshots. The names
-  /// are stored. A new part goes to the end and is omitted when empty (`kOmittedWhenEmpty`), so
-  /// that snapshots of versions before it keep their bytes.
+  /// are stored and must not change. A new part is added at the end and omitted while it is empty
+  /// (`kOmittedWhenEmpty`), so that the bytes of older snapshots stay valid.
   template <class Self, class Visit>
   static void each_part(Self& self, const Visit& visit) {
     visit("outbox", self.out_);
--- a/src/core/controller_summary.cpp
+++ b/src/core/controller_summary.cpp
@@ -10,14 +10,14 @@
 struct TaskCounts {
   std::size_t waiting = 0;
   std::size_t bound = 0;
-  std::size_t blocked = 0;  // waiting tasks of jobs that are blocked on reconciliation
+  std::size_t blocked = 0;  // waiting tasks of jobs that wait for the reconciliation
 };
 
 struct TypeUse {
   std::size_t up = 0;
   std::size_t booting = 0;
   std::size_t empty = 0;
-  std::size_t reserved = 0;  // for gangs that collect machines
+  std::size_t reserved = 0;  // for a gang
   Resources used;
   Resources capacity;
 };
--- a/src/core/controller_summary.hpp
+++ b/src/core/controller_summary.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One line on the state of a controller, for the log. Reads the controller's parts; owns nothing.
+/// Formats the state of a controller as one line for the log. Owns no state.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace violetpulley::core {
 
-/// Counts of jobs and tasks, use of the machines by type, and the progress of the recovery.
+/// The line: numbers of jobs and tasks, use of the machines by type, and progress of the recovery.
 std::string summary_line(const Jobs& jobs, const Fleet& fleet, const Recovery& recovery);
 
 }  // namespace violetpulley::core
--- a/src/core/events.cpp
+++ b/src/core/events.cpp
@@ -6,7 +6,7 @@
 
 namespace violetpulley::core {
 
-// These names are stored and printed by `history show`: they stay as they are.
+// These names are stored and printed by `history show`, and must not change.
 const char* name_of(const Event& event) {
   static constexpr std::array kNames{"takeover",
                                      "catalog",
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Everything that enters the core, as values: a leader that is given the same events at the same
-/// times takes the same actions. The history records these values.
+/// All inputs of the controller as values. The history records them; a controller that is given the
+/// same events at the same times takes the same actions. Owns no state.
 #pragma once
 
 #include <memory>
@@ -10,11 +10,11 @@
 
 namespace violetpulley::core {
 
-/// The first event of every leader: a controller is made from it.
+/// The first event of every leader, from which its controller is created.
 struct LeaderElected {
   ControllerSettings settings;
   FencingToken token = 0;
-  TimePoint former_leases_end{};  ///< When leases that former leaders may have renewed run out.
+  TimePoint former_leases_end{};  ///< End of the last lease that a former leader may have renewed.
   RecoveredState recovered;
 
   template <class S, class F>
@@ -66,7 +66,7 @@
 /// A command batch was answered or has failed.
 struct CommandsAnswered {
   MachineId machine;
-  std::optional<Heartbeat> heartbeat;  ///< The response; null: none came.
+  std::optional<Heartbeat> heartbeat;  ///< The response; nullopt: none arrived.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -97,7 +97,7 @@
   }
 };
 
-/// A `FinishJob` was not carried out; the next try is not before `retry`.
+/// A `FinishJob` was not carried out; it is not retried before `retry`.
 struct FinishAnswered {
   JobId job;
   TimePoint retry{};
@@ -122,7 +122,7 @@
 /// Result of a `ScaleIn`.
 struct ScaleInAnswered {
   std::vector<MachineId> machines;
-  bool ok = false;  ///< The machines are proven gone.
+  bool ok = false;  ///< The machines are proven to be gone.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -140,10 +140,10 @@
   }
 };
 
-/// Time has passed.
+/// The periodic work of the controller was run.
 struct Ticked {
-  bool may_place = false;   ///< Leadership may still be served.
-  TimePoint last_proven{};  ///< No other leader had been elected by then.
+  bool may_place = false;   ///< This controller may still act as leader.
+  TimePoint last_proven{};  ///< Latest time at which it is proven that no other controller led.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -162,8 +162,8 @@
   }
 };
 
-/// No former leader answers heartbeats any more (docs/safety.md, "Older leaders that are known to
-/// be gone").
+/// All other controllers have reported that they do not lead, so no former leader answers
+/// heartbeats any more (docs/safety.md, "Older leaders that are known to be gone").
 struct FormerLeadersGone {
   template <class S, class F>
   static void fields(S&, F&& f) {
@@ -179,20 +179,20 @@
   }
 };
 
-/// New kinds go to the end: the history names a kind by its position here.
+/// New kinds are added at the end, because the history stores a kind as its position here.
 using Event = std::variant<LeaderElected, CatalogReceived, JobOpened, JobClosed, HeartbeatReceived,
                            CommandsAnswered, MachineSaved, ProgressSaved, FinishAnswered,
                            ScaleOutAnswered, ScaleInAnswered, CloudListed, Ticked, PlacementsSaved,
                            FormerLeadersGone, PeerReceivesHeartbeats>;
 
-/// The kind of the event in words, for tables and messages; the words are kept stable.
+/// Name of the event's kind, for tables and messages. The names are stable.
 const char* name_of(const Event& event);
 
-/// Calls the controller's method for the event. Throws std::logic_error for `LeaderElected`, from
-/// which a controller is made instead.
+/// Calls the controller's method for the event. Throws std::logic_error for `LeaderElected`, for
+/// which `make_controller` is called instead.
 void apply(Controller& controller, const Event& event, TimePoint now);
 
-/// Makes the controller of a newly elected leader.
+/// Creates the controller of a newly elected leader.
 std::unique_ptr<Controller> make_controller(const LeaderElected& event, TimePoint now);
 
 }  // namespace violetpulley::core
--- a/src/core/learned_state_handover.hpp
+++ b/src/core/learned_state_handover.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Collects what a leader has learned, and applies what the former leader has learned. Owns
-/// nothing; reads and writes the jobs, machines, estimates and cooldowns of the controller.
+/// Collects the learned state of a leader for its successor, and applies that of the former leader.
+/// Learned state is a set of hints: run time estimates, waiting times, failures and cooldowns. Owns
+/// no state; reads and changes the jobs, machines, estimates and cooldowns of the controller.
 #pragma once
 
 #include "core/autoscaling/instance_offerings.hpp"
@@ -10,7 +11,7 @@
 
 namespace violetpulley::core {
 
-/// Passes hints from one leader to the next (docs/safety.md, "Learned state").
+/// Passes learned state from one leader to the next (docs/safety.md, "Learned state").
 class LearnedStateHandover {
  public:
   LearnedStateHandover(const ControllerSettings& settings, Fleet& fleet, Jobs& jobs,
@@ -21,13 +22,13 @@
         estimator_(estimator),
         offerings_(offerings) {}
 
-  /// The hints for the next leader. `wall`: the time of day at `now`.
+  /// The learned state for the next leader. `wall`: the time of day at `now`.
   LearnedState collect(TimePoint now, WallTime wall) const;
 
-  /// Applies the hints of the former leader to the recovered jobs and machines. The scheduler then
-  /// prefers other machines, waits or requests machines later; what is on machines follows from
-  /// heartbeats alone, whatever the hints contain. Times are bounded by the job's own record, so
-  /// that a wrong time of day does no harm.
+  /// Applies the learned state of the former leader to the recovered jobs and machines. It affects
+  /// only which machines the scheduler prefers and when it starts tasks or requests machines; which
+  /// tasks are on a machine is taken from heartbeats alone. Times are bounded by the job's record
+  /// and the settings, so that a wrong time of day does no harm.
   void apply(const LearnedState& learned_state, TimePoint now);
 
  private:
--- a/src/core/machines/ended_attempts.cpp
+++ b/src/core/machines/ended_attempts.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The table of attempts that have ended in doubt, and its sums by team.
+/// Maintains the table of attempts that have ended in doubt, and the resources they use by team.
 #include "core/machines/ended_attempts.hpp"
 
 #include <limits>
@@ -49,7 +49,7 @@
   use -= ended.resources;
   by_machine_[ended.machine].erase(entry->first);
   attempts_.erase(entry);
-  // No rounding errors are left behind.
+  // Repeated subtraction leaves rounding errors, so the sums are reset when no attempt is left.
   if (attempts_.empty()) use_by_team_.clear();
 }
 
--- a/src/core/machines/ended_attempts.hpp
+++ b/src/core/machines/ended_attempts.hpp
@@ -1,10 +1,11 @@
 /// @file
-/// Attempts that have ended on a machine although their start was never answered. A delayed copy of
-/// the start has no effect while the agent knows the attempt, but a machine that is back without
-/// its tasks in the same agent epoch runs the attempt again (docs/safety.md, "An attempt that has
-/// ended in doubt"). Owns these attempts until their machine has a new epoch or is gone, what they
-/// count against the limits of their teams, and which machines are settled: these take no new tasks
-/// and are to be returned, which rules the delayed starts out.
+/// Attempts that have ended on a machine although their start command was never answered ("in
+/// doubt"). A delayed copy of the start has no effect while the agent remembers the attempt, but an
+/// agent that has lost its tasks within the same epoch runs the attempt again (docs/safety.md, "An
+/// attempt that has ended in doubt"). Owns these attempts until their machine has a new epoch or is
+/// gone, the resources that they count against the limits of their teams, and the set of retiring
+/// machines. A retiring machine takes no new tasks and is returned to the cloud; after its return
+/// no delayed start can have an effect.
 #pragma once
 
 #include <map>
@@ -17,14 +18,15 @@
 
 namespace violetpulley::core {
 
-/// Time after which a settled machine is returned although other tasks run on it. A cancellation
-/// may have been confirmed a serving time (`cancel_s` - `lease_s`) before it was known here.
+/// Longest time that a retiring machine is kept because other tasks run on it. The limit is short
+/// since a cancellation may have been confirmed to the user up to `cancel_s` - `lease_s` before
+/// this leader learned of it.
 inline Seconds max_retiring_time(const WorkerTimes& workers) { return workers.lease / 2; }
 
-/// What has become of a task whose attempt has ended in doubt.
+/// State of a task whose attempt has ended in doubt.
 enum class EndedTask : std::uint8_t {
-  done,      ///< Nothing waits for the task. It may run again, within its team's limit.
-  held,      ///< The task runs again once its former attempt cannot.
+  done,      ///< The task is done. A delayed start may repeat it, within its team's limit.
+  held,      ///< The task restarts once its earlier attempt cannot run again.
   cancelled  ///< The task must not run again: its machine is returned within `cancel_s`.
 };
 
@@ -42,33 +44,32 @@
   }
 };
 
-/// The attempts that have ended in doubt, by their task. A task has at most one: it is held until
-/// the first one is ruled out, or it is done.
+/// The attempts that have ended in doubt, by task. A task has at most one such attempt: while it
+/// has one, it is either done or cancelled, or it is held and starts no other attempt.
 class EndedAttempts {
  public:
   using Table = std::map<TaskKey, EndedAttempt>;
-  /// A snapshot without any such attempt has no such part, as in versions before it.
+  /// An empty table is left out of snapshots, so that these equal the snapshots of older versions.
   static constexpr bool kOmittedWhenEmpty = true;
 
-  /// Adds an attempt. Its machine is settled unless the task is done.
+  /// Adds an attempt. Its machine is retired unless the task is done.
   void add(const TaskKey& task, EndedAttempt ended, TimePoint now);
-  /// The job was cancelled: the machines of all its attempts are settled.
+  /// Marks the attempts of a cancelled job as cancelled and retires their machines.
   void cancel_job(const JobId& job, TimePoint now);
-  /// The machine takes no new tasks from now on and is to be returned.
+  /// Retires a machine: it takes no new tasks and is to be returned.
   void retire(const MachineId& machine, TimePoint now) { retiring_.try_emplace(machine, now); }
-  /// The machine is gone or its agent has a new epoch, so no delayed start has an effect any more.
-  /// Returns the tasks that were held.
+  /// Removes the attempts of a machine that is gone or whose agent has a new epoch, since delayed
+  /// starts have no effect there any more. Returns the tasks that were held.
   std::vector<TaskKey> clear_machine(const MachineId& machine);
 
   bool empty() const { return attempts_.empty() && retiring_.empty(); }
   const Table& attempts() const { return attempts_; }
   /// The entries of a job, as a range of `attempts`.
   std::pair<Table::const_iterator, Table::const_iterator> of_job(const JobId& job) const;
-  /// Whether the machine is settled.
   bool is_retiring(const MachineId& machine) const { return retiring_.contains(machine); }
-  /// The machines that are settled, and since when.
+  /// The retiring machines, and since when they retire.
   const std::map<MachineId, TimePoint>& retiring() const { return retiring_; }
-  /// Resources of the attempts of a team.
+  /// Sum of the resources of the team's attempts.
   Resources use_of(const std::string& team) const;
 
   template <class S, class F>
--- a/src/core/machines/failure_detector.cpp
+++ b/src/core/machines/failure_detector.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The time limits after which machines, or this leader, count as cut off.
+/// Time limits after which a machine or this leader counts as partitioned, and their evaluation.
 #include "core/machines/failure_detector.hpp"
 
 #include <algorithm>
@@ -9,22 +9,23 @@
 namespace violetpulley::core {
 
 namespace {
-// The fleet is observed every half second; after a longer gap this process had been suspended.
+// The fleet is observed every 500 ms; a gap longer than this means that this process was suspended.
 constexpr std::chrono::milliseconds kSuspensionThreshold{1500};
-// Heartbeats of different machines are independent. With 8 expected and none received, chance is
-// unlikely (about 1 in 3,000); with 20 expected it is excluded even over a whole year.
+// Heartbeats of different machines are independent. The probability of receiving none of 8 expected
+// heartbeats by chance is about 1 in 3,000; none of 20 does not occur by chance within a year.
 constexpr double kMissedHeartbeatsForSilence = 8;
 constexpr double kMissedHeartbeatsForIsolation = 20;
 constexpr Seconds kMinSilence{1};
 constexpr Seconds kMinIsolation{2.5};
-// A leader that has received no heartbeat yet waits for the agents of its followers: this multiple
-// of `silent_after`.
+// A new leader waits this multiple of `silent_after` for its first heartbeat, since agents that
+// report to other controllers have to find the new leader first.
 constexpr double kFirstHeartbeatFactor = 1.5;
-// A healthy agent may send its heartbeat later than the interval by this factor.
+// A healthy agent may exceed the heartbeat interval by this factor.
 constexpr double kIntervalTolerance = 1.25;
-constexpr Seconds kProbeTimeout{3};  // an unanswered probe, the pause after it, and a second probe
+// Covers an unanswered probe, the pause after it, and a second probe.
+constexpr Seconds kProbeTimeout{3};
 // PROTOCOL, "Workers": an agent abandons a heartbeat after 4 s and tries the next controller 1 s
-// later; that controller may redirect the agent, which takes up to half a second.
+// later; a redirect by that controller takes up to 0.5 s.
 constexpr Seconds kNextControllerDelay{5.5};
 constexpr std::size_t kMaxProbes = 4;
 constexpr std::chrono::seconds kPeerHeartbeatValidity{4};
@@ -42,10 +43,10 @@
   return "";
 }
 
-// After a network partition of this leader the heartbeats of its machines return one by one, and
-// each machine has been unacknowledged for as long as the partition lasted. Both times start anew,
-// since neither is a fault of the machines (docs/incidents/hunt-fa96.md, where 137 healthy machines
-// were returned at the end of a partition).
+// After a network partition of this leader the heartbeats of its machines resume one by one, and
+// each machine has been unacknowledged for as long as the partition lasted. Neither is a fault of
+// the machine, so both times are reset. Otherwise the leader returns healthy machines at the end of
+// the partition: 137 machines in docs/incidents/hunt-fa96.md.
 void FailureDetector::record_heartbeat(Machine& machine, HeartbeatSource source, TimePoint now) {
   fleet_.before_change(machine);
   if (source == HeartbeatSource::periodic) {
@@ -129,7 +130,7 @@
                settings_.workers.heartbeat_interval * kIntervalTolerance + kCommandTravelTime));
 }
 
-// A single heartbeat of a healthy machine may remain without a response.
+// The limit tolerates one heartbeat without a response, which also healthy machines may have.
 Seconds FailureDetector::outbound_partition_after() const {
   return std::max(settings_.tuning.silent_after,
                   settings_.workers.heartbeat_interval * kIntervalTolerance + kNextControllerDelay);
@@ -156,14 +157,14 @@
 bool FailureDetector::inbound_partition_expired(const Machine& machine, Seconds boot_time,
                                                 TimePoint now) const {
   if (!machine.unacknowledged_since || !machine.confirmed) return false;
-  // A machine that sends nothing either is silent, and handled as a silent machine.
+  // A machine that sends no heartbeats either is handled by the check for silent machines.
   if (!machine.last_heartbeat ||
       now - *machine.last_heartbeat > to_duration(settings_.tuning.silent_after))
     return false;
   const Seconds unacknowledged = now - *machine.unacknowledged_since;
   if (unacknowledged < settings_.tuning.lost_after) return false;
-  // Where many machines are unacknowledged at once, the cause is rather this leader, or a network
-  // partition that will end. The leases run out by themselves, so waiting does no harm.
+  // If many machines are unacknowledged at once, the cause is more likely this leader or a network
+  // partition that will end. The leases run out without any action, so waiting is safe.
   if (is_mass_event(unacknowledged_) && unacknowledged < settings_.workers.lease + boot_time)
     return false;
   const auto lease_left = machine.last_acknowledged
@@ -183,8 +184,8 @@
                                                  TimePoint now) const {
   if (!machine.outbound_partition_since || !machine.confirmed) return false;
   const Seconds partitioned = now - *machine.outbound_partition_since;
-  // At the end of a network partition the heartbeats return one by one: the last machines still
-  // belong to the mass event although they are few.
+  // At the end of a network partition the heartbeats resume one by one: the last partitioned
+  // machines still belong to the mass event although they are few.
   const bool is_part_of_mass_event =
       mass_outbound_partition_at_ &&
       now - *mass_outbound_partition_at_ < to_duration(outbound_partition_after());
@@ -198,7 +199,7 @@
 
 std::optional<IsolationCause> FailureDetector::isolation_cause(TimePoint now) const {
   if (up_ < 2 || now - heartbeats_expected_since_ < kMinIsolation) return std::nullopt;
-  // A leader that resigned recently does so again only if other controllers receive heartbeats.
+  // A leader that resigned recently resigns again only if other controllers receive heartbeats.
   const bool peers_receive_heartbeats =
       peer_heartbeats_at_ && now - *peer_heartbeats_at_ < kPeerHeartbeatValidity;
   if (!settings_.resigns_when_isolated && !peers_receive_heartbeats) return std::nullopt;
@@ -217,7 +218,7 @@
 
 std::vector<MachineId> FailureDetector::machines_to_probe(TimePoint now) const {
   std::vector<MachineId> probes;
-  // A leader that receives no heartbeats probes before it considers itself isolated.
+  // A leader that receives no heartbeats sends probes before it considers itself isolated.
   const bool is_due = no_heartbeats(now) || time_since_heartbeat(last_acknowledged_, now) >=
                                                 to_duration(settings_.workers.heartbeat_interval);
   if (up_ < 2 || !is_due) return probes;
--- a/src/core/machines/fleet.cpp
+++ b/src/core/machines/fleet.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Run time estimates of assignments, and the bookkeeping of assignments and images.
+/// Run time estimates of assignments, and changes of the machines' assignments and cached images.
 #include "core/machines/fleet.hpp"
 
 #include <algorithm>
--- a/src/core/machines/fleet.hpp
+++ b/src/core/machines/fleet.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The machines as this leader knows them, the assignments on each, and the resources that each
-/// team uses by them. Owns machines and assignments; the parts named at the fields change them.
+/// The machines known to this leader, the assignments on each machine, and the resources that each
+/// team uses. Owns machines and assignments. The comments in `Machine` name the part of the
+/// controller that changes a group of fields.
 #pragma once
 
 #include <functional>
@@ -13,35 +14,35 @@
 
 namespace violetpulley::core {
 
-/// A task that is, or may be, on a machine.
+/// A task that was placed on a machine and may run there.
 struct Assignment {
-  // What the job asks for, copied so that the assignment outlives its job.
+  // Requirements and estimates, copied from the job because the assignment may outlive it.
   Attempt attempt = 0;    ///< unique over all leaders; shared by the tasks of a gang
   Resources resources;    ///< of this task
   std::string team;       ///< whose limit the resources count against
   std::string job_class;  ///< groups jobs with similar run times
   std::string image;      ///< empty: none
   Shape shape = Shape::array;
-  Seconds estimate{0};          ///< expected run time of what is left after `saved`
+  Seconds estimate{0};          ///< expected run time without the part that `saved` covers
   Seconds saved{0};             ///< run time that checkpoints of earlier attempts cover
-  Seconds fetch{0};             ///< expected time of the image fetch when placed
+  Seconds fetch{0};             ///< time of the image fetch, as expected at the placement
   Seconds checkpoint_every{0};  ///< interval of checkpoints; 0: the task makes none
-  Seconds checkpoint_time{0};   ///< time that a checkpoint takes
+  Seconds checkpoint_time{0};   ///< time to write a checkpoint
 
   // Progress, from placement and heartbeats.
   TimePoint placed{};
-  std::optional<TimePoint> running_since;  ///< none: not reported as running yet
+  std::optional<TimePoint> running_since;  ///< nullopt: not reported as running yet
   TaskState state = TaskState::fetching;   ///< as last reported
   bool reported = false;                   ///< reported by the agent under this attempt
 
   // Stopping (CommandDispatcher).
-  bool stop = false;       ///< stop commands are sent until the agent reports the end
-  bool orphaned = false;   ///< its job has ended or was cancelled; nothing waits for the task
-  bool preempted = false;  ///< stopped for other work
-  Seconds grace{0};        ///< time to make a checkpoint when stopped
+  bool stop = false;       ///< stop commands are sent until the agent reports the end of the task
+  bool orphaned = false;   ///< the job has ended or was cancelled: the task does not restart
+  bool preempted = false;  ///< stopped in favour of other tasks
+  Seconds grace{0};        ///< time that the agent allows for a checkpoint before it stops the task
   std::optional<TimePoint> stop_since;
 
-  /// Version of the placements of its job that must be committed before the start is sent.
+  /// Version of the job's placements that must be committed before the start is sent; 0: none.
   std::uint64_t placement_version = 0;
 
   template <class S, class F>
@@ -52,7 +53,7 @@
   }
 };
 
-/// An image on a machine, or on its way there.
+/// An image that a machine has cached or is fetching.
 struct CachedImage {
   std::string name;
   double gb = 0;
@@ -63,8 +64,8 @@
   }
 };
 
-/// A machine, from its request on until it is returned. The fields are grouped by the part that
-/// changes them; a part must call Fleet::before_change first.
+/// A machine, from the request to the cloud until its return. The fields are grouped by the part
+/// that changes them; Fleet::before_change must be called before each change.
 struct Machine {
   // Identity, from the cloud or the first heartbeat.
   MachineId id;
@@ -80,27 +81,28 @@
   double price = 0;           ///< per hour
 
   // Agent state (HeartbeatHandler).
-  std::uint64_t epoch = 0;               ///< grows when the agent has lost its tasks; 0: unknown
+  std::uint64_t epoch = 0;  ///< increased by the agent when it has lost its tasks; 0: unknown
   std::uint64_t heartbeat_sequence = 0;  ///< of the newest heartbeat in this epoch
-  bool confirmed = false;    ///< answered under our fencing token: its task list is complete
-  TimePoint requested_at{};  ///< when it was requested, or first known
-  std::optional<TimePoint> up_since;      ///< first heartbeat to this leader
+  bool confirmed =
+      false;  ///< answered under this leader's fencing token: the task list is complete
+  TimePoint requested_at{};           ///< if unknown: when this leader first learned of the machine
+  std::optional<TimePoint> up_since;  ///< first heartbeat to this leader
   std::optional<TimePoint> notice_ends;   ///< when the cloud reclaims a spot machine
   std::vector<TaskStatus> task_statuses;  ///< of the newest heartbeat
-  int errors = 0;                         ///< failed tasks since the last one that was done
+  int errors = 0;                         ///< tasks that failed in a row
   std::set<JobId> error_jobs;             ///< jobs of these tasks
 
   // Record in the state service (MachineRegistry).
-  bool registered = false;      ///< the record with its endpoint is committed
-  bool registering = false;     ///< a write of the record with its endpoint is in flight
-  bool images_changed = false;  ///< since the record was last written
+  bool registered = false;      ///< the record with the endpoint is committed
+  bool registering = false;     ///< a write of the record with the endpoint is in flight
+  bool images_changed = false;  ///< `images` has changed since the record was last written
 
   // Contact (FailureDetector).
-  std::optional<TimePoint> last_heartbeat;            ///< any heartbeat or response
-  std::optional<TimePoint> last_lease_renewal;        ///< periodic heartbeat, which we answered
+  std::optional<TimePoint> last_heartbeat;            ///< periodic heartbeat or command response
+  std::optional<TimePoint> last_lease_renewal;        ///< periodic heartbeat that was answered
   std::optional<TimePoint> outbound_partition_since;  ///< answers commands, sends no heartbeats
-  std::optional<TimePoint> last_acknowledged;         ///< something of ours arrived, in this epoch
-  /// When the first of the command batches without a response was sent; none: the last one was
+  std::optional<TimePoint> last_acknowledged;         ///< a message arrived there in this epoch
+  /// When the first command batch of those without a response was sent; nullopt: the last batch was
   /// answered.
   std::optional<TimePoint> unacknowledged_since;
 
@@ -110,31 +112,31 @@
   std::vector<CachedImage> images;  ///< most recently used last
 
   // Commands (CommandDispatcher, HeartbeatHandler).
-  std::set<Attempt> in_doubt_attempts;    ///< starts without a response: they may arrive once more
+  std::set<Attempt> in_doubt_attempts;    ///< starts without a response, which may arrive late
   std::vector<Attempt> starts_in_flight;  ///< starts of the command batch in flight
   bool commands_in_flight = false;        ///< a command batch waits for its response
-  int unanswered_commands = 0;            ///< command batches in a row without a response
-  TimePoint next_commands_at{};           ///< no command batch is sent earlier
+  int unanswered_commands = 0;            ///< command batches without a response, in a row
+  TimePoint next_commands_at{};           ///< earliest time of the next command batch
   TimePoint commands_sent_at{};           ///< when the last command batch was sent
 
   // Scheduling marks.
-  bool quarantined = false;                  ///< takes no new tasks: they fail here
-  bool draining = false;                     ///< takes no new tasks: to be returned when empty
+  bool quarantined = false;                  ///< takes no new tasks, because tasks fail here
+  bool draining = false;                     ///< takes no new tasks and is returned when empty
   std::optional<TimePoint> underused_since;  ///< for Consolidation
-  std::optional<TimePoint> sparse_since;     ///< runs few replicas and nothing else
-  std::optional<TimePoint> idle_since;       ///< since when nothing runs or starts here
-  JobId reserved_for;  ///< gang that reserves the machine; no other job may start here
+  std::optional<TimePoint> sparse_since;     ///< runs few replicas and no other tasks
+  std::optional<TimePoint> idle_since;       ///< no task runs or starts here
+  JobId reserved_for;  ///< gang that has reserved the machine for its tasks; empty: none
 
   // Return to the cloud (MachineWatch).
   bool releasing = false;
   std::string release_cause;               ///< for the log and the ScaleIn action
-  std::optional<TimePoint> release_retry;  ///< when the return is requested next
+  std::optional<TimePoint> release_retry;  ///< time of the next request to return the machine
 
   bool up() const { return !endpoint.empty(); }
   Resources free() const { return capacity - used; }
   /// Free resources once all tasks that are being stopped have ended.
   Resources free_after_stops() const;
-  /// Time until the last of its tasks is expected to end, which determines its run time bin.
+  /// Time until the last task of the machine is expected to end; determines the run time bin.
   Seconds remaining(TimePoint now) const;
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -155,11 +157,11 @@
 /// Run time that would be repeated if the task were stopped now without a checkpoint.
 Seconds unsaved_run_time(const Assignment& assignment, TimePoint now);
 
-/// Whether a checkpoint at the stop saves more run time than it takes. Other tasks are stopped
+/// Whether a checkpoint at the stop saves more run time than it takes. If not, the task is stopped
 /// without a checkpoint.
 bool worth_checkpointing(const Assignment& assignment, TimePoint now);
 
-/// What a stop costs: the run time to repeat, or the time of the checkpoint.
+/// Time that a stop costs: the run time to repeat, or the time to write the checkpoint.
 Seconds cost_of_stop(const Assignment& assignment, TimePoint now);
 
 /// All machines by their id, and the use of resources by team.
@@ -177,12 +179,12 @@
   /// Removes the assignment of a task, if there is one.
   void unassign(Machine& machine, const TaskKey& task);
 
-  /// Observer that is called with each machine before it changes or is erased, while a snapshot is
-  /// written in parts.
+  /// Observer that is called with each machine before it changes or is erased. A snapshot that is
+  /// written in several steps uses it to keep the earlier state of the machine.
   using BeforeChange = std::function<void(const Machine&)>;
   void set_change_observer(BeforeChange observer) { before_change_ = std::move(observer); }
-  /// To be called before any change of a machine (tests/history/history_test.cpp checks this
-  /// against the simulation).
+  /// Must be called before any change of a machine (tests/history/history_test.cpp checks this in
+  /// the simulation).
   void before_change(const Machine& machine) {
     if (before_change_) before_change_(machine);
   }
@@ -197,9 +199,9 @@
   /// Resources of all assignments of a team.
   Resources team_use(const std::string& team) const;
 
-  /// Marks an image as the most recently used one of the machine and evicts the oldest images that
-  /// exceed its cache. `present`: false if the fetch has only begun; an image that is present stays
-  /// present.
+  /// Marks an image as the most recently used one of the machine, and evicts the least recently
+  /// used images while the cache is over its size. `present`: false if the fetch has only begun;
+  /// this does not change an image that is present already.
   void touch_image(Machine& machine, const std::string& image, double gb, bool present);
 
   std::map<MachineId, Machine>& all() { return machines_; }
--- a/src/core/machines/machine_registry.cpp
+++ b/src/core/machines/machine_registry.cpp
@@ -1,11 +1,11 @@
 /// @file
-/// Requests and results of writes of machine records.
+/// Requests writes of machine records and handles their results.
 #include "core/machines/machine_registry.hpp"
 
 namespace violetpulley::core {
 
 namespace {
-constexpr std::size_t kMaxReleasedMachines = 20'000;  // ids, about two megabytes
+constexpr std::size_t kMaxReleasedMachines = 20'000;  // ids that take about 2 MB of memory
 }  // namespace
 
 void MachineRegistry::save(Machine& machine) {
@@ -26,8 +26,8 @@
   }
   fleet_.before_change(*machine);
   if (with_endpoint) machine->registering = false;
-  // A leader starts tasks only on machines whose record is committed with the endpoint: the next
-  // leader must know every machine that it has to wait for.
+  // Tasks start only on machines whose record is committed with the endpoint, because the next
+  // leader must know every machine that may run tasks and has to be confirmed.
   if (ok && with_endpoint) machine->registered = true;
   out_.request_scheduling_round();
 }
--- a/src/core/machines/machine_registry.hpp
+++ b/src/core/machines/machine_registry.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Writes the records of machines in the state service (docs/safety.md, "One copy of a task", 2)
-/// and remembers returned machines, which the cloud's list and delayed heartbeats may still name.
-/// Owns the returned machines.
+/// Requests the writes of machine records in the state service (docs/safety.md, "One copy of a
+/// task", 2). Owns the ids of the machines that were returned to the cloud, since the cloud's list
+/// and delayed heartbeats may still name them.
 #pragma once
 
 #include <deque>
@@ -12,20 +12,22 @@
 
 namespace violetpulley::core {
 
-/// Registers machines in the state service and deletes their records.
+/// Registers machines in the state service and deletes the records of returned machines.
 class MachineRegistry {
  public:
   MachineRegistry(Outbox& out, Fleet& fleet) : out_(out), fleet_(fleet) {}
 
-  /// Requests a write of the record of this machine, with its endpoint if it is up.
+  /// Requests a write of the machine's record, with the endpoint if the machine is up.
   void save(Machine& machine);
-  /// Result of such a write. `with_endpoint`: the record named the endpoint. `ok`: it is committed.
+  /// Handles the result of such a write. `with_endpoint`: the record contained the endpoint. `ok`:
+  /// the record is committed.
   void saved(const MachineId& id, bool with_endpoint, bool ok);
 
-  /// The cloud has confirmed that the machine is gone.
+  /// Records that the cloud has confirmed the return of the machine, and deletes the machine's
+  /// record.
   void released(const MachineId& id);
-  /// Whether the machine was returned under this leader. Copies of its heartbeats may come long
-  /// after its end, so only the oldest machines are forgotten, beyond a limit on memory.
+  /// Whether the machine was returned under this leader. Copies of its heartbeats may arrive long
+  /// after the return, so ids do not expire; beyond a limit on memory the oldest ones are dropped.
   bool was_released(const MachineId& id) const { return released_.contains(id); }
 
   template <class S, class F>
--- a/src/core/machines/machine_watch.cpp
+++ b/src/core/machines/machine_watch.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The periodic checks of machines, and the requests that return them to the cloud.
+/// The periodic checks of machines and the requests that return machines to the cloud.
 #include "core/machines/machine_watch.hpp"
 
 #include <algorithm>
@@ -11,12 +11,17 @@
 constexpr std::chrono::milliseconds kCheckIntervalWhileReconciling{200};
 constexpr std::chrono::seconds kReleaseRetry{3};
 constexpr std::size_t kMaxMachinesPerRelease = 100;  // PROTOCOL, POST /rentals/release
-constexpr std::size_t kMassLateBootCount = 3;        // late machines of a type at once
-constexpr double kMaxBootTimeoutFactor = 2.5;        // times the usual patience
-constexpr int kMaxImageSavesPerPass = 20;  // these records only save fetches after a failover
-constexpr Seconds kDefaultBootTime{60};    // of a machine type that the catalog does not list
-// From the end of a leader to the first check of the next one: its store lease, reading the stored
-// state, and the request to the cloud (docs/safety.md, "A cancellation that an older leader knew").
+// From this number of late machines of one type on, a new machine is expected to be late as well.
+constexpr std::size_t kMassLateBootCount = 3;
+// Multiple of the usual boot timeout that applies in that case.
+constexpr double kMaxBootTimeoutFactor = 2.5;
+// Records that change only in their images are written slowly: they only spare fetches after a
+// failover.
+constexpr int kMaxImageSavesPerPass = 20;
+constexpr Seconds kDefaultBootTime{60};  // of a machine type that is not in the catalog
+// Time from the end of a leader to the first check of the next one: the lease of the leader key,
+// reading the stored state, and the request to the cloud (docs/safety.md, "A cancellation that an
+// older leader knew").
 constexpr Seconds kFailoverTime{5};
 }  // namespace
 
@@ -42,10 +47,10 @@
          settings_.workers.heartbeat_interval;
 }
 
-// A machine is late if machines requested after it are up already: it never comes up, or so late
-// that a new machine would be up sooner. Where several machines of a type are late and no younger
-// one is up, a new machine would be late as well. Then the patience is longer, since a machine that
-// is requested anew starts its boot from the beginning.
+// A machine that has exceeded the usual boot timeout is expected to come up later than a new
+// machine would, or never. Exception: several machines of the type are late and no machine
+// requested later is up. A new machine would then be late as well, and its boot would start from
+// the beginning, so the timeout is longer.
 bool MachineWatch::is_late_to_boot(const Machine& machine, TimePoint now) const {
   const Seconds waited = now - machine.requested_at;
   if (waited <= boot_timeout(machine, 1)) return false;
@@ -64,17 +69,18 @@
   out_.request_scheduling_round();
 }
 
-// A cancelled task whose stop was sent long ago and whose end is not proven: its machine hangs, or
-// a delayed start command may still bring the task back. It must end within `cancel_s`, however
+// Whether a cancelled task was told to stop long ago and its end is not proven: its machine hangs,
+// or a delayed start command may still run the task. The task must end within `cancel_s`, however
 // many machines are silent, and a lost start would otherwise keep its resources for ever
-// (docs/combined-failures.md). The cancellation may have been confirmed a serving time before it
-// was known here, so a machine that answers and does not list the task gets half a lease (seed 1758
-// of Meetings); a machine that does not answer runs its lease out unless it hangs.
+// (docs/combined-failures.md). The cancellation may have been confirmed to the user up to
+// `cancel_s` - `lease_s` before this leader learned of it. So a machine that answers and does not
+// list the task is given half a lease: a whole lease could exceed `cancel_s`. A machine that does
+// not answer is given a whole lease, at whose end it stops the task by itself unless it hangs.
 bool MachineWatch::has_unconfirmed_cancellation(const Machine& machine, TimePoint now) const {
   const auto lease = settings_.workers.lease;
   const auto timeout = to_duration(is_reachable(machine) ? lease / 2 : lease);
-  // Tasks of jobs that ended under an older leader: the time of the cancellation began before this
-  // leader saw them listed.
+  // The machine lists tasks of jobs that ended under a former leader: the cancellation was
+  // confirmed before this leader first saw the tasks listed.
   const auto unknown_since = recovery_.unknown_tasks_since(machine.id);
   if (unknown_since && now - *unknown_since > to_duration(lease / 2)) return true;
   return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
@@ -83,11 +89,11 @@
   });
 }
 
-// The machine has not answered since the election, and a job that was cancelled under an older
-// leader, of which no record is left, may have tasks there. That leader would have proven
-// the end of the tasks a lease after the cancellation, so the rest of `cancel_s` counts from our
-// election. A leader without any heartbeats is cut off itself: then agents that do not hang end
-// their tasks with their leases.
+// Whether the machine has not answered since the election, so that it may run tasks of a job that
+// was cancelled under a former leader and of which no record is left. The former leader would have
+// proven the end of these tasks one lease after the cancellation, so the rest of `cancel_s` counts
+// from the election of this leader. A leader that receives no heartbeats at all is isolated itself;
+// in that case agents that do not hang stop their tasks when their leases end.
 bool MachineWatch::may_run_cancelled_tasks(const Machine& machine, TimePoint now) const {
   const auto& times = settings_.workers;
   const auto timeout =
@@ -129,7 +135,8 @@
   if (is_late_to_boot(machine, now)) request_release(machine, "late to boot", now);
 }
 
-// A machine that is silent or partitioned is still subject to the later checks.
+// The checks are independent: a machine that is silent or partitioned undergoes the later ones,
+// too.
 void MachineWatch::check_machine(Machine& machine, Pass& pass) {
   if (pass.fleet_responsive) release_if_cut_off(machine, pass.now);
   check_silence(machine, pass);
@@ -165,16 +172,17 @@
   const auto& tuning = settings_.tuning;
   if (!recovery_.is_unconfirmed(machine.id)) return tuning.lost_after;
   // After a failover no older task starts until every machine is confirmed, so a machine that does
-  // not answer is returned sooner. But only once it was queried: after a failover most of 2,000
-  // machines had not been queried when their time was over, and a quarter of a healthy fleet was
-  // returned (docs/incidents/overload.md).
+  // not answer a query is returned sooner. A machine that was not queried yet keeps the longer
+  // limit: with 2,000 machines most had not been queried when the shorter limit was over, and a
+  // quarter of a healthy fleet was returned (docs/incidents/overload.md).
   if (reconciler_.silent(machine)) return tuning.lost_after_failover;
   return tuning.lost_after_failover + tuning.lost_after;
 }
 
-// The lease of a machine that answers nothing has run out, and its tasks with it, unless a newer
-// leader renews it: a leader that is cut off and does not know its successor yet would start them
-// again (seed 1684 of the simulation). So no other node may have led until the end of the lease.
+// When the lease of a silent machine ends, its tasks have ended, unless a newer leader has renewed
+// the lease. A leader that is isolated and does not know of its successor would then start the
+// tasks a second time. So the lease counts as expired only if it is proven that no other node led
+// before its end.
 bool MachineWatch::is_lease_expired(const Machine& machine, TimePoint last_proven) const {
   const auto last_heartbeat =
       machine.last_heartbeat.value_or(std::max(machine.requested_at, elected_at_));
@@ -183,7 +191,7 @@
 
 void MachineWatch::remove_expired_tasks(Machine& machine, TimePoint now) {
   if (machine.tasks.empty() && machine.task_statuses.empty()) return;
-  // A machine that hangs does not end its tasks with its lease.
+  // A machine that hangs does not end its tasks when its lease ends.
   if (CommandDispatcher::holds_cancelled_task(machine))
     request_release(machine, "silent with cancelled work", now);
   assignments_.lose_all(machine, now);
@@ -199,12 +207,12 @@
 void MachineWatch::resend_commands(const Machine& machine) {
   for (const auto& [key, assignment] : machine.tasks)
     if (!assignment.reported || assignment.stop) commands_.mark_due(machine);
-  // Nothing starts on a machine until it has acknowledged something.
+  // No task starts on a machine that has not acknowledged a message: a command batch probes it.
   if (machine.confirmed && !is_reachable(machine)) commands_.mark_due(machine);
 }
 
-// Requests to the cloud are limited to a few each second: returned machines are collected until the
-// share of scaling in admits another request.
+// The cloud limits the number of calls per second. Machines to return are collected until the share
+// of the calls that is set aside for scaling in permits another request.
 void MachineWatch::release_machines(TimePoint now) {
   const auto request_interval = Seconds(1 / (kScaleInCallShare * settings_.cloud_calls_per_s));
   if (now - last_release_ < to_duration(request_interval)) return;
--- a/src/core/machines/machine_watch.hpp
+++ b/src/core/machines/machine_watch.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// Periodic check of all machines: which are late to boot, silent, cut off or quarantined, and when
-/// machines are returned to the cloud (PROTOCOL, "Leases", "Controller nodes -> cloud";
-/// docs/design.md, "Expected trouble"). Owns the times of the last check and the last request.
+/// Periodic check of all machines. Decides which machines are late to boot, silent, partitioned or
+/// quarantined, and returns them to the cloud (PROTOCOL, "Leases", "Controller nodes -> cloud";
+/// docs/design.md, "Expected trouble"). Owns the times of the last check and of the last return
+/// request.
 #pragma once
 
 #include "core/dispatch/command_dispatcher.hpp"
@@ -12,7 +13,7 @@
 
 namespace violetpulley::core {
 
-/// Applies the judgements of the failure detector and of the reconciler to the machines.
+/// Applies the decisions of the failure detector and of the reconciler to the machines.
 class MachineWatch {
  public:
   MachineWatch(const ControllerSettings& settings, Outbox& out, const Catalog& catalog,
@@ -31,13 +32,14 @@
         registry_(registry),
         elected_at_(elected_at) {}
 
-  /// Checks all machines if that is due; returns whether it was. `serving`: heartbeats are
-  /// accepted. `last_proven`: latest time by which no other node led.
+  /// Checks all machines if the check interval has passed; returns whether it has. `serving`:
+  /// whether heartbeats are accepted. `last_proven`: the latest time until which it is proven that
+  /// no other node led.
   bool check_machines(TimePoint now, bool serving, TimePoint last_proven);
-  /// Marks a machine to be returned. `cause` enters the log and the ScaleIn action. Without effect
-  /// on a machine that is being returned already.
+  /// Marks a machine to be returned. `cause` is written to the log and to the ScaleIn action. Does
+  /// nothing if the machine is being returned already.
   void request_release(Machine& machine, const std::string& cause, TimePoint now);
-  /// The cloud did not confirm the return: it is requested again after a pause.
+  /// Schedules another request after the cloud has not confirmed the return.
   void release_failed(Machine& machine, TimePoint now);
 
   template <class S, class F>
@@ -48,14 +50,14 @@
  private:
   /// Boots of a machine type, as of the last check.
   struct TypeBoots {
-    std::optional<TimePoint> youngest_up;  ///< when the youngest machine that is up was requested
-    std::size_t late = 0;                  ///< machines past the usual boot patience
+    std::optional<TimePoint> youngest_up;  ///< latest request time of a machine that is up
+    std::size_t late = 0;                  ///< machines that have exceeded the usual boot timeout
   };
-  /// What the checks of all machines in one call of `watch` share.
+  /// Values that the checks of all machines in one call of `check_machines` share.
   struct Pass {
     TimePoint now;
     TimePoint last_proven;
-    bool fleet_responsive = false;  ///< false: this leader may be cut off, nothing is declared dead
+    bool fleet_responsive = false;  ///< false: this leader may be isolated, declares nothing dead
     int images_saved = 0;
   };
 
@@ -68,11 +70,12 @@
   bool is_lease_expired(const Machine& machine, TimePoint last_proven) const;
   void remove_expired_tasks(Machine& machine, TimePoint now);
   void save_images(Machine& machine, Pass& pass);
-  /// Starts and stops without an effect yet are sent again.
+  /// Sends starts and stops again whose effect was not reported yet.
   void resend_commands(const Machine& machine);
 
   Seconds boot_time_of(const Machine& machine) const;
-  /// Time after the request of a machine at which it counts as late, times `factor`.
+  /// Time from the request of a machine until it counts as late. `factor`: multiplies the boot
+  /// time.
   Seconds boot_timeout(const Machine& machine, double factor) const;
   bool is_late_to_boot(const Machine& machine, TimePoint now) const;
   void count_boots(TimePoint now);
@@ -82,7 +85,7 @@
   void declare_dead(Machine& machine, TimePoint now);
 
   void release_machines(TimePoint now);
-  /// Machines whose return is to be requested now; their next retry is scheduled.
+  /// Machines whose return is to be requested now; schedules their next retry.
   std::vector<MachineId> take_due_releases(TimePoint now);
   void push_scale_in(std::vector<MachineId> machines);
 
--- a/src/core/outbox.hpp
+++ b/src/core/outbox.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// What the parts of the controller request while an event is handled: actions for the shells, and
-/// a scheduling round because a task or capacity has appeared. Owns these requests and the count of
-/// inspections; decides nothing.
+/// Requests of the controller's parts while an event is handled: actions for the code around the
+/// controller, and a scheduling round because tasks or capacity have become available. Owns these
+/// requests and the number of machine inspections.
 #pragma once
 
 #include <utility>
@@ -10,24 +10,24 @@
 
 namespace violetpulley::core {
 
-/// Collects the effects of an event.
+/// Collects the actions that result from an event.
 class Outbox {
  public:
-  /// Adds an action; the shells carry the actions out in this order.
+  /// Adds an action; actions are carried out in the order in which they were added.
   void push_back(Action action) { actions_.push_back(std::move(action)); }
-  /// Returns the collected actions and forgets them.
+  /// Returns the collected actions and removes them.
   std::vector<Action> take() { return std::exchange(actions_, {}); }
 
   /// Requests a scheduling round soon.
   void request_scheduling_round() { scheduling_round_requested_ = true; }
-  /// A scheduling round begins, which fulfils the request.
+  /// Clears the request when a scheduling round begins.
   void scheduling_round_started() { scheduling_round_requested_ = false; }
   /// Whether a scheduling round is requested.
   bool scheduling_round_requested() const { return scheduling_round_requested_; }
 
-  /// Counts machines that were examined, to bound what events cost.
+  /// Counts machine inspections, by which tests bound the cost of an event.
   void note_inspections(std::uint64_t machines) { inspections_ += machines; }
-  /// Machines examined so far, each time counted.
+  /// Number of machine inspections so far; a machine counts once for each inspection.
   std::uint64_t inspections() const { return inspections_; }
 
   template <class S, class F>
@@ -36,7 +36,7 @@
   }
 
  private:
-  std::vector<Action> actions_;  // empty between events
+  std::vector<Action> actions_;  // empty between events, so not part of snapshots
   bool scheduling_round_requested_ = true;
   std::uint64_t inspections_ = 0;
 };
