--- a/src/core/machines/fleet.hpp
+++ b/src/core/machines/fleet.hpp
@@ -83,10 +83,9 @@
   // Agent state (HeartbeatHandler).
   std::uint64_t epoch = 0;  ///< increased by the agent when it has lost its tasks; 0: unknown
   std::uint64_t heartbeat_sequence = 0;  ///< of the newest heartbeat in this epoch
-  bool confirmed =
-      false;  ///< answered under this leader's fencing token: the task list is complete
-  TimePoint requested_at{};           ///< if unknown: when this leader first learned of the machine
-  std::optional<TimePoint> up_since;  ///< first heartbeat to this leader
+  bool confirmed = false;    ///< has answered under this leader's token: its task list is complete
+  TimePoint requested_at{};  ///< if unknown: when this leader first learned of the machine
+  std::optional<TimePoint> up_since;      ///< first heartbeat to this leader
   std::optional<TimePoint> notice_ends;   ///< when the cloud reclaims a spot machine
   std::vector<TaskStatus> task_statuses;  ///< of the newest heartbeat
   int errors = 0;                         ///< tasks that failed in a row
--- a/src/core/machines/machine_watch.cpp
+++ b/src/core/machines/machine_watch.cpp
@@ -138,7 +138,7 @@
 // The checks are independent: a machine that is silent or partitioned undergoes the later ones,
 // too.
 void MachineWatch::check_machine(Machine& machine, Pass& pass) {
-  if (pass.fleet_responsive) release_if_cut_off(machine, pass.now);
+  if (pass.fleet_responsive) release_if_partitioned(machine, pass.now);
   check_silence(machine, pass);
   if (has_unconfirmed_cancellation(machine, pass.now) || may_run_cancelled_tasks(machine, pass.now))
     request_release(machine, "with cancelled work", pass.now);
@@ -147,7 +147,7 @@
   resend_commands(machine);
 }
 
-void MachineWatch::release_if_cut_off(Machine& machine, TimePoint now) {
+void MachineWatch::release_if_partitioned(Machine& machine, TimePoint now) {
   if (reconciler_.unresponsive_too_long(machine)) declare_dead(machine, now);
   if (failure_detector_.inbound_partition_expired(machine, boot_time_of(machine), now))
     request_release(machine, "out of reach", now);
--- a/src/core/machines/machine_watch.hpp
+++ b/src/core/machines/machine_watch.hpp
@@ -63,7 +63,7 @@
 
   void check_booting_machine(Machine& machine, TimePoint now);
   void check_machine(Machine& machine, Pass& pass);
-  void release_if_cut_off(Machine& machine, TimePoint now);
+  void release_if_partitioned(Machine& machine, TimePoint now);
   void check_silence(Machine& machine, const Pass& pass);
   /// Silence after which the machine is declared dead.
   Seconds silence_limit(const Machine& machine) const;
--- a/tests/core/autoscaling/scaler_test.cpp
+++ b/tests/core/autoscaling/scaler_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The choice of instance offerings and of machines to consolidate, against small worked examples
+/// Tests of the choice of instance offerings and of the machines to consolidate, on small examples
 /// from DESIGN and the paper.
 #include <gtest/gtest.h>
 
@@ -29,11 +29,11 @@
   EXPECT_EQ(scaler.offering_of(*choice).type->name, "small");
   EXPECT_TRUE(scaler.offering_of(*choice).spot);
   EXPECT_EQ(scaler.take(*choice).size(), 8U);
-  EXPECT_FALSE(scaler.can_repeat(*choice)) << "two tasks are left, the group has eight";
+  EXPECT_FALSE(scaler.can_repeat(*choice)) << "two tasks are left, but the group has eight";
   EXPECT_EQ(scaler.take(*scaler.choose()).size(), 2U);
   EXPECT_FALSE(scaler.choose());
 
-  // A task of 16 CPUs fits only the large type; spot is barred, so nothing is left.
+  // A task of 16 CPUs fits only the large type, which is offered only as spot here.
   auto large_job = spec_of(16, 16, Seconds(10));
   large_job.spot_allowed = false;
   EXPECT_FALSE(Scaler({{&large_job, Seconds(10), {0}}}, offerings).choose());
@@ -44,8 +44,8 @@
   EXPECT_EQ(large_job_scaler.offering_of(*choice).type->name, "large");
 }
 
-// Found on a day with many small urgent tasks and large ones that fit the large type alone: the
-// first offering filled every round by itself, and no large machine was requested for two minutes.
+// Many small urgent tasks wait beside large tasks that fit only the large type. Guards against a
+// first offering that uses every round for itself: no large machine was requested for two minutes.
 TEST(Scaler, TasksOfAnExhaustedOfferingWaitUnlessAnotherOneIsAsCheap) {
   MachineType small{"small", {8, 0, 64}, 10, 1, 1.0, 0.3, Seconds(30), {"y", "z"}};
   MachineType large{"large", {64, 0, 512}, 10, 1, 9.0, 3.0, Seconds(30), {"z"}};
@@ -62,7 +62,7 @@
   scaler.take(*first);
   scaler.exhaust(*first);
   const auto second = scaler.choose();
-  EXPECT_EQ(scaler.offering_of(*second).price, 0.3) << "the same type in another zone";
+  EXPECT_EQ(scaler.offering_of(*second).price, 0.3) << "expected the same type in another zone";
   EXPECT_NE(scaler.offering_of(*second).zone, scaler.offering_of(*first).zone);
   scaler.exhaust(*second);
   const auto third = scaler.choose();
@@ -77,13 +77,14 @@
   auto& machine = machine_with(fleet, "m", 16, Seconds(100));
   EXPECT_TRUE(underused(machine, 0.5));
   EXPECT_TRUE(worth_restarting(machine, kNow, Seconds(30), Seconds(20)));
-  // After 60 s, 40 s remain: less than the 60 s that would be lost.
+  // After 60 s the remaining 40 s are less than the 60 s of run time that a restart would lose.
   EXPECT_FALSE(
       worth_restarting(machine, kNow + std::chrono::seconds(60), Seconds(30), Seconds(20)));
 }
 
-// Found by the simulation (seed 7): work that may not use spot machines waited for ever for a spot
-// offering, because expensive offerings were kept for work that had waited.
+// Expensive offerings are requested only for jobs that have waited for some time. Guards against
+// applying this rule to jobs that may not use spot machines: they would wait although no cheaper
+// offering can ever serve them.
 TEST(Controller, JobsThatMayNotUseSpotRequestOnDemandMachinesAtOnce) {
   for (const bool spot_allowed : {false, true}) {
     MachineType type{"small", {8, 0, 64}, 10, 1, 1.0, 0.3, Seconds(30), {"z"}};
--- a/tests/core/machines/ended_attempts_test.cpp
+++ b/tests/core/machines/ended_attempts_test.cpp
@@ -1,14 +1,14 @@
 /// @file
-/// Tests of attempts that have ended on a machine although their start was never answered, so that
-/// a delayed start may run them there again once the machine has lost its memory of them
+/// Tests of attempts that have ended on a machine although their start was never answered: a
+/// delayed copy of the start may run them there again once the agent has lost its tasks
 /// (docs/safety.md, "An attempt that has ended in doubt"; docs/incidents/seed-3130.md).
 #include "support/leader_with_agents.hpp"
 
 namespace violetpulley::core {
 namespace {
 
-/// Every start is carried out and none is answered. Then a task ends, its machine loses its tasks
-/// within the same agent epoch, and the start arrives once more.
+/// Agents carry out starts without answering them. Then a task ends, its agent loses its tasks
+/// within the same epoch, and a copy of the start arrives.
 class EndedAttemptsTest : public LeaderWithAgents {
  protected:
   /// The machine with the task; fails the test if there is none.
@@ -30,19 +30,19 @@
   void answer_commands(bool answers) {
     for (auto& [id, agent] : agents_) agent.answers_commands = answers;
   }
-  /// Ends a task now; returns its start command.
+  /// Ends a task now and returns its start command.
   Command end_task(Agent& agent, const TaskKey& key, bool fails = false) {
     auto& task = agent.tasks.at(key);
     task.ends = now_;
     task.fails = fails;
     return {CommandType::start, key, task.attempt, Seconds(0)};
   }
-  /// The agent is back without its tasks, in the same epoch, and then the starts arrive.
+  /// The agent forgets its ended tasks within the same epoch, then the delayed starts arrive.
   void restart_agent_and_deliver(Agent& agent, const std::vector<Command>& delayed) {
     agent.ended.clear();
     if (!agent.returned) execute(agent, delayed);
   }
-  /// How often the task is on machines that are not returned.
+  /// Number of machines with the task that are not returned.
   std::size_t copies_of(const TaskKey& task) const {
     return static_cast<std::size_t>(
         std::count_if(agents_.begin(), agents_.end(), [&](const auto& entry) {
@@ -51,7 +51,7 @@
   }
   JobRecord narrow_job(const JobId& id, TaskIndex tasks) const {
     auto record = job(id, tasks);
-    record.spec.team = "narrow";  // 8 CPUs at most, 4 each task
+    record.spec.team = "narrow";  // its limit is 8 CPUs, and each task takes 4
     return record;
   }
 };
@@ -67,7 +67,7 @@
   controller_->job_opened(narrow_job("req-2", 2), now_);
   run(Seconds(4));
   restart_agent_and_deliver(agent, {delayed});
-  EXPECT_LE(running(), 2U) << "quota: 8 CPUs at most, and each task takes 4";
+  EXPECT_LE(running(), 2U) << "quota: the limit is 8 CPUs, and each task takes 4";
 }
 
 TEST_F(EndedAttemptsTest, ATeamAtItsLimitStartsNewTasksOnceMachinesWithEndedAttemptsAreReturned) {
@@ -82,7 +82,7 @@
   EXPECT_TRUE(returned_.empty()) << release_causes_;
   controller_->job_opened(narrow_job("req-2", 2), now_);
   run(Seconds(40));
-  EXPECT_EQ(running(), 2U) << "nothing waits for 90 s beside free capacity";
+  EXPECT_EQ(running(), 2U) << "no task may wait for 90 s while there is free capacity";
 }
 
 TEST_F(EndedAttemptsTest, DoneTasksTakeNoCapacityAndReturnNoMachineBelowTheTeamLimit) {
@@ -108,7 +108,7 @@
   const Command delayed{
       CommandType::start, {"req-1", 0}, agent.tasks.begin()->second.attempt, Seconds(0)};
   controller_->job_closed("req-1", now_);
-  // The cancellation may have been confirmed a serving time (cancel - lease) before it was known.
+  // The cancellation may have been confirmed up to cancel - lease before this leader learned of it.
   run(times_.lease * 0.6);
   restart_agent_and_deliver(agent, {delayed});
   EXPECT_EQ(copies_of({"req-1", 0}), 0U) << "ran_cancelled";
@@ -127,7 +127,7 @@
   EXPECT_EQ(copies_of({"req-1", 0}), 0U) << "ran_cancelled";
 }
 
-// The cancellation won against the end of the job, which had been requested already.
+// The finish of the job was requested, but refused because the job was cancelled before.
 TEST_F(EndedAttemptsTest, ADoneTaskOfAJobWhoseFinishWasRefusedIsNotRunAgain) {
   begin(4, 0);
   run(Seconds(2));
@@ -186,7 +186,8 @@
   EXPECT_EQ(running(), 1U);
 }
 
-// The loss is noticed before the delayed start arrives: the machine lists nothing.
+// The machine reports no tasks before the delayed start arrives. This does not prove that the start
+// has no effect, so the task stays held.
 TEST_F(EndedAttemptsTest, AHeldTaskStaysHeldWhenItsMachineReportsNoTasks) {
   begin(3, 0);
   run(Seconds(2));
@@ -202,8 +203,8 @@
   EXPECT_EQ(running(), 8U);
 }
 
-// The machine runs other tasks as well: they lose at most what they have not saved, and the task
-// that has ended does not wait for their end.
+// The machine also runs long tasks. It is returned before they end, so that the held task does not
+// wait for them; they lose at most the run time since their last checkpoint.
 TEST_F(EndedAttemptsTest, AHeldTaskRestartsWithinHalfALeaseDespiteLongTasksOnItsMachine) {
   begin(3, 0);
   run(Seconds(2));
@@ -229,8 +230,8 @@
   EXPECT_TRUE(returned_.empty()) << release_causes_;
 }
 
-// With the cloud down nothing rules the delayed start out, so the task waits; it runs again soon
-// after the cloud has answered.
+// Only the return of the machine excludes the delayed start, so the task waits while the cloud does
+// not answer and restarts soon after it does.
 TEST_F(EndedAttemptsTest, AHeldTaskWaitsWhileTheCloudDoesNotAnswer) {
   begin(3, 0);
   run(Seconds(2));
@@ -246,7 +247,7 @@
   EXPECT_TRUE(returned_.contains(first->first));
 }
 
-// The machine of the done task runs nothing else of the cancelled job.
+// The machine of the done task runs no other task of the cancelled job.
 TEST_F(EndedAttemptsTest, ADoneTaskOfACancelledJobIsNotRunAgainOnAMachineWithoutOtherTasks) {
   begin(3, 0);
   run(Seconds(2));
@@ -278,7 +279,7 @@
   EXPECT_GT(running(), 3U) << "the other machine is used";
 }
 
-// A delayed start would pin the zone of the job's waiting tasks, so the machine is returned.
+// A delayed start would fix the zone of the job's waiting tasks, so the machine is returned.
 TEST_F(EndedAttemptsTest, AMachineIsReturnedIfItsEndedAttemptRestrictsTheZoneOfWaitingTasks) {
   begin(2, 0);
   run(Seconds(2));
@@ -292,7 +293,7 @@
   EXPECT_TRUE(returned_.contains(first)) << release_causes_;
 }
 
-// Each attempt in doubt stays in the agent's memory and in every heartbeat.
+// Agents remember each attempt in doubt and list it in every heartbeat, so its number is bounded.
 TEST_F(EndedAttemptsTest, AMachineWithTooManyAttemptsInDoubtIsReturned) {
   begin(1, 0);
   run(Seconds(2));
--- a/tests/core/machines/failure_detector_test.cpp
+++ b/tests/core/machines/failure_detector_test.cpp
@@ -9,7 +9,7 @@
 namespace violetpulley::core {
 namespace {
 
-/// Machines that send heartbeats and acknowledge nothing, and isolated leaders.
+/// Machines that send heartbeats but acknowledge nothing, and isolated leaders.
 class FailureDetectorTest : public LeaderWithAgents {
  protected:
   void start_tasks_on_eight_machines() {
@@ -19,8 +19,8 @@
     run(Seconds(3));
     ASSERT_EQ(running(), 32U);
   }
-  // Machine 3 receives no commands for three seconds: its starts are not answered, and their job
-  // ends.
+  // Machine 3 receives no commands for three seconds: its starts are not answered, and the job of
+  // these tasks is cancelled meanwhile.
   void cancel_while_a_start_is_delayed() {
     begin(8, 0);
     run(Seconds(2));
@@ -34,7 +34,7 @@
   }
 };
 
-// An earlier version sent the same starts once a second for as long as heartbeats came.
+// Guards against repeating the same starts once a second for as long as heartbeats arrive.
 TEST_F(FailureDetectorTest, AnUnacknowledgedMachineGetsEachStartOnlyOnce) {
   begin(10, 0);
   run(Seconds(2));
@@ -43,7 +43,7 @@
   run(Seconds(9));
   for (int i = 0; i < 2; ++i) EXPECT_LE(starts_sent_[name(i)], 4) << "each of its tasks once";
   run(Seconds(30));
-  EXPECT_EQ(running(), 32U) << "the machines that are reached are full, the others were given up";
+  EXPECT_EQ(running(), 32U) << "the reachable machines are full, the others were returned";
   EXPECT_NE(release_causes_.find("out of reach"), std::string::npos) << release_causes_;
   EXPECT_FALSE(resigned_);
 }
@@ -87,8 +87,8 @@
   EXPECT_TRUE(returned_.contains(name(3)));
 }
 
-// A hung machine does not end its tasks with its lease. With most of the fleet silent no machine is
-// returned for its silence, but machines with cancelled tasks must be.
+// A hung machine does not end its tasks when its lease ends. While most of the fleet is silent, no
+// machine is returned for its silence alone, but machines with cancelled tasks must be returned.
 TEST_F(FailureDetectorTest, HungMachinesWithCancelledTasksAreReturnedInTimeHoweverManyHang) {
   start_tasks_on_eight_machines();
   for (int i = 0; i < 5; ++i)
@@ -99,17 +99,17 @@
   for (int i = 0; i < 5; ++i) EXPECT_TRUE(returned_.contains(name(i))) << release_causes_;
 }
 
-// The start was lost or is delayed; the stop that overtook it proves nothing.
+// The start is lost or delayed. A stop that arrives before a delayed start proves nothing, so the
+// machine is returned.
 TEST_F(FailureDetectorTest, AMachineWithADelayedStartOfACancelledTaskIsReturnedInTime) {
   cancel_while_a_start_is_delayed();
-  // The cancellation may have been confirmed a serving time (cancel - lease) before it was known
-  // here.
+  // The cancellation may have been confirmed up to cancel - lease before this leader learned of it.
   run(times_.lease * 0.6);
   EXPECT_TRUE(returned_.contains(name(3))) << release_causes_;
   EXPECT_EQ(returned_.size(), 1U) << release_causes_;
 }
 
-// While the cloud does not answer, stops for the cancelled tasks are sent to the machine.
+// While the cloud does not confirm the return, stops for the cancelled tasks are still sent.
 TEST_F(FailureDetectorTest, AMachineThatIsBeingReturnedStillGetsStopsForCancelledTasks) {
   cancel_while_a_start_is_delayed();
   cloud_answers_ = false;
@@ -120,7 +120,7 @@
   EXPECT_GT(stops_sent_[name(3)], stops_before + 5);
 }
 
-// Tasks that end before the lease are worth more than an earlier return of the machine.
+// Tasks that end before the lease does are not interrupted by an earlier return of the machine.
 TEST_F(FailureDetectorTest, AnUnacknowledgedMachineIsKeptWhileItsTasksCanEndWithinTheLease) {
   begin(8, 0);
   run(Seconds(2));
@@ -135,14 +135,14 @@
   });
   ASSERT_EQ(busy->second.tasks.size(), 4U);
   busy->second.receives_commands = false;
-  controller_->job_closed("req-2", now_);  // its stop is stuck
+  controller_->job_closed("req-2", now_);  // the stop does not arrive
   run(Seconds(12));
   EXPECT_TRUE(returned_.empty()) << release_causes_;
   run(Seconds(10));
-  EXPECT_TRUE(returned_.contains(busy->first)) << "the others have ended";
+  EXPECT_TRUE(returned_.contains(busy->first)) << "the other tasks have ended";
 }
 
-// A delayed start may arrive once more: the task must not be started elsewhere meanwhile.
+// A delayed start may still arrive, so the missing task must not be started elsewhere.
 TEST_F(FailureDetectorTest, AMissingTaskWithADelayedStartRestartsOnItsMachineUnderTheSameAttempt) {
   begin(3, 0);
   run(Seconds(2));
@@ -155,19 +155,19 @@
   for (auto& [id, agent] : agents_) agent.answers_commands = true;
   run(Seconds(4));
   const auto attempt = first->second.tasks.begin()->second.attempt;
-  first->second.tasks.clear();  // the agent is back without its tasks, in the same epoch
+  first->second.tasks.clear();  // the agent has lost its tasks within the same epoch
   run(Seconds(6));
   EXPECT_EQ(running(), 1U);
-  ASSERT_EQ(first->second.tasks.size(), 1U) << "under the same attempt it has no effect there";
+  ASSERT_EQ(first->second.tasks.size(), 1U)
+      << "a delayed start of this attempt has no effect there";
   EXPECT_EQ(first->second.tasks.begin()->second.attempt, attempt);
 }
 
-// A task ends on a machine whose start was never answered, and runs elsewhere. Then the machine is
-// back without its tasks in the same epoch, and the delayed start runs the ended attempt beside the
-// new one (ran_twice, quota). The agent's memory of the attempt was the only guard against a
-// repeated start, and it is lost with the tasks; the task is held now until the machine is returned
-// or has a new epoch. Shown by seed 3130 of CorrelatedFaults (docs/incidents/seed-3130.md); further
-// cases are in ended_attempts_test.cpp.
+// A task ends on a machine that never answered its start, and restarts elsewhere. If the agent then
+// loses its tasks and its memory of the attempt within the same epoch, a delayed start runs the
+// ended attempt beside the new one (ran_twice, quota). So the task is held until the machine is
+// returned or has a new epoch (docs/incidents/seed-3130.md). ended_attempts_test.cpp has further
+// cases.
 TEST_F(FailureDetectorTest, ADelayedStartOnAMachineThatLostItsTasksRunsNoTaskTwice) {
   begin(2, 0);
   run(Seconds(2));
@@ -203,8 +203,9 @@
   EXPECT_LT(resigned_->first - partitioned_at, seconds(12));
 }
 
-// Found by inc-c2d3: a leader cut off from its agents returned nine healthy machines, those with
-// the oldest heartbeats, before it noticed after ten seconds that no heartbeats came at all.
+// Guards against an isolated leader that returns healthy machines, those with the oldest heartbeats
+// first, before it notices that it receives no heartbeats at all. In docs/incidents/inc-c2d3.md it
+// returned nine machines within ten seconds.
 TEST_F(FailureDetectorTest, AnIsolatedLeaderResignsBeforeItReturnsAnyMachine) {
   heartbeat_interval_ = Seconds(5);
   begin(40, 0);
@@ -218,7 +219,7 @@
   EXPECT_TRUE(returned_.empty()) << release_causes_;
 }
 
-// An isolated leader that may not resign waits, and must not return its whole fleet one by one.
+// An isolated leader that may not resign must wait and not return its machines one by one.
 TEST_F(FailureDetectorTest, AnIsolatedLeaderThatMayNotResignReturnsNoMachine) {
   heartbeat_interval_ = Seconds(5);
   resigns_when_isolated_ = false;
@@ -228,15 +229,16 @@
   run(Seconds(50));
   EXPECT_FALSE(resigned_);
   EXPECT_TRUE(returned_.empty()) << release_causes_;
-  // At the end of the partition the heartbeats return one by one: found by hunt-fa96, where the
-  // machines without a heartbeat yet were returned as silent, and the others as unacknowledged.
+  // At the end of the partition the heartbeats resume one by one. Machines without a heartbeat yet
+  // must not be returned as silent, nor the others as unacknowledged (docs/incidents/hunt-fa96.md).
   for (auto& [id, agent] : agents_) agent.sends_heartbeats = agent.receives_commands = true;
   run(Seconds(12));
   EXPECT_TRUE(returned_.empty()) << release_causes_;
 }
 
-// Found by hunt-fa96: isolated for the second time within three minutes, a leader stayed for 50 s,
-// and all tasks ended with their leases, while agents sent heartbeats to its peers.
+// Guards against a leader that does not resign when it is isolated a second time within three
+// minutes while agents send heartbeats to its peers. It stayed for 50 s, and all tasks ended with
+// their leases (docs/incidents/hunt-fa96.md).
 TEST_F(FailureDetectorTest, ALeaderThatResignedRecentlyResignsAgainIfPeersReceiveHeartbeats) {
   resigns_when_isolated_ = false;
   begin(40, 0);
@@ -250,7 +252,7 @@
   EXPECT_EQ(resigned_->second, "no machine is heard from");
 }
 
-// While the leader may not serve no heartbeats are accepted; afterwards they return one by one.
+// While the leader may not serve, it accepts no heartbeats; afterwards they resume one by one.
 TEST_F(FailureDetectorTest, TimeInWhichHeartbeatsAreNotAcceptedCountsAsSilenceOfNoMachine) {
   begin(20, 0);
   run(Seconds(5));
@@ -268,8 +270,8 @@
   EXPECT_FALSE(resigned_);
 }
 
-// Copies of heartbeats of the same epoch and of an earlier one. The next tests have copies of a
-// machine that was returned, by this leader and by an older one.
+// Copies of heartbeats of the same epoch and of an earlier one. The next two tests send copies from
+// machines that were returned by this leader and by a former one.
 TEST_F(FailureDetectorTest, DelayedCopiesOfHeartbeatsChangeNoMachineAndGetNoCommands) {
   begin(3, 0);
   run(Seconds(2));
@@ -282,7 +284,7 @@
   controller_->heartbeat(early, now_);
   EXPECT_EQ(*controller_->fleet().find(name(0))->last_heartbeat, before);
   EXPECT_TRUE(controller_->response_commands(early).empty())
-      << "the stops are for the newest report's answer";
+      << "stops are sent only in the answer to the newest heartbeat";
   // An earlier epoch.
   ++agents_[name(0)].epoch;
   agents_[name(0)].heartbeat_sequence += 5;
@@ -298,7 +300,7 @@
   const auto copy = heartbeat_of(name(0));
   controller_->scale_in_answered({name(0)}, true, now_);
   agents_[name(0)].returned = true;
-  run(Seconds(200));  // an earlier version remembered the machine for 90 s
+  run(Seconds(200));  // copies may arrive long after the return
   saved_machines_.clear();
   controller_->heartbeat(copy, now_);
   EXPECT_EQ(controller_->fleet().find(name(0)), nullptr);
@@ -306,8 +308,8 @@
   EXPECT_FALSE(saved_machines_.contains(name(0)));
 }
 
-// The first heartbeat that a new leader gets may be the copy of one from a machine that an older
-// leader returned: its task has been started elsewhere, or has to be.
+// The first heartbeat of a machine to a new leader may be a copy from a machine that a former
+// leader has returned. Tasks that it lists as running run elsewhere or have to be restarted.
 TEST_F(FailureDetectorTest, AFirstHeartbeatThatMayBeACopyProvesOnlyWhichTasksEnded) {
   begin(2, 2, 1);
   Heartbeat copy{"m900", "m900", "bench", "a", true, 1, 80, kToken - 1, {}, {}};
@@ -316,13 +318,13 @@
   controller_->heartbeat(copy, now_);
   EXPECT_EQ(controller_->jobs().at("req-1").done, 1U);
   run(Seconds(3));
-  EXPECT_EQ(running(), 1U) << "the other one runs where it is reached";
+  EXPECT_EQ(running(), 1U) << "the other task runs on a reachable machine";
   EXPECT_FALSE(saved_machines_.contains("m900")) << "the next leader must not wait for it";
   EXPECT_EQ(starts_sent_["m900"], 0);
   EXPECT_EQ(controller_->recovering(), false);
 }
 
-// Heartbeats that PROTOCOL does not allow change no other machine and start nothing.
+// Heartbeats that PROTOCOL does not allow affect no other machine and start no tasks.
 TEST_F(FailureDetectorTest, AHeartbeatOfAnUnknownTypeGetsNoTasksAndOneOfAnEarlierEpochIsIgnored) {
   begin(2, 0);
   run(Seconds(2));
@@ -348,9 +350,9 @@
   EXPECT_EQ(running(), 12U);
 }
 
-// Agents that open no connection to any controller, while commands arrive there: their leases end,
-// whatever they answer. Found by reading the code: a response to commands counted as a periodic
-// heartbeat, so such a machine counted as healthy for ever, and got new tasks after each lease.
+// Agents that cannot connect to any controller but receive commands and answer them. Their leases
+// end, since a response to commands renews no lease. If the response counted as a periodic
+// heartbeat, such a machine would count as healthy for ever and get new tasks after each lease.
 class OutboundPartition : public FailureDetectorTest {
  protected:
   void set_outbound_partitioned(int first, int last, bool partitioned = true) {
@@ -371,10 +373,10 @@
   EXPECT_TRUE(returned_.empty()) << release_causes_;
   controller_->job_opened(job("req-2", 8), now_);
   run(times_.lease + Seconds(4));
-  EXPECT_EQ(starts_sent_to(0, 2), 0) << "all that starts there ends with the lease";
+  EXPECT_EQ(starts_sent_to(0, 2), 0) << "all tasks that start there end with the lease";
   EXPECT_EQ(returned_, (std::set<MachineId>{name(0), name(1)})) << release_causes_;
   EXPECT_NE(release_causes_.find("not reporting"), std::string::npos) << release_causes_;
-  EXPECT_EQ(running(), 24U) << "the others go on";
+  EXPECT_EQ(running(), 24U) << "the tasks on the other machines keep running";
   EXPECT_FALSE(resigned_);
 }
 
@@ -401,7 +403,8 @@
   EXPECT_EQ(running(), 0U);
 }
 
-// A partition of all agents: returning the fleet gains nothing, and no peer gets heartbeats either.
+// All agents are partitioned and no peer receives heartbeats, so that neither a return of the fleet
+// nor another leader would help.
 TEST_F(OutboundPartition, ManyMachinesAtOnceAreKeptAndTheLeaderDoesNotResign) {
   idle_wait_ = Seconds(15);  // the machines must not be returned as idle either
   start_tasks_on_eight_machines();
@@ -409,14 +412,14 @@
   run(times_.lease + Seconds(25));
   EXPECT_TRUE(returned_.empty()) << release_causes_;
   EXPECT_FALSE(resigned_);
-  EXPECT_EQ(running(), 0U) << "their leases have ended, and nothing was started anew";
+  EXPECT_EQ(running(), 0U) << "the leases have ended, and no task was restarted";
   set_outbound_partitioned(0, 8, false);
   run(Seconds(8));
   EXPECT_EQ(running(), 32U);
   EXPECT_TRUE(returned_.empty()) << release_causes_;
 }
 
-// Idle machines whose leases cannot be renewed cost money.
+// Machines whose leases cannot be renewed run no tasks but are paid for.
 TEST_F(OutboundPartition, MachinesOfAMassPartitionAreReturnedAfterTheLeaseAndABootTime) {
   start_tasks_on_eight_machines();
   set_outbound_partitioned(0, 4);
@@ -439,7 +442,7 @@
   EXPECT_TRUE(returned_.empty()) << release_causes_;
 }
 
-// A response to commands confirms the machine and renews no lease.
+// A response to commands confirms the machine but renews no lease.
 TEST_F(OutboundPartition, MachinesPartitionedBeforeAFailoverGetNoTasks) {
   begin(8, 0);
   set_outbound_partitioned(0, 2);
@@ -452,7 +455,7 @@
   EXPECT_EQ(running(), 24U);
 }
 
-// Jobs submitted with a mistake fail on every machine until their user cancels them.
+// Jobs with an error in their definition fail on every machine until their user cancels them.
 class FaultyJobs : public LeaderWithAgents {};
 
 TEST_F(FaultyJobs, AreRetriedOneTaskAtATimeAndReturnNoHealthyMachine) {
@@ -465,16 +468,16 @@
   run(Seconds(20));
   controller_->job_opened(healthy, now_);
   run(Seconds(400));
-  EXPECT_LT(task_failures_, 40) << "each of a dozen retries would have cost all of its eight tasks";
-  EXPECT_GT(task_failures_, 12) << "it is still tried";
-  EXPECT_GE(suspicions_, 3U) << "and the log says so, once for each longer pause";
+  EXPECT_LT(task_failures_, 40) << "a dozen retries of all eight tasks would fail 96 times";
+  EXPECT_GT(task_failures_, 12) << "the job is still retried";
+  EXPECT_GE(suspicions_, 3U) << "the job is logged as suspected once for each longer pause";
   EXPECT_LE(suspicions_, 7U);
   EXPECT_EQ(release_causes_.find("sick"), std::string::npos) << release_causes_;
   EXPECT_EQ(scale_outs_, 0U);
   EXPECT_TRUE(done_.contains("req-2"));
 }
 
-// Failures on some machines do not make a job faulty while its tasks run on other machines.
+// Failures on some machines do not make a job suspected while its tasks run on other machines.
 TEST_F(FaultyJobs, AreNotInferredFromAFewFaultyMachines) {
   begin(8, 0);
   for (int i = 0; i < 3; ++i) agents_[name(i)].faulty = true;
@@ -487,9 +490,9 @@
   EXPECT_EQ(suspicions_, 0U);
 }
 
-// Found by seed 3917 of CorrelatedFaults (139.2 s beside free capacity): a service that had failed
-// on faulty machines stayed suspected for ever, since a replica never ends, so its other replicas
-// were never started. The same holds an array back for as long as its first task runs.
+// Guards against a service that has failed on faulty machines and stays suspected for ever because
+// a replica never ends, so that its other replicas never start. In the same way, an array would
+// wait for as long as its first task runs.
 TEST_F(FaultyJobs, ASuspectedJobStartsItsOtherTasksWhileItsFirstTaskKeepsRunning) {
   for (const auto shape : {Shape::service, Shape::array}) {
     begin(8, 0);
@@ -503,16 +506,17 @@
     run(Seconds(20));
     ASSERT_GT(suspicions_, 0U);
     faulty_jobs_.clear();
-    run(kLongestPause);  // the longest pause before the next try
+    run(kLongestPause);  // the longest pause before a retry
     const auto first = running();
     ASSERT_GT(first, 0U);
     run(Seconds(90));
-    EXPECT_EQ(running(), 4U) << "a task waits for 90 s beside free capacity";
+    EXPECT_EQ(running(), 4U) << "no task may wait for 90 s while there is free capacity";
     for (auto& [machine, agent] : agents_) agent = {};
   }
 }
 
-// A machine that is returned and requested anew starts its boot from the beginning.
+// Late boots. A machine that is requested in place of a late one starts its boot from the
+// beginning.
 class LateBoots : public FailureDetectorTest {
  protected:
   void add_booting_machine(const MachineId& id, Seconds ago) {
@@ -535,7 +539,7 @@
   add_booting_machine("b5", Seconds(5));
   agents_["b5"].lease_renewed_at = now_;
   run(Seconds(4));
-  EXPECT_EQ(returned_.size(), 4U) << "a younger one is up: " << release_causes_;
+  EXPECT_EQ(returned_.size(), 4U) << "a machine requested later is up: " << release_causes_;
 }
 
 }  // namespace
--- a/tests/core/scale_test.cpp
+++ b/tests/core/scale_test.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// Several hundred machines that come up in a wave, with the budgets of a small state service. The
-/// tests count operations, never time: neither writes nor work per event may grow with the fleet.
+/// Several hundred machines boot within a few seconds, with the write limits of a small state
+/// service. The tests count operations instead of measuring time: neither writes nor inspections
+/// per event may grow with the fleet.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -15,7 +16,7 @@
 using std::chrono::milliseconds;
 using store::WritePriority;
 
-/// What a run has cost.
+/// The result of a run and the operations that it took.
 struct Outcome {
   std::uint64_t events = 0;  // heartbeats, responses to commands, jobs
   std::uint64_t inspections = 0;
@@ -24,7 +25,7 @@
   std::optional<Seconds> all_registered;
 };
 
-/// A controller with simulated agents and a state service that is limited to 30 changes a second.
+/// A controller with simulated agents and a state service that takes 30 changes a second.
 class FleetRun {
  public:
   explicit FleetRun(int machines)
@@ -40,7 +41,7 @@
     const auto start = now_;
     for (int step = 0; step < 900; ++step) {
       now_ += milliseconds(100);
-      // As many arrays as the fleet can run, so that a larger fleet has more to do each second.
+      // The number of arrays is proportional to the fleet, so that a larger fleet has more events.
       if (step % 10 == 0 && step < 600)
         for (int i = 0; i < machines_ / 50; ++i) submit();
       if (step < machines_ && agents_.size() < static_cast<std::size_t>(machines_))
@@ -193,22 +194,23 @@
   Outcome outcome_;
 };
 
-// Found when the deployments grew: one key for each machine and one progress change a second for
-// every running array kept machines unregistered for minutes; inspecting the whole fleet for every
-// waiting task used up the processor.
+// Guards against two costs that grow with the fleet. One key for each machine and one progress
+// change a second for each running array kept machines unregistered for minutes; inspecting the
+// whole fleet for each waiting task used up the processor.
 TEST(Scale, WritesAndInspectionsPerEventDoNotGrowWithTheFleet) {
   const auto small_fleet = FleetRun(100).run();
   const auto large_fleet = FleetRun(600).run();
   ASSERT_GT(small_fleet.done, 50U);
   EXPECT_GT(large_fleet.done, small_fleet.done * 5);
-  // All machines are registered soon after the wave (5 s of boots), however many they are.
+  // All machines are registered soon after the last boot at 5 s, whatever their number.
   ASSERT_TRUE(small_fleet.all_registered && large_fleet.all_registered);
   EXPECT_LT(*large_fleet.all_registered, Seconds(10));
-  // Pages: six times the machines and arrays take far fewer than six times the changes, beyond the
-  // two that each finished job needs.
+  // Records are packed into pages: six times the machines and arrays must take far fewer than six
+  // times the changes, without the two changes that each finished job needs.
   const auto page_writes = [](const Outcome& o) { return o.changes - 2 * o.done; };
   EXPECT_LT(page_writes(large_fleet), page_writes(small_fleet) * 4);
-  EXPECT_LT(page_writes(large_fleet), 90U * 15) << "a second's share of the budget";
+  EXPECT_LT(page_writes(large_fleet), 90U * 15)
+      << "at most 15 of the 30 changes per second, over 90 s";
   const auto inspections_per_event = [](const Outcome& o) {
     return static_cast<double>(o.inspections) / static_cast<double>(o.events);
   };
