--- a/tests/core/machines/failure_detector_test.cpp
+++ b/tests/core/machines/failure_detector_test.cpp
@@ -284,7 +284,7 @@
   controller_->heartbeat(early, now_);
   EXPECT_EQ(*controller_->fleet().find(name(0))->last_heartbeat, before);
   EXPECT_TRUE(controller_->response_commands(early).empty())
-      << "stops are sent only in the answer to the newest heartbeat";
+      << "the answer to an outdated report carries no stops";
   // An earlier epoch.
   ++agents_[name(0)].epoch;
   agents_[name(0)].heartbeat_sequence += 5;
@@ -373,7 +373,7 @@
   EXPECT_TRUE(returned_.empty()) << release_causes_;
   controller_->job_opened(job("req-2", 8), now_);
   run(times_.lease + Seconds(4));
-  EXPECT_EQ(starts_sent_to(0, 2), 0) << "all tasks that start there end with the lease";
+  EXPECT_EQ(starts_sent_to(0, 2), 0) << "a task that starts there ends with the lease";
   EXPECT_EQ(returned_, (std::set<MachineId>{name(0), name(1)})) << release_causes_;
   EXPECT_NE(release_causes_.find("not reporting"), std::string::npos) << release_causes_;
   EXPECT_EQ(running(), 24U) << "the tasks on the other machines keep running";
--- a/tests/core/scale_test.cpp
+++ b/tests/core/scale_test.cpp
@@ -210,7 +210,7 @@
   const auto page_writes = [](const Outcome& o) { return o.changes - 2 * o.done; };
   EXPECT_LT(page_writes(large_fleet), page_writes(small_fleet) * 4);
   EXPECT_LT(page_writes(large_fleet), 90U * 15)
-      << "at most 15 of the 30 changes per second, over 90 s";
+      << "the share of the budget is 15 of the 30 changes per second, over 90 s";
   const auto inspections_per_event = [](const Outcome& o) {
     return static_cast<double>(o.inspections) / static_cast<double>(o.events);
   };
