--- a/tests/core/machines/ended_attempts_test.cpp
+++ b/tests/core/machines/ended_attempts_test.cpp
@@ -67,7 +67,7 @@
   controller_->job_opened(narrow_job("req-2", 2), now_);
   run(Seconds(4));
   restart_agent_and_deliver(agent, {delayed});
-  EXPECT_LE(running(), 2U) << "quota: the limit is 8 CPUs, and each task takes 4";
+  EXPECT_LE(running(), 2U) << "quota: 8 CPUs at most, and each task takes 4";
 }
 
 TEST_F(EndedAttemptsTest, ATeamAtItsLimitStartsNewTasksOnceMachinesWithEndedAttemptsAreReturned) {
