--- a/tests/core/machines/failure_detector_test.cpp
+++ b/tests/core/machines/failure_detector_test.cpp
@@ -492,7 +492,7 @@
 
 // Guards against a service that has failed on faulty machines and stays suspected for ever because
 // a replica never ends, so that its other replicas never start. In the same way, an array would
-// wait for as long as its first task runs.
+// wait for as long as its first task runs (docs/incidents/seed-3917.md).
 TEST_F(FaultyJobs, ASuspectedJobStartsItsOtherTasksWhileItsFirstTaskKeepsRunning) {
   for (const auto shape : {Shape::service, Shape::array}) {
     begin(8, 0);
