--- a/src/core/autoscaling/instance_offerings.cpp
+++ b/src/core/autoscaling/instance_offerings.cpp
@@ -26,7 +26,8 @@
         const double price = spot ? type.spot_price : type.price;
         if (price > 0) offerings.push_back({&type, zone, spot, price});
       }
-  // Of offerings that score alike the first one is chosen: zones take turns.
+  // The first one of several offerings with equal scores is chosen, so this order makes zones
+  // alternate.
   std::stable_sort(offerings.begin(), offerings.end(),
                    [&](const InstanceOffering& a, const InstanceOffering& b) {
                      return last_requested(key_of(a)) < last_requested(key_of(b));
@@ -34,11 +35,11 @@
   return offerings;
 }
 
-bool InstanceOfferings::can_scale_out(const JobSpec& spec, const std::string& region,
+bool InstanceOfferings::can_scale_out(const JobSpec& spec, const std::string& zone,
                                       TimePoint now) const {
   const auto offerings = available(now);
   return std::any_of(offerings.begin(), offerings.end(), [&](const InstanceOffering& offering) {
-    return (region.empty() || offering.zone == region) &&
+    return (zone.empty() || offering.zone == zone) &&
            allowed_on(spec, offering.type->name, offering.zone, offering.spot) &&
            spec.per_task.fits_in(offering.type->capacity);
   });
--- a/src/core/autoscaling/scale_out_planner.cpp
+++ b/src/core/autoscaling/scale_out_planner.cpp
@@ -10,15 +10,14 @@
 
 constexpr std::size_t kMaxMachinesPerRequest = 50;  // PROTOCOL, POST /rentals
 
-/// How long an offering is not requested after an answer that tells nothing about its capacity, or
-/// after none.
+/// Cooldown of an offering after an answer that says nothing about its capacity, or after none.
 constexpr Seconds kUnclearAnswerCooldown{3};
 
 bool has_longer_estimate(const ScalerJob& a, const ScalerJob& b) { return a.estimate > b.estimate; }
 
 bool ranks_before(const ScaleOutGroup& a, const ScaleOutGroup& b) { return a.rank < b.rank; }
 
-/// Whether the request has brought a machine for the group at this index.
+/// Whether the cloud has granted a machine for the group at this index.
 bool is_granted(const ScaleOutResult& answer, std::size_t group) {
   return answer.kind == ScaleOutResult::Kind::granted && group < answer.machines.size();
 }
@@ -26,10 +25,10 @@
 }  // namespace
 
 void ScaleOutPlanner::round(const std::vector<Candidate>& queue, TimePoint now) {
-  if (now - last_scale_ < to_duration(settings_.tuning.round_interval)) return;
+  if (now - last_planned_at_ < to_duration(settings_.tuning.round_interval)) return;
   auto unplaced = unplaced_tasks(queue);
   if (unplaced.empty() && !scarcity_.has_gangs()) return;
-  last_scale_ = now;
+  last_planned_at_ = now;
   auto plan = plan_for_tasks(std::move(unplaced), now);
   gang_scheduler_.add_scale_out_groups(queue, plan, now);
   send_plan(plan, now);
@@ -37,7 +36,7 @@
 
 std::vector<ScalerJob> ScaleOutPlanner::unplaced_tasks(const std::vector<Candidate>& queue) const {
   std::vector<ScalerJob> unplaced;
-  // No machines are requested for tasks that their team's quota would not let start.
+  // No machines are requested for tasks that cannot start because of their team's quota.
   std::map<std::string, Resources> quota_left_by_team;
   for (const auto& candidate : queue) {
     const auto& job = *candidate.job;
@@ -96,8 +95,9 @@
 bool ScaleOutPlanner::may_use_offering(const JobSpec& spec, const InstanceOffering& offering,
                                        TimePoint now) const {
   const auto& job = jobs_.at(spec.id);
-  // Exception to the design: an expensive offering is requested only for work that has waited,
-  // since capacity on a cheap machine may come first (docs/design.md, "Expensive machines last").
+  // Exception to the design: for a job that may use spot machines, an expensive offering is
+  // requested only after `on_demand_wait`, since capacity on a cheap machine may become
+  // available earlier (docs/design.md, "Expensive machines last").
   const bool waited =
       !spec.spot_allowed || forecaster_.age(job, now) > settings_.tuning.on_demand_wait;
   return (waited || !catalog_.expensive(offering.type->name, offering.spot)) &&
@@ -114,11 +114,11 @@
                 });
   ScaleOutPlan plan;
   while (const auto choice = scaler.choose()) {
-    const auto& offering = scaler.option(*choice);
+    const auto& offering = scaler.offering_of(*choice);
     auto& groups = plan[{offering.type->name, offering.zone, offering.spot}];
     do {
       groups.push_back(group_of(scaler.take(*choice)));
-    } while (groups.size() < kMaxMachinesPerRequest && scaler.repeats(*choice));
+    } while (groups.size() < kMaxMachinesPerRequest && scaler.can_repeat(*choice));
     if (groups.size() >= kMaxMachinesPerRequest) scaler.exhaust(*choice);
   }
   return plan;
@@ -132,8 +132,8 @@
   return group;
 }
 
-// Requests are few a second: the offering that was requested longest ago comes first, so that no
-// offering waits for ever behind another one that fills one request after the other.
+// The rate limit permits few requests per second. The least recently requested offering is first,
+// so that an offering that fills every request does not keep the others waiting for ever.
 void ScaleOutPlanner::send_plan(ScaleOutPlan& plan, TimePoint now) {
   std::vector<OfferingKey> order;
   for (const auto& [offering, groups] : plan) order.push_back(offering);
@@ -143,7 +143,7 @@
   for (const auto& offering : order) {
     auto& groups = plan.at(offering);
     if (!rate_.take(now)) break;
-    // Where fewer machines come than were requested, the first groups get them.
+    // If the cloud grants fewer machines than were requested, the first groups get them.
     std::stable_sort(groups.begin(), groups.end(), ranks_before);
     if (groups.size() > kMaxMachinesPerRequest) groups.resize(kMaxMachinesPerRequest);
     send(offering, std::move(groups), now);
@@ -152,7 +152,7 @@
 
 void ScaleOutPlanner::send(const OfferingKey& offering, std::vector<ScaleOutGroup> groups,
                            TimePoint now) {
-  offerings_.note_requested(offering, now);
+  offerings_.record_request(offering, now);
   PendingScaleOut pending;
   pending.request = {next_request_name(), offering.type, offering.zone, offering.spot,
                      static_cast<int>(groups.size())};
@@ -166,7 +166,7 @@
   requests_in_flight_.emplace(pending.request.name, std::move(pending));
 }
 
-// The fencing token and a counter make the name: no other request ever has it.
+// The name consists of the fencing token and a counter, so it is unique over all leaders.
 std::string ScaleOutPlanner::next_request_name() {
   return "r-" + std::to_string(token_) + "-" + std::to_string(next_request_++);
 }
@@ -177,7 +177,7 @@
   if (found == requests_in_flight_.end()) return;
   auto pending = std::move(found->second);
   requests_in_flight_.erase(found);
-  note_cooldown(pending, answer, now);
+  update_cooldown(pending, answer, now);
   for (std::size_t index = 0; index < pending.groups.size(); ++index) {
     auto& group = pending.groups[index];
     gang_scheduler_.request_answered(group.gang, group.slots);
@@ -189,14 +189,14 @@
     gang_scheduler_.machine_granted(group.gang, machine);
     bindings_.rebind(std::move(group.tasks), name, machine.id);
   }
-  last_scale_ = now - to_duration(settings_.tuning.round_interval);
-  out_.want_placing();
+  last_planned_at_ = now - to_duration(settings_.tuning.round_interval);
+  out_.request_scheduling_round();
 }
 
-// A refused offering has a cooldown and others are tried. With no answer, machines that were
-// granted after all will appear in the cloud's list.
-void ScaleOutPlanner::note_cooldown(const PendingScaleOut& pending, const ScaleOutResult& answer,
-                                    TimePoint now) {
+// A cooldown excludes a refused offering, so that others are tried. If a request was not answered,
+// machines that were granted nevertheless will appear in the cloud's list.
+void ScaleOutPlanner::update_cooldown(const PendingScaleOut& pending, const ScaleOutResult& answer,
+                                      TimePoint now) {
   const auto& request = pending.request;
   const OfferingKey offering{request.type, request.zone, request.spot};
   const auto& refused_cooldown = settings_.tuning.refused_cooldown;
@@ -216,7 +216,7 @@
   machine.type = pending.request.type;
   machine.zone = pending.request.zone;
   machine.spot = pending.request.spot;
-  machine.since = pending.sent;
+  machine.requested_at = pending.sent;
   catalog_.apply(machine);
   registry_.save(machine);
   return machine;
--- a/src/core/failover/task_exit_handler.cpp
+++ b/src/core/failover/task_exit_handler.cpp
@@ -16,7 +16,7 @@
 void TaskExitHandler::handle(Machine& machine, const TaskStatus& status, TimePoint now) {
   const auto assignment = machine.tasks.at(status.task);
   assignments_.drop(machine, status.task, now, status.checkpoint_saved);
-  out_.want_placing();
+  out_.request_scheduling_round();
   const auto found = jobs_.find(status.task.job);
   if (found == jobs_.end()) {
     const auto task = assignment.orphaned ? EndedTask::cancelled : EndedTask::done;
@@ -57,7 +57,7 @@
   // The task stays assigned to its machine until a delayed start is ruled out.
   if (keep_if_in_doubt(machine, status, assignment, EndedTask::held, now))
     out_.push_back(
-        TaskHeld{status.task, machine.id, status.attempt, settling_time(settings_.workers)});
+        TaskHeld{status.task, machine.id, status.attempt, max_retiring_time(settings_.workers)});
   else
     job.set_waiting(status.task.index);
 }
--- a/tests/core/machines/ended_attempts_test.cpp
+++ b/tests/core/machines/ended_attempts_test.cpp
@@ -1,15 +1,15 @@
 /// @file
-/// Tests of attempts that have ended on a machine although their start was never answered, so that
-/// a delayed start may run them there again once the machine has lost its memory of them
+/// Tests of attempts that have ended on a machine although their start was never answered: a
+/// delayed copy of the start may run them there again once the agent has lost its tasks
 /// (docs/safety.md, "An attempt that has ended in doubt"; docs/incidents/seed-3130.md).
 #include "support/leader_with_agents.hpp"
 
 namespace violetpulley::core {
 namespace {
 
-/// Every start is carried out and none is answered. Then a task ends, its machine loses its tasks
-/// within the same agent epoch, and the start arrives once more.
-class EndedAttempts : public LeaderWithAgents {
+/// Agents carry out starts without answering them. Then a task ends, its agent loses its tasks
+/// within the same epoch, and a copy of the start arrives.
+class EndedAttemptsTest : public LeaderWithAgents {
  protected:
   /// The machine with the task; fails the test if there is none.
   std::map<MachineId, Agent>::iterator machine_of(const TaskKey& task) {
@@ -30,19 +30,19 @@
   void answer_commands(bool answers) {
     for (auto& [id, agent] : agents_) agent.answers_commands = answers;
   }
-  /// Ends a task now; returns its start command.
+  /// Ends a task now and returns its start command.
   Command end_task(Agent& agent, const TaskKey& key, bool fails = false) {
     auto& task = agent.tasks.at(key);
     task.ends = now_;
     task.fails = fails;
     return {CommandType::start, key, task.attempt, Seconds(0)};
   }
-  /// The agent is back without its tasks, in the same epoch, and then the starts arrive.
-  void forget_and_deliver(Agent& agent, const std::vector<Command>& delayed) {
+  /// The agent forgets its ended tasks within the same epoch, then the delayed starts arrive.
+  void restart_agent_and_deliver(Agent& agent, const std::vector<Command>& delayed) {
     agent.ended.clear();
     if (!agent.returned) execute(agent, delayed);
   }
-  /// How often the task is on machines that are not returned.
+  /// Number of machines with the task that are not returned.
   std::size_t copies_of(const TaskKey& task) const {
     return static_cast<std::size_t>(
         std::count_if(agents_.begin(), agents_.end(), [&](const auto& entry) {
@@ -51,12 +51,12 @@
   }
   JobRecord narrow_job(const JobId& id, TaskIndex tasks) const {
     auto record = job(id, tasks);
-    record.spec.team = "narrow";  // 8 CPUs at most, 4 each task
+    record.spec.team = "narrow";  // its limit is 8 CPUs, and each task takes 4
     return record;
   }
 };
 
-TEST_F(EndedAttempts, ADoneTaskThatMayBeStartedAgainCountsAgainstItsTeamsLimit) {
+TEST_F(EndedAttemptsTest, ADoneTaskThatMayBeStartedAgainCountsAgainstItsTeamsLimit) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(narrow_job("req-1", 2));
@@ -66,11 +66,11 @@
   run(Seconds(4));
   controller_->job_opened(narrow_job("req-2", 2), now_);
   run(Seconds(4));
-  forget_and_deliver(agent, {delayed});
+  restart_agent_and_deliver(agent, {delayed});
   EXPECT_LE(running(), 2U) << "quota: 8 CPUs at most, and each task takes 4";
 }
 
-TEST_F(EndedAttempts, ATeamAtItsLimitGetsItBackWithoutLosingMoreThanTheMachine) {
+TEST_F(EndedAttemptsTest, ATeamAtItsLimitStartsNewTasksOnceMachinesWithEndedAttemptsAreReturned) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(narrow_job("req-1", 2));
@@ -82,10 +82,10 @@
   EXPECT_TRUE(returned_.empty()) << release_causes_;
   controller_->job_opened(narrow_job("req-2", 2), now_);
   run(Seconds(40));
-  EXPECT_EQ(running(), 2U) << "nothing waits for 90 s beside free capacity";
+  EXPECT_EQ(running(), 2U) << "no task may wait for 90 s while there is free capacity";
 }
 
-TEST_F(EndedAttempts, DoneTasksHoldNothingUpAndReturnNothingWhileTheirTeamHasRoom) {
+TEST_F(EndedAttemptsTest, DoneTasksTakeNoCapacityAndReturnNoMachineBelowTheTeamLimit) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 8));
@@ -100,7 +100,7 @@
   EXPECT_TRUE(returned_.empty()) << release_causes_;
 }
 
-TEST_F(EndedAttempts, ACancelledTaskIsSettledInTimeAfterItHasEnded) {
+TEST_F(EndedAttemptsTest, ACancelledTaskThatHasEndedIsNotRunAgainByADelayedStart) {
   begin(4, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 1));
@@ -108,13 +108,13 @@
   const Command delayed{
       CommandType::start, {"req-1", 0}, agent.tasks.begin()->second.attempt, Seconds(0)};
   controller_->job_closed("req-1", now_);
-  // The cancellation may have been confirmed a serving time (cancel - lease) before it was known.
+  // The cancellation may have been confirmed up to cancel - lease before this leader learned of it.
   run(times_.lease * 0.6);
-  forget_and_deliver(agent, {delayed});
+  restart_agent_and_deliver(agent, {delayed});
   EXPECT_EQ(copies_of({"req-1", 0}), 0U) << "ran_cancelled";
 }
 
-TEST_F(EndedAttempts, ADoneTaskOfAJobThatIsCancelledLaterIsSettledInTime) {
+TEST_F(EndedAttemptsTest, ADoneTaskOfAJobThatIsCancelledLaterIsNotRunAgain) {
   begin(4, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 2));
@@ -123,12 +123,12 @@
   run(Seconds(30));
   controller_->job_closed("req-1", now_);
   run(times_.lease * 0.6);
-  forget_and_deliver(agent, {delayed});
+  restart_agent_and_deliver(agent, {delayed});
   EXPECT_EQ(copies_of({"req-1", 0}), 0U) << "ran_cancelled";
 }
 
-// The cancellation won against the end of the job, which had been requested already.
-TEST_F(EndedAttempts, ADoneTaskOfAJobWhoseEndWasRefusedIsSettledInTime) {
+// The finish of the job was requested, but refused because the job was cancelled before.
+TEST_F(EndedAttemptsTest, ADoneTaskOfAJobWhoseFinishWasRefusedIsNotRunAgain) {
   begin(4, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 1));
@@ -138,11 +138,11 @@
   ASSERT_TRUE(done_.contains("req-1"));
   controller_->finish_answered("req-1", now_ + seconds(2), now_);
   run(times_.lease * 0.6);
-  forget_and_deliver(agent, {delayed});
+  restart_agent_and_deliver(agent, {delayed});
   EXPECT_EQ(copies_of({"req-1", 0}), 0U) << "ran_cancelled";
 }
 
-TEST_F(EndedAttempts, AGangStartsAnewOnlyWhenNoneOfItsFormerTasksMayStartAgain) {
+TEST_F(EndedAttemptsTest, AGangRestartsOnlyWhenNoEarlierAttemptCanRunAgain) {
   begin(4, 0);
   run(Seconds(2));
   auto gang = job("req-1", 2);
@@ -158,8 +158,8 @@
   for (int step = 0; step < 30; ++step) {
     run(Seconds(1));
     const auto before = agents_;
-    forget_and_deliver(agents_[first], delayed);
-    forget_and_deliver(agents_[second], other);
+    restart_agent_and_deliver(agents_[first], delayed);
+    restart_agent_and_deliver(agents_[second], other);
     ASSERT_LE(copies_of({"req-1", 0}), 1U) << "ran_twice after " << step << " s";
     ASSERT_LE(copies_of({"req-1", 1}), 1U) << "ran_twice after " << step << " s";
     agents_ = before;
@@ -167,7 +167,7 @@
   EXPECT_EQ(running(), 2U) << "the gang runs on other machines";
 }
 
-TEST_F(EndedAttempts, AReplicaIsReplacedOnlyWhenItsFormerStartMayNotArriveAgain) {
+TEST_F(EndedAttemptsTest, AReplicaIsReplacedOnlyWhenItsEarlierAttemptCannotRunAgain) {
   begin(4, 0);
   run(Seconds(2));
   auto service = job("req-1", 1);
@@ -179,15 +179,16 @@
   for (int step = 0; step < 30; ++step) {
     run(Seconds(1));
     const auto before = agents_;
-    forget_and_deliver(agents_[first], delayed);
+    restart_agent_and_deliver(agents_[first], delayed);
     ASSERT_LE(copies_of({"req-1", 0}), 1U) << "ran_twice after " << step << " s";
     agents_ = before;
   }
   EXPECT_EQ(running(), 1U);
 }
 
-// The loss is noticed before the delayed start arrives: the machine lists nothing.
-TEST_F(EndedAttempts, ANoticedLossDoesNotFreeTheTask) {
+// The machine reports no tasks before the delayed start arrives. This does not prove that the start
+// has no effect, so the task stays held.
+TEST_F(EndedAttemptsTest, AHeldTaskStaysHeldWhenItsMachineReportsNoTasks) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 8));
@@ -196,15 +197,15 @@
   run(Seconds(3));
   first->second.ended.clear();
   run(Seconds(5));
-  forget_and_deliver(first->second, delayed);
+  restart_agent_and_deliver(first->second, delayed);
   EXPECT_LE(copies_of({"req-1", 0}), 1U) << "ran_twice";
   run(Seconds(15));
   EXPECT_EQ(running(), 8U);
 }
 
-// The machine runs other tasks as well: they lose at most what they have not saved, and the task
-// that has ended does not wait for their end.
-TEST_F(EndedAttempts, AHeldTaskRunsAgainWithinItsBoundBesideLongTasks) {
+// The machine also runs long tasks. It is returned before they end, so that the held task does not
+// wait for them; they lose at most the run time since their last checkpoint.
+TEST_F(EndedAttemptsTest, AHeldTaskRestartsWithinHalfALeaseDespiteLongTasksOnItsMachine) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 8));
@@ -214,7 +215,7 @@
   EXPECT_EQ(running(), 8U);
 }
 
-TEST_F(EndedAttempts, AGrownEpochFreesTheTaskAtOnce) {
+TEST_F(EndedAttemptsTest, ANewAgentEpochReleasesTheHeldTaskAtOnce) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 5));
@@ -229,9 +230,9 @@
   EXPECT_TRUE(returned_.empty()) << release_causes_;
 }
 
-// With the cloud down nothing rules the delayed start out, so the task waits; it runs again soon
-// after the cloud has answered.
-TEST_F(EndedAttempts, WhileTheCloudIsDownTheTaskWaits) {
+// Only the return of the machine excludes the delayed start, so the task waits while the cloud does
+// not answer and restarts soon after it does.
+TEST_F(EndedAttemptsTest, AHeldTaskWaitsWhileTheCloudDoesNotAnswer) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 1));
@@ -246,8 +247,8 @@
   EXPECT_TRUE(returned_.contains(first->first));
 }
 
-// The machine of the done task runs nothing else of the cancelled job.
-TEST_F(EndedAttempts, ADoneTaskIsSettledAlsoWhereNothingOfItsCancelledJobRuns) {
+// The machine of the done task runs no other task of the cancelled job.
+TEST_F(EndedAttemptsTest, ADoneTaskOfACancelledJobIsNotRunAgainOnAMachineWithoutOtherTasks) {
   begin(3, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 5));
@@ -259,11 +260,11 @@
   run(Seconds(4));
   controller_->job_closed("req-1", now_);
   run(times_.lease * 0.6);
-  forget_and_deliver(alone->second, {delayed});
+  restart_agent_and_deliver(alone->second, {delayed});
   EXPECT_EQ(copies_of(task), 0U) << "ran_cancelled";
 }
 
-TEST_F(EndedAttempts, NothingStartsOnAMachineThatIsSettled) {
+TEST_F(EndedAttemptsTest, NothingStartsOnARetiringMachine) {
   begin(2, 0);
   run(Seconds(2));
   start_without_responses(job("req-1", 4));
@@ -278,8 +279,8 @@
   EXPECT_GT(running(), 3U) << "the other machine is used";
 }
 
-// A delayed start would pin the zone of the job's waiting tasks, so the machine is returned.
-TEST_F(EndedAttempts, AJobBoundToOneZoneDoesNotWaitForAZoneThatADoneTaskDecides) {
+// A delayed start would fix the zone of the job's waiting tasks, so the machine is returned.
+TEST_F(EndedAttemptsTest, AMachineIsReturnedIfItsEndedAttemptRestrictsTheZoneOfWaitingTasks) {
   begin(2, 0);
   run(Seconds(2));
   auto bound = job("req-1", 10);
@@ -292,8 +293,8 @@
   EXPECT_TRUE(returned_.contains(first)) << release_causes_;
 }
 
-// Each attempt in doubt stays in the agent's memory and in every heartbeat.
-TEST_F(EndedAttempts, AMachineWithTooManyAttemptsInDoubtIsReturned) {
+// Agents remember each attempt in doubt and list it in every heartbeat, so its number is bounded.
+TEST_F(EndedAttemptsTest, AMachineWithTooManyAttemptsInDoubtIsReturned) {
   begin(1, 0);
   run(Seconds(2));
   auto small = job("req-1", 240);
