--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -95,12 +95,12 @@
   const auto ended = ended_.find(id);
   if (ended != ended_.end())
     return done(ended->second == FinalState::done ? Lookup::done : Lookup::cancelled);
-  job_replica_.barrier(RequestPriority::user,
-                       lifetime_.guard([this, id, done = std::move(done)](bool fresh) {
-                         if (!fresh) return done(Lookup::unavailable);
-                         if (job_replica_.find(id) != nullptr) return done(Lookup::open);
-                         look_up_end(id, done);
-                       }));
+  job_replica_.read_barrier(RequestPriority::user,
+                            lifetime_.guard([this, id, done = std::move(done)](bool fresh) {
+                              if (!fresh) return done(Lookup::unavailable);
+                              if (job_replica_.find(id) != nullptr) return done(Lookup::open);
+                              look_up_end(id, done);
+                            }));
 }
 
 void UserApi::look_up_end(const core::JobId& id, const LookupHandler& done) {
@@ -152,7 +152,7 @@
 }
 
 bool UserApi::shed_load(const net::Responder& respond) {
-  const auto wait = store_.expected_wait();
+  const auto wait = store_.expected_write_wait();
   if (wait <= kMaxWait) return false;
   respond(unavailable("too many submissions wait for the state service", retry_after(wait)));
   return true;
@@ -190,7 +190,7 @@
     return respond(store_unavailable());
   }
   record.revision = result.revision;
-  job_replica_.note_opened(record);
+  job_replica_.apply_local_open(record);
   const auto taken = core::Clock::now() - received;
   spdlog::debug("job {} accepted in {} ms", id,
                 std::chrono::ceil<std::chrono::milliseconds>(taken).count());
@@ -236,7 +236,7 @@
                               const net::Responder& respond) {
   if (result.outcome == Outcome::ok) {
     remember(id, FinalState::cancelled);
-    job_replica_.note_closed(id, result.revision);
+    job_replica_.apply_local_close(id, result.revision);
     spdlog::info("job {} cancelled", id);
     return answer(id, Lookup::cancelled, respond);
   }
--- a/src/failover/recovered_state_reader.cpp
+++ b/src/failover/recovered_state_reader.cpp
@@ -66,7 +66,7 @@
                          read_pages(std::move(tables), std::move(pages));
                        }));
   }
-  timeline_.note(Step::pages_read, Clock::now());
+  timeline_.record(FailoverStep::pages_read, Clock::now());
   try {
     decode_pages(tables, pages);
   } catch (const store::DecodeError& problem) {
@@ -93,7 +93,7 @@
     table.load(page, [&](const std::string& id, const Json& value) {
       if (known.insert(id).second)
         recovered_.machines.push_back(store::machine_from_json(id, value));
-      return store::kMachineBytes;
+      return store::kMaxMachineRecordBytes;
     });
 }
 
@@ -138,18 +138,18 @@
 }
 
 void RecoveredStateReader::read_jobs() {
-  read_barriers_.ask(lifetime_.guard([this](bool fresh) {
-    if (!fresh || job_replica_.revision() < token_) return read_again();
-    timeline_.note(Step::jobs_read, Clock::now());
+  read_barriers_.request_barrier(lifetime_.guard([this](bool fresh) {
+    if (!fresh || job_replica_.applied_revision() < token_) return read_again();
+    timeline_.record(FailoverStep::jobs_read, Clock::now());
     for (const auto& [id, record] : job_replica_.jobs()) recovered_.jobs.push_back(record);
     prove_leadership();
   }));
 }
 
 void RecoveredStateReader::prove_leadership() {
-  election_.prove(lifetime_.guard([this](bool proven) {
+  election_.prove_leadership(lifetime_.guard([this](bool proven) {
     if (!proven) return read_again();
-    timeline_.note(Step::proved, Clock::now());
+    timeline_.record(FailoverStep::leadership_proven, Clock::now());
     done_(std::move(recovered_));
   }));
 }
--- a/src/leader/action_executor.cpp
+++ b/src/leader/action_executor.cpp
@@ -43,7 +43,7 @@
   const bool registered = !record.endpoint.empty();
   auto& table = registered ? writer.machines() : writer.provisioning();
   const bool urgent = registered && !action.only_images;
-  table.put(record.id, store::machine_to_json(record), store::kMachineBytes,
+  table.put(record.id, store::machine_to_json(record), store::kMaxMachineRecordBytes,
             urgent ? WritePriority::urgent : WritePriority::deferred, now,
             [this, id = record.id, registered] {
               // Not earlier: until the registration is committed, only the record of the scale-out
@@ -86,7 +86,7 @@
   if (result.outcome == Outcome::ok) {
     spdlog::info("job {} is done", action.job);
     erase_progress(action.job, action.chunks);
-    services_.job_replica.note_closed(action.job, result.revision);
+    services_.job_replica.apply_local_close(action.job, result.revision);
     return;
   }
   // The job has ended otherwise, or the outcome is unknown: the job replica will show it, and until
--- a/src/leader/failover_log.cpp
+++ b/src/leader/failover_log.cpp
@@ -4,7 +4,7 @@
 
 namespace violetpulley {
 
-using failover::Step;
+using failover::FailoverStep;
 
 namespace {
 
@@ -16,26 +16,28 @@
                                 const core::Controller& controller) {
   if (timeline_logged_) return;
   const auto now = core::Clock::now();
-  timeline_.note(Step::first_command, now);
+  timeline_.record(FailoverStep::first_command, now);
   for (const auto& command : batch.commands) {
     if (command.type != core::CommandType::start) continue;
     const auto job = controller.jobs().find(command.task.job);
     if (job == controller.jobs().end()) continue;
     const bool older = job->second.from_former_leader;
-    timeline_.note(older ? Step::first_start_of_older_task : Step::first_start_of_newer_task, now);
+    timeline_.record(
+        older ? FailoverStep::first_start_of_older_task : FailoverStep::first_start_of_newer_task,
+        now);
   }
 }
 
 void FailoverLog::check_reconciled(const core::Controller& controller, core::TimePoint now) {
   if (reconciled_at_ || controller.recovering()) return;
   reconciled_at_ = now;
-  timeline_.note(Step::reconciled, now);
+  timeline_.record(FailoverStep::reconciled, now);
   log_reconciliation(controller.reconciler(), controller.commands(), now);
 }
 
 void FailoverLog::check_timeline(core::TimePoint now) {
   if (timeline_logged_ || !reconciled_at_) return;
-  if (!timeline_.reached(Step::first_start_of_older_task) &&
+  if (!timeline_.reached(FailoverStep::first_start_of_older_task) &&
       now - *reconciled_at_ < kWaitForOlderTask)
     return;
   timeline_logged_ = true;
--- a/src/leader/job_verifier.cpp
+++ b/src/leader/job_verifier.cpp
@@ -21,7 +21,7 @@
   if (verifying_ || unverified_.empty()) return;
   verifying_ = true;
   auto batch = std::exchange(unverified_, {});
-  election_.prove(lifetime_.guard(
+  election_.prove_leadership(lifetime_.guard(
       [this, batch = std::move(batch)](bool leads) { proof_answered(batch, leads); }));
 }
 
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -12,7 +12,7 @@
 namespace violetpulley {
 
 using core::Clock;
-using failover::Step;
+using failover::FailoverStep;
 
 namespace {
 
@@ -109,7 +109,7 @@
   make_core(std::move(settings), std::move(recovered), now);
   feed_catalog();
   catch_up_with_replica(recovered_jobs, now);
-  read_barriers_.keep();
+  read_barriers_.run();
   pump();
   schedule_tick();
 }
@@ -143,7 +143,7 @@
                                   std::move(recovered)};
   if (services_.recorder != nullptr) services_.recorder->leader_elected(now, event);
   controller_ = core::make_controller(event, now);
-  failover_log_.timeline().note(Step::core_built, Clock::now());
+  failover_log_.timeline().record(FailoverStep::core_built, Clock::now());
 }
 
 // Jobs that have opened or closed between the read barrier and now.
@@ -174,7 +174,7 @@
   if (!controller_) return;
   core::CommandsAnswered event{machine, std::nullopt};
   if (heartbeat != nullptr) {
-    failover_log_.timeline().note(Step::first_answer, Clock::now());
+    failover_log_.timeline().record(FailoverStep::first_answer, Clock::now());
     event.heartbeat = *heartbeat;
   }
   feed(event);
--- a/src/node/heartbeat_endpoint.cpp
+++ b/src/node/heartbeat_endpoint.cpp
@@ -13,7 +13,7 @@
 void HeartbeatEndpoint::handle(const net::Request& request, const net::Responder& respond) {
   last_request_ = core::Clock::now();
   if (auto* leader = ready_leader_()) return leader->handle_heartbeat(request, respond);
-  const auto leader_member = election_.current_member();
+  const auto leader_member = election_.leader_name();
   if (!leader_member.empty() && leader_member != member_)
     return respond({421, store::Json{{kLeaderField, leader_member}}.dump(), {}});
   respond({503, R"({"error":"no leader is known"})", kRetry});
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -106,12 +106,13 @@
 }
 
 peers::PeerNetwork::Events Node::peer_events() {
-  return {
-      [this](const peers::Status& status) { handle_peer_status(status); },
-      [this](const std::string& member) { led_at_disconnect_[member] = election_.led_by(member); },
-      [this](const std::string& member) {
-        election_.revoke_lease_of(member, led_at_disconnect_[member]);
-      }};
+  return {[this](const peers::Status& status) { handle_peer_status(status); },
+          [this](const std::string& member) {
+            led_at_disconnect_[member] = election_.leader_revision_of(member);
+          },
+          [this](const std::string& member) {
+            election_.revoke_lease_of(member, led_at_disconnect_[member]);
+          }};
 }
 
 RequestRouter::Endpoints Node::endpoints() {
@@ -155,7 +156,7 @@
 
 void Node::won() {
   store_.set_share(store_share(settings_, true));
-  job_replica_.set_watch_gap(kLeaderWatchGap);
+  job_replica_.set_watch_delay(kLeaderWatchGap);
   leader_ = std::make_unique<Leader>(Leader::Services{io_, settings_, tuning_, leadership_,
                                                       election_, store_, job_replica_, cloud_,
                                                       history_, recorder_.get(), isolated_at_});
@@ -165,7 +166,7 @@
 
 void Node::lost() {
   store_.set_share(store_share(settings_, false));
-  job_replica_.set_watch_gap(kFollowerWatchGap);
+  job_replica_.set_watch_delay(kFollowerWatchGap);
   // The leader may be in the middle of a callback and is destroyed when that has returned. The
   // leader must not outlive the node, whose parts it uses until its end.
   if (leader_) ended_.push_back(std::move(leader_));
@@ -176,7 +177,7 @@
 
 std::optional<asio::ip::tcp::endpoint> Node::leader_operator_address(
     asio::ip::port_type port) const {
-  const auto member = election_.current_member();
+  const auto member = election_.leader_name();
   for (const auto& peer : settings_.peers) {
     if (peer.member != member) continue;
     return asio::ip::tcp::endpoint(net::parse_endpoint(peer.peer_address).address(), port);
--- a/src/store/election.cpp
+++ b/src/store/election.cpp
@@ -41,14 +41,14 @@
   store_.list(kLeaderKey, RequestPriority::safety, lifetime_.guard([this](ListResult result) {
     if (result.outcome != Outcome::ok) return reload_later(kReloadRetry);
     last_answer_ = Clock::now();
-    if (result.revision > seen_) apply_listed_key(std::move(result));
+    if (result.revision > applied_revision_) apply_listed_key(std::move(result));
     if (!leader_) campaign();
     watch();
   }));
 }
 
 void Election::apply_listed_key(ListResult result) {
-  seen_ = result.revision;
+  applied_revision_ = result.revision;
   std::optional<Json> value;
   Revision revision = 0;
   for (auto& item : result.items)
@@ -60,14 +60,14 @@
 }
 
 void Election::watch() {
-  store_.changes(kLeaderKey, seen_, kWatchBlock, RequestPriority::safety,
+  store_.changes(kLeaderKey, applied_revision_, kWatchBlock, RequestPriority::safety,
                  lifetime_.guard([this](const ChangesResult& result) {
                    if (result.outcome != Outcome::ok) return reload_later(kWatchRetry);
                    last_answer_ = Clock::now();
                    for (const auto& change : result.changes)
-                     if (change.key == kLeaderKey && change.revision > seen_)
+                     if (change.key == kLeaderKey && change.revision > applied_revision_)
                        apply(change.value, change.revision);
-                   seen_ = std::max(seen_, result.revision);
+                   applied_revision_ = std::max(applied_revision_, result.revision);
                    if (!leader_) campaign();
                    watch();
                  }));
@@ -186,7 +186,7 @@
                       }));
 }
 
-void Election::prove(ProofHandler done) {
+void Election::prove_leadership(ProofHandler done) {
   const auto sent = Clock::now();
   const auto token = leadership_.token();
   store_.get(kLeaderKey, RequestPriority::safety,
@@ -215,8 +215,9 @@
   store_.revoke_lease(lease);
 }
 
-void Election::revoke_lease_of(const std::string& member, Revision led_by) {
-  if (led_by == 0 || this->led_by(member) != led_by || member == member_) return;
+void Election::revoke_lease_of(const std::string& member, Revision leader_revision) {
+  if (leader_revision == 0 || leader_revision_of(member) != leader_revision || member == member_)
+    return;
   spdlog::info("leader {} is gone: revoking its lease", member);
   store_.revoke_lease(leader_->lease);
 }
--- a/src/store/election.hpp
+++ b/src/store/election.hpp
@@ -35,22 +35,22 @@
   /// Gives the leadership up and does not campaign for `campaign_pause`.
   void resign(const std::string& cause, std::chrono::milliseconds campaign_pause);
   /// Reads the leader key: its success proves leadership as of the sending of the request.
-  void prove(ProofHandler done);
+  void prove_leadership(ProofHandler done);
   /// The revision of the key under which `member` leads, as far as is known; 0: it does not.
-  Revision led_by(const std::string& member) const {
+  Revision leader_revision_of(const std::string& member) const {
     return leader_ && leader_->member == member ? leader_->revision : 0;
   }
-  /// Ends the lease of another process that led under revision `led_by` and is certainly gone,
-  /// instead of waiting for the lease to expire. A key that a later process of that name has
+  /// Ends the lease of another process that led under revision `leader_revision` and is certainly
+  /// gone, instead of waiting for the lease to expire. A key that a later process of that name has
   /// written is left alone.
-  void revoke_lease_of(const std::string& member, Revision led_by);
+  void revoke_lease_of(const std::string& member, Revision leader_revision);
 
   /// Empty: nobody leads, as far as is known.
   const std::optional<LeaderInfo>& leader() const { return leader_; }
   /// When the store last answered a request about leadership.
   core::TimePoint last_store_answer() const { return last_answer_; }
   /// The leader's name; empty: nobody leads.
-  std::string current_member() const { return leader_ ? leader_->member : std::string(); }
+  std::string leader_name() const { return leader_ ? leader_->member : std::string(); }
 
  private:
   void reload();
@@ -77,7 +77,7 @@
   asio::steady_timer watch_timer_;
   std::mt19937_64 random_;
   std::optional<LeaderInfo> leader_;
-  Revision seen_ = 0;  // all changes of the key up to this revision are applied
+  Revision applied_revision_ = 0;  // all changes of the key up to this revision are applied
   bool campaigning_ = false;
   LeaseId candidate_lease_ = 0;  // of the key that is being written; 0: none
   core::TimePoint no_campaign_before_{};
--- a/src/store/job_replica.cpp
+++ b/src/store/job_replica.cpp
@@ -15,7 +15,7 @@
 constexpr milliseconds kNoBlock{0};
 constexpr milliseconds kReloadRetry{300};
 // Reads are a shared budget: barriers that are asked for within this time share one read.
-constexpr milliseconds kBarrierGap{200};
+constexpr milliseconds kMinBarrierInterval{200};
 
 core::JobId id_of_key(const std::string& key) {
   return key.substr(std::string_view(kJobPrefix).size());
@@ -47,7 +47,7 @@
                 // ever close it again (a finished job was queued again;
                 // ReadBarrierTest.AListThatABarrierHasOvertaken...). The replica is complete up to
                 // its revision without the list.
-                if (result.revision >= revision_) apply_list(result);
+                if (result.revision >= applied_revision_) apply_list(result);
                 watch();
               }));
 }
@@ -61,14 +61,14 @@
     if (!listed.contains(id) && record.revision <= result.revision) missing.push_back(id);
   for (const auto& id : missing) close(id);
   for (const auto& item : result.items) open(id_of_key(item.key), item.value, item.revision);
-  revision_ = std::max(revision_, result.revision);
+  applied_revision_ = std::max(applied_revision_, result.revision);
   synced_ = true;
 }
 
 void JobReplica::watch() {
-  store_.changes(kJobPrefix, revision_, kWatchBlock, RequestPriority::user,
-                 lifetime_.guard([this, since = revision_](const ChangesResult& result) {
-                   if (!has_changes_since(since, result)) return reload_later();
+  store_.changes(kJobPrefix, applied_revision_, kWatchBlock, RequestPriority::user,
+                 lifetime_.guard([this, since = applied_revision_](const ChangesResult& result) {
+                   if (!is_valid_response(since, result)) return reload_later();
                    apply(result);
                    watch_later();
                  }));
@@ -76,14 +76,14 @@
 
 // Each opened watch is a request of the budget, so changes that come close together share one.
 void JobReplica::watch_later() {
-  retry_timer_.expires_after(watch_gap_);
+  retry_timer_.expires_after(watch_delay_);
   retry_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
     if (!error) watch();
   }));
 }
 
 // A revision that goes backward is malformed, which counts as no answer.
-bool JobReplica::has_changes_since(Revision since, const ChangesResult& result) {
+bool JobReplica::is_valid_response(Revision since, const ChangesResult& result) {
   if (result.outcome != Outcome::ok) return false;
   if (result.revision >= since) {
     regression_logged_ = false;
@@ -99,17 +99,17 @@
 // comes late only what is newer than the replica counts.
 void JobReplica::apply(const ChangesResult& result) {
   for (const auto& change : result.changes) {
-    if (change.revision <= revision_) continue;
+    if (change.revision <= applied_revision_) continue;
     const auto id = id_of_key(change.key);
     if (change.value)
       open(id, *change.value, change.revision);
     else
       close(id);
   }
-  if (result.revision > revision_) {
-    revision_ = result.revision;
+  if (result.revision > applied_revision_) {
+    applied_revision_ = result.revision;
     std::erase_if(closed_ahead_of_watch_,
-                  [&](const auto& entry) { return entry.second <= revision_; });
+                  [&](const auto& entry) { return entry.second <= applied_revision_; });
   }
 }
 
@@ -129,29 +129,29 @@
   if (jobs_.erase(id) > 0) events_.closed(id);
 }
 
-void JobReplica::note_opened(const core::JobRecord& record) {
-  if (record.revision <= revision_ || jobs_.contains(record.spec.id)) return;
+void JobReplica::apply_local_open(const core::JobRecord& record) {
+  if (record.revision <= applied_revision_ || jobs_.contains(record.spec.id)) return;
   const auto& kept = jobs_.emplace(record.spec.id, record).first->second;
   events_.opened(kept);
 }
 
-void JobReplica::note_closed(const core::JobId& id, Revision revision) {
-  if (revision > revision_) closed_ahead_of_watch_[id] = revision;
+void JobReplica::apply_local_close(const core::JobId& id, Revision revision) {
+  if (revision > applied_revision_) closed_ahead_of_watch_[id] = revision;
   close(id);
 }
 
-void JobReplica::barrier(RequestPriority priority, BarrierHandler done) {
-  waiting_.push_back(std::move(done));
+void JobReplica::read_barrier(RequestPriority priority, BarrierHandler done) {
+  barrier_handlers_.push_back(std::move(done));
   if (priority == RequestPriority::safety) barrier_priority_ = priority;
   if (barrier_running_ || barrier_scheduled_) return;
-  if (priority == RequestPriority::safety || Clock::now() - last_barrier_ >= kBarrierGap)
+  if (priority == RequestPriority::safety || Clock::now() - last_barrier_ >= kMinBarrierInterval)
     return run_barrier();
   schedule_barrier();
 }
 
 void JobReplica::schedule_barrier() {
   barrier_scheduled_ = true;
-  barrier_timer_.expires_at(last_barrier_ + kBarrierGap);
+  barrier_timer_.expires_at(last_barrier_ + kMinBarrierInterval);
   barrier_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
     if (error) return;
     barrier_scheduled_ = false;
@@ -160,25 +160,25 @@
 }
 
 void JobReplica::run_barrier() {
-  if (barrier_running_ || waiting_.empty()) return;
+  if (barrier_running_ || barrier_handlers_.empty()) return;
   if (synced_) return send_barrier();
-  const auto waiting = std::exchange(waiting_, {});
-  for (const auto& done : waiting) done(false);
+  const auto handlers = std::exchange(barrier_handlers_, {});
+  for (const auto& done : handlers) done(false);
 }
 
 void JobReplica::send_barrier() {
   barrier_running_ = true;
   last_barrier_ = Clock::now();
-  auto waiting = std::exchange(waiting_, {});
+  auto handlers = std::exchange(barrier_handlers_, {});
   const auto priority = std::exchange(barrier_priority_, RequestPriority::user);
-  store_.changes(kJobPrefix, revision_, kNoBlock, priority,
-                 lifetime_.guard([this, since = revision_,
-                                  waiting = std::move(waiting)](const ChangesResult& result) {
+  store_.changes(kJobPrefix, applied_revision_, kNoBlock, priority,
+                 lifetime_.guard([this, since = applied_revision_,
+                                  handlers = std::move(handlers)](const ChangesResult& result) {
                    barrier_running_ = false;
-                   const bool fresh = has_changes_since(since, result);
+                   const bool fresh = is_valid_response(since, result);
                    if (fresh) apply(result);
-                   for (const auto& done : waiting) done(fresh);
-                   if (!waiting_.empty() && !barrier_scheduled_) schedule_barrier();
+                   for (const auto& done : handlers) done(fresh);
+                   if (!barrier_handlers_.empty() && !barrier_scheduled_) schedule_barrier();
                  }));
 }
 
--- a/src/store/job_replica.hpp
+++ b/src/store/job_replica.hpp
@@ -29,21 +29,21 @@
   /// Whether the replica has been read completely at least once.
   bool synced() const { return synced_; }
   /// All changes up to this revision are applied.
-  Revision revision() const { return revision_; }
+  Revision applied_revision() const { return applied_revision_; }
   const std::unordered_map<core::JobId, core::JobRecord>& jobs() const { return jobs_; }
   /// Null: there is no unfinished job of this id here.
   const core::JobRecord* find(const core::JobId& id) const;
 
   /// How long changes may gather before the next watch: short for a leader, which waits for new
   /// jobs.
-  void set_watch_gap(std::chrono::milliseconds gap) { watch_gap_ = gap; }
+  void set_watch_delay(std::chrono::milliseconds delay) { watch_delay_ = delay; }
 
   /// Reads the changes that are missing here. Barriers that come close together share one read.
-  void barrier(RequestPriority priority, BarrierHandler done);
+  void read_barrier(RequestPriority priority, BarrierHandler done);
 
   /// A commit of this node, which may be known before the watch reports the change.
-  void note_opened(const core::JobRecord& record);
-  void note_closed(const core::JobId& id, Revision revision);
+  void apply_local_open(const core::JobRecord& record);
+  void apply_local_close(const core::JobId& id, Revision revision);
 
  private:
   void reload();
@@ -51,7 +51,7 @@
   void apply_list(const ListResult& result);
   void watch();
   void watch_later();
-  bool has_changes_since(Revision since, const ChangesResult& result);
+  bool is_valid_response(Revision since, const ChangesResult& result);
   void apply(const ChangesResult& result);
   void open(const core::JobId& id, const Json& value, Revision revision);
   void close(const core::JobId& id);
@@ -66,16 +66,16 @@
   std::unordered_map<core::JobId, core::JobRecord> jobs_;
   // Jobs that this node closed at a revision that the watch has not reached yet.
   std::unordered_map<core::JobId, Revision> closed_ahead_of_watch_;
-  std::chrono::milliseconds watch_gap_{400};
-  Revision revision_ = 0;
+  std::chrono::milliseconds watch_delay_{400};
+  Revision applied_revision_ = 0;
   bool synced_ = false;
   bool regression_logged_ = false;  // that the state service's revision went backward
   bool barrier_running_ = false;
   bool barrier_scheduled_ = false;
   RequestPriority barrier_priority_ = RequestPriority::user;  // of the next barrier
   core::TimePoint last_barrier_{};
-  std::vector<BarrierHandler> waiting_;  // for the next barrier
-  async::Lifetime lifetime_;             // last member: ends before the others
+  std::vector<BarrierHandler> barrier_handlers_;  // for the next barrier
+  async::Lifetime lifetime_;                      // last member: ends before the others
 };
 
 }  // namespace violetpulley::store
--- a/src/store/leader_writer.hpp
+++ b/src/store/leader_writer.hpp
@@ -44,7 +44,7 @@
   }
   Transaction take_due_pages(core::TimePoint now, Batches& batches);
   void finish_flush(Batches& batches, const TransactionResult& result);
-  void reread(const std::string& key);
+  void reread_page(const std::string& key);
 
   StoreClient& store_;
   core::FencingToken token_;
@@ -53,8 +53,8 @@
   PagedRecords provisioning_;
   PagedRecords progress_;
   PagedRecords placements_;
-  bool in_flight_ = false;  // a transaction of pages
-  int rereading_ = 0;       // pages whose revisions are being read
+  bool flush_in_flight_ = false;  // a transaction of pages
+  int pending_rereads_ = 0;       // pages whose revisions are being read
   core::TimePoint next_flush_{};
   async::Lifetime lifetime_;  // last member: ends before the others
 };
--- a/src/store/learned_state_codec.cpp
+++ b/src/store/learned_state_codec.cpp
@@ -65,13 +65,13 @@
 
 // Leaves out what is worth least: first the jobs of which only the waiting time is known, which the
 // submission time of the job gives nearly as well.
-void shorten(core::LearnedState& learned_state) {
-  const auto only_waited = [](const core::LearnedJob& job) {
+void drop_least_useful_jobs(core::LearnedState& learned_state) {
+  const auto has_only_wait_time = [](const core::LearnedJob& job) {
     return job.saved.empty() && job.failed_on.empty() && job.failures == 0;
   };
   auto& jobs = learned_state.jobs;
   const auto first_left_out = std::stable_partition(
-      jobs.begin(), jobs.end(), [&](const auto& job) { return !only_waited(job); });
+      jobs.begin(), jobs.end(), [&](const auto& job) { return !has_only_wait_time(job); });
   if (first_left_out != jobs.end())
     jobs.erase(first_left_out, jobs.end());
   else
@@ -84,14 +84,14 @@
   if (bytes.size() <= max_bytes) return bytes;
   auto shorter = learned_state;
   while (bytes.size() > max_bytes && !shorter.jobs.empty()) {
-    shorten(shorter);
+    drop_least_useful_jobs(shorter);
     bytes = history::packed(shorter);
   }
   return bytes;
 }
 
 // Throws DecodeError if a piece is missing or malformed.
-std::string joined_pieces(const ValuesByKey& values, const std::string& slot, std::size_t pieces) {
+std::string join_pieces(const ValuesByKey& values, const std::string& slot, std::size_t pieces) {
   std::string bytes;
   for (std::size_t number = 0; number < pieces; ++number) {
     const auto key = piece_key(slot, number);
@@ -111,7 +111,7 @@
   const auto version = head.at(kVersionField).get<int>();
   if (version != kVersion) throw DecodeError("version " + std::to_string(version) + " is unknown");
   slot = head.at(kSlotField).get<std::string>();
-  const auto bytes = joined_pieces(values, slot, head.at(kPiecesField).get<std::size_t>());
+  const auto bytes = join_pieces(values, slot, head.at(kPiecesField).get<std::size_t>());
   if (checksum_of(bytes) != head.at(kChecksumField).get<std::string>())
     throw DecodeError("the checksum is wrong");
   if (settings.key && mac_of(bytes, head.at(kTokenField).get<core::FencingToken>(), settings) !=
@@ -125,7 +125,7 @@
 LearnedStateWrites encode_learned_state(const core::LearnedState& learned_state,
                                         const std::string& slot, core::FencingToken token,
                                         const LearnedStateSettings& settings) {
-  const auto piece_bytes = settings.value_bytes * 3 / 4;  // base64 takes four bytes for three
+  const auto piece_bytes = settings.max_value_bytes * 3 / 4;  // base64 takes four bytes for three
   const auto bytes = packed_within(learned_state, piece_bytes * kMaxPieces);
   LearnedStateWrites writes;
   for (std::size_t at = 0; at < bytes.size(); at += piece_bytes)
--- a/src/store/learned_state_codec.hpp
+++ b/src/store/learned_state_codec.hpp
@@ -13,10 +13,10 @@
 namespace violetpulley::store {
 
 struct LearnedStateSettings {
-  std::optional<history::Key> key;                   ///< signs the sets; empty: they are not signed
-  core::Seconds every{30};                           ///< from one set to the next
-  core::Seconds max_age{3600};                       ///< an older set is not used
-  std::size_t value_bytes = std::size_t{14} * 1024;  ///< of one key's value
+  std::optional<history::Key> key;  ///< signs the sets; empty: they are not signed
+  core::Seconds save_interval{30};  ///< from one set to the next
+  core::Seconds max_age{3600};      ///< an older set is not used
+  std::size_t max_value_bytes = std::size_t{14} * 1024;  ///< of one key's value
 };
 
 /// The writes of one set: the pieces first, in any number of transactions, then the head.
--- a/src/store/learned_state_store.cpp
+++ b/src/store/learned_state_store.cpp
@@ -30,13 +30,13 @@
 }
 
 bool LearnedStateStore::due(core::TimePoint now) const {
-  if (in_flight_ || !store_.idle()) return false;
-  return !last_save_ || now - *last_save_ >= core::to_duration(settings_.every);
+  if (save_in_flight_ || !store_.idle()) return false;
+  return !last_save_ || now - *last_save_ >= core::to_duration(settings_.save_interval);
 }
 
 void LearnedStateStore::save(const core::LearnedState& learned_state, core::TimePoint now) {
   last_save_ = now;
-  in_flight_ = true;
+  save_in_flight_ = true;
   slot_ = slot_ == kFirstSlot ? kSecondSlot : kFirstSlot;
   write_piece(std::make_shared<LearnedStateWrites>(
                   encode_learned_state(learned_state, slot_, token_, settings_)),
@@ -54,7 +54,7 @@
                    // is due. A piece without an answer may be executed late, over the slot's next
                    // set: then the checksum of that set is wrong, and it is not used.
                    if (head || result.outcome != Outcome::ok) {
-                     in_flight_ = false;
+                     save_in_flight_ = false;
                      return;
                    }
                    write_piece(writes, number + 1);
--- a/src/store/learned_state_store.hpp
+++ b/src/store/learned_state_store.hpp
@@ -37,8 +37,8 @@
   LeaderWriter& writer_;
   core::FencingToken token_;
   LearnedStateSettings settings_;
-  std::string slot_;        // of the newest set
-  bool in_flight_ = false;  // a set is being written
+  std::string slot_;             // of the newest set
+  bool save_in_flight_ = false;  // a set is being written
   std::optional<core::TimePoint> last_save_;
   async::Lifetime lifetime_;  // last member: ends before the others
 };
--- a/src/store/read_barrier_loop.cpp
+++ b/src/store/read_barrier_loop.cpp
@@ -14,22 +14,22 @@
 
 // Counted from before the request is sent: a cancellation that is confirmed while the request is on
 // its way may not be in its answer.
-void ReadBarrierLoop::ask(JobReplica::BarrierHandler done) {
+void ReadBarrierLoop::request_barrier(JobReplica::BarrierHandler done) {
   const auto sent = Clock::now();
-  job_replica_.barrier(RequestPriority::safety,
-                       lifetime_.guard([this, sent, done = std::move(done)](bool fresh) {
-                         if (fresh && leadership_.token() == token_)
-                           leadership_.record_read_barrier(sent);
-                         done(fresh);
-                       }));
+  job_replica_.read_barrier(RequestPriority::safety,
+                            lifetime_.guard([this, sent, done = std::move(done)](bool fresh) {
+                              if (fresh && leadership_.token() == token_)
+                                leadership_.record_read_barrier(sent);
+                              done(fresh);
+                            }));
 }
 
-void ReadBarrierLoop::keep() {
-  ask([this](bool fresh) {
+void ReadBarrierLoop::run() {
+  request_barrier([this](bool fresh) {
     log_serving_changes(Clock::now());
     timer_.expires_after(fresh ? kRenewInterval : kRenewRetry);
     timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
-      if (!error) keep();
+      if (!error) run();
     }));
   });
 }
--- a/src/store/read_barrier_loop.hpp
+++ b/src/store/read_barrier_loop.hpp
@@ -19,9 +19,9 @@
 
   /// Sends one barrier now. `done` gets true if the replica is not older than this call, which is
   /// then recorded in the leadership.
-  void ask(JobReplica::BarrierHandler done);
+  void request_barrier(JobReplica::BarrierHandler done);
   /// Sends one barrier now and one after each renewal interval.
-  void keep();
+  void run();
 
  private:
   /// Logs when heartbeats are no longer answered, and why, and when they are answered again.
--- a/src/store/record_codec.cpp
+++ b/src/store/record_codec.cpp
@@ -16,15 +16,15 @@
 enum ProgressField : std::size_t { kDone, kRestarted, kTasksInChunk };
 
 // Bytes beside the contents: quotes, commas and brackets.
-constexpr std::size_t kMachineEnvelope = 8;
-constexpr std::size_t kPlacementsEnvelope = 16;
-constexpr std::size_t kProgressEnvelope = 24;
+constexpr std::size_t kMachineEnvelopeBytes = 8;
+constexpr std::size_t kPlacementsEnvelopeBytes = 16;
+constexpr std::size_t kProgressEnvelopeBytes = 24;
 // A machine's name with its quotes and comma.
 constexpr std::size_t kMachineNameBytes = 24;
 
 // Calls `decode` and reports whatever does not fit as a DecodeError.
 template <typename Decode>
-auto decoded(Decode decode) {
+auto rethrow_as_decode_error(Decode decode) {
   try {
     return decode();
   } catch (const Json::exception& problem) {
@@ -35,7 +35,7 @@
 }
 
 // One bit a task, four tasks a hexadecimal digit: the size is bounded, however scattered the tasks.
-std::string bits_of(const std::vector<core::IndexRange>& ranges, core::TaskIndex first) {
+std::string encode_bitmap(const std::vector<core::IndexRange>& ranges, core::TaskIndex first) {
   std::string digits;
   for (const auto& [from, to] : ranges)
     for (auto bit = from - first; bit <= to - first; ++bit) {
@@ -47,7 +47,7 @@
   return digits;
 }
 
-std::vector<core::IndexRange> ranges_of(const std::string& digits, core::TaskIndex first) {
+std::vector<core::IndexRange> decode_bitmap(const std::string& digits, core::TaskIndex first) {
   std::vector<core::IndexRange> ranges;
   for (std::size_t position = 0; position < digits.size(); ++position) {
     const auto value = kHexDigits.find(digits[position]);
@@ -71,18 +71,18 @@
 
 Json machine_to_json(const core::MachineRecord& record) {
   Json out{record.endpoint, record.type, record.zone, record.spot ? 1 : 0, Json::array()};
-  auto bytes = record.id.size() + out.dump().size() + kMachineEnvelope;
+  auto bytes = record.id.size() + out.dump().size() + kMachineEnvelopeBytes;
   for (const auto& [name, gb] : record.images) {
     Json image{name, gb};
     bytes += image.dump().size() + 1;
-    if (bytes > kMachineBytes) break;
+    if (bytes > kMaxMachineRecordBytes) break;
     out[kImages].push_back(std::move(image));
   }
   return out;
 }
 
 core::MachineRecord machine_from_json(const std::string& id, const Json& value) {
-  return decoded([&] {
+  return rethrow_as_decode_error([&] {
     core::MachineRecord record{id,
                                value.at(kEndpoint).get<std::string>(),
                                value.at(kType).get<std::string>(),
@@ -101,7 +101,7 @@
 }
 
 core::PlacementRecord placements_from_json(const std::string& job, const Json& value) {
-  return decoded([&] {
+  return rethrow_as_decode_error([&] {
     core::PlacementRecord record{job, {}, !value.is_null()};
     if (record.known) record.machines = value.get<std::vector<core::MachineId>>();
     return record;
@@ -109,7 +109,7 @@
 }
 
 std::size_t placements_bytes(const core::PlacementRecord& record) {
-  return record.job.size() + kPlacementsEnvelope + record.machines.size() * kMachineNameBytes;
+  return record.job.size() + kPlacementsEnvelopeBytes + record.machines.size() * kMachineNameBytes;
 }
 
 std::string progress_name(const core::JobId& job, core::TaskIndex chunk) {
@@ -118,30 +118,31 @@
 
 Json progress_to_json(const core::ProgressRecord& record, std::size_t tasks_in_chunk) {
   const auto first = record.chunk * core::kProgressChunk;
-  return {bits_of(record.done, first), bits_of(record.restarted, first), tasks_in_chunk};
+  return {encode_bitmap(record.done, first), encode_bitmap(record.restarted, first),
+          tasks_in_chunk};
 }
 
 core::ProgressRecord progress_from_json(const std::string& name, const Json& value) {
-  return decoded([&] {
+  return rethrow_as_decode_error([&] {
     const auto slash = name.rfind('/');
     if (slash == std::string::npos) throw DecodeError("progress record " + name);
     core::ProgressRecord record;
     record.job = name.substr(0, slash);
     record.chunk = static_cast<core::TaskIndex>(std::stoul(name.substr(slash + 1)));
     const auto first = record.chunk * core::kProgressChunk;
-    record.done = ranges_of(value.at(kDone).get<std::string>(), first);
-    record.restarted = ranges_of(value.at(kRestarted).get<std::string>(), first);
+    record.done = decode_bitmap(value.at(kDone).get<std::string>(), first);
+    record.restarted = decode_bitmap(value.at(kRestarted).get<std::string>(), first);
     return record;
   });
 }
 
 std::size_t tasks_in_chunk_from_json(const Json& value) {
-  return decoded([&] { return value.at(kTasksInChunk).get<std::size_t>(); });
+  return rethrow_as_decode_error([&] { return value.at(kTasksInChunk).get<std::size_t>(); });
 }
 
 std::size_t progress_bytes(const std::string& name, std::size_t tasks_in_chunk) {
   // Two strings of one digit for four tasks.
-  return name.size() + kProgressEnvelope + (tasks_in_chunk / kBitsPerDigit + 1) * 2;
+  return name.size() + kProgressEnvelopeBytes + (tasks_in_chunk / kBitsPerDigit + 1) * 2;
 }
 
 }  // namespace violetpulley::store
--- a/src/store/record_codec.hpp
+++ b/src/store/record_codec.hpp
@@ -10,7 +10,7 @@
 namespace violetpulley::store {
 
 /// A machine's record takes at most this much of a page; images that would not fit are left out.
-inline constexpr std::size_t kMachineBytes = 260;
+inline constexpr std::size_t kMaxMachineRecordBytes = 260;
 
 /// The size of a page: most of the largest value, and so that two or more fit into a transaction.
 std::size_t page_bytes(const config::Settings& settings);
--- a/src/store/request_pacer.cpp
+++ b/src/store/request_pacer.cpp
@@ -35,7 +35,8 @@
   writes_.set_rate(share.writes_per_s, share.writes_per_s);
 }
 
-RequestPacer::Lane RequestPacer::lane_of(const StoreRequest& request, RequestPriority priority) {
+RequestPacer::QueueId RequestPacer::queue_id_of(const StoreRequest& request,
+                                                RequestPriority priority) {
   if (priority != RequestPriority::user) return background;
   return request.writes > 0 ? user_writes : user_reads;
 }
@@ -46,15 +47,15 @@
     asio::post(io_, lifetime_.guard([done = std::move(request.handler)] { done(std::nullopt); }));
     return;
   }
-  const auto lane = lane_of(request, priority);
+  const auto queue_id = queue_id_of(request, priority);
   const auto retry_until = now + request.timeout / 2;
   if (priority == RequestPriority::safety) {
     requests_.force(now);
     writes_.force(now, request.writes);
-    return launch({std::move(request), retry_until}, lane);
+    return send_now({std::move(request), retry_until}, queue_id);
   }
-  lanes_[lane].push_back({std::move(request), retry_until});
-  send_waiting();
+  queues_[queue_id].push_back({std::move(request), retry_until});
+  send_queued();
 }
 
 void RequestPacer::send_watch(StoreRequest request) {
@@ -70,47 +71,47 @@
                         }));
 }
 
-void RequestPacer::send_waiting() {
+void RequestPacer::send_queued() {
   timer_.cancel();
   auto min_wait = core::Duration::max();
-  for (const auto lane : {user_writes, user_reads, background})
-    min_wait = std::min(min_wait, send_waiting_of(lane));
+  for (const auto queue_id : {user_writes, user_reads, background})
+    min_wait = std::min(min_wait, send_queued_in(queue_id));
   if (min_wait == core::Duration::max()) return;
   timer_.expires_after(min_wait);
   timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
-    if (!error) send_waiting();
+    if (!error) send_queued();
   }));
 }
 
 // Sends what the share allows. Returns how long the next request has to wait; max: none is left.
-core::Duration RequestPacer::send_waiting_of(Lane lane) {
-  auto& queue = lanes_[lane];
+core::Duration RequestPacer::send_queued_in(QueueId queue_id) {
+  auto& queue = queues_[queue_id];
   while (!queue.empty()) {
     const auto now = Clock::now();
-    const auto wait = wait_of(queue.front().request, now);
+    const auto wait = wait_for_share(queue.front().request, now);
     if (wait > core::Duration::zero()) return wait;
     requests_.force(now);
     writes_.force(now, queue.front().request.writes);
     auto next = std::move(queue.front());
     queue.pop_front();
-    launch(std::move(next), lane);
+    send_now(std::move(next), queue_id);
   }
   return core::Duration::max();
 }
 
-void RequestPacer::launch(Waiting waiting, Lane lane) {
-  auto request = waiting.request.request;
-  const auto timeout = waiting.request.timeout;
+void RequestPacer::send_now(QueuedRequest queued, QueueId queue_id) {
+  auto request = queued.request.request;
+  const auto timeout = queued.request.timeout;
   client_.request(std::move(request), timeout,
-                  lifetime_.guard([this, lane, sent = Clock::now(), waiting = std::move(waiting)](
+                  lifetime_.guard([this, queue_id, sent = Clock::now(), queued = std::move(queued)](
                                       std::optional<net::Response> response) mutable {
                     note_response(response, sent);
                     if (response && response->status == net::kStatusTooManyRequests &&
-                        Clock::now() < waiting.retry_until) {
-                      lanes_[lane].push_front(std::move(waiting));
-                      return send_waiting();
+                        Clock::now() < queued.retry_until) {
+                      queues_[queue_id].push_front(std::move(queued));
+                      return send_queued();
                     }
-                    const auto done = std::move(waiting.request.handler);
+                    const auto done = std::move(queued.request.handler);
                     done(std::move(response));
                   }));
 }
@@ -135,7 +136,7 @@
   spdlog::debug("state service: 429, backing off {} ms", back_off_.count());
 }
 
-core::Duration RequestPacer::wait_of(const StoreRequest& request, core::TimePoint now) {
+core::Duration RequestPacer::wait_for_share(const StoreRequest& request, core::TimePoint now) {
   auto wait = std::max(requests_.wait_for(now), resume_at_ - now);
   if (request.writes > 0) wait = std::max(wait, writes_.wait_for(now, request.writes));
   return wait;
@@ -143,14 +144,14 @@
 
 core::Duration RequestPacer::expected_write_wait() {
   double writes = 1;
-  for (const auto& waiting : lanes_[user_writes]) writes += waiting.request.writes;
+  for (const auto& queued : queues_[user_writes]) writes += queued.request.writes;
   const auto now = Clock::now();
   return std::max(resume_at_ - now, writes_.wait_until(now, writes));
 }
 
 core::Duration RequestPacer::expected_read_wait() {
   const auto now = Clock::now();
-  const auto ahead = static_cast<double>(lanes_[user_reads].size()) + 1;
+  const auto ahead = static_cast<double>(queues_[user_reads].size()) + 1;
   return std::max(resume_at_ - now, requests_.wait_until(now, ahead));
 }
 
@@ -163,7 +164,8 @@
 }
 
 bool RequestPacer::idle() const {
-  return std::all_of(lanes_.begin(), lanes_.end(), [](const auto& lane) { return lane.empty(); });
+  return std::all_of(queues_.begin(), queues_.end(),
+                     [](const auto& queue) { return queue.empty(); });
 }
 
 }  // namespace violetpulley::store
--- a/src/store/request_pacer.hpp
+++ b/src/store/request_pacer.hpp
@@ -59,17 +59,17 @@
 
  private:
   // Reads must not wait behind writes, whose share is smaller by far.
-  enum Lane { user_writes, user_reads, background, kLanes };
-  struct Waiting {
+  enum QueueId { user_writes, user_reads, background, kQueues };
+  struct QueuedRequest {
     StoreRequest request;
     core::TimePoint retry_until{};  // until then a 429, which is no execution, is tried again
   };
 
-  static Lane lane_of(const StoreRequest& request, RequestPriority priority);
-  core::Duration wait_of(const StoreRequest& request, core::TimePoint now);
-  void send_waiting();
-  core::Duration send_waiting_of(Lane lane);
-  void launch(Waiting waiting, Lane lane);
+  static QueueId queue_id_of(const StoreRequest& request, RequestPriority priority);
+  core::Duration wait_for_share(const StoreRequest& request, core::TimePoint now);
+  void send_queued();
+  core::Duration send_queued_in(QueueId queue_id);
+  void send_now(QueuedRequest queued, QueueId queue_id);
   void note_response(const std::optional<net::Response>& response, core::TimePoint sent);
   void back_off();
 
@@ -79,7 +79,7 @@
   net::HttpClient watch_client_;
   core::RateLimiter requests_;
   core::RateLimiter writes_;
-  std::array<std::deque<Waiting>, kLanes> lanes_;
+  std::array<std::deque<QueuedRequest>, kQueues> queues_;
   std::mt19937_64 random_;
   core::TimePoint resume_at_{};  // no request that waits for the share is sent before
   std::chrono::milliseconds back_off_{0};
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -40,7 +40,7 @@
   void revoke_lease(LeaseId lease);
 
   /// How long a user's write would wait for the share if it came now: callers shed load by it.
-  core::Duration expected_wait() { return pacer_.expected_write_wait(); }
+  core::Duration expected_write_wait() { return pacer_.expected_write_wait(); }
   /// The same for a user's read.
   core::Duration expected_read_wait() { return pacer_.expected_read_wait(); }
   /// Whether requests have been without any answer for longer than the timeout of one. A user's
--- a/src/store/store_codec.cpp
+++ b/src/store/store_codec.cpp
@@ -162,7 +162,7 @@
   decode_body(response->body, result, [&](const Json& body) {
     result.revision = body.at(field::kStoreRevision).get<Revision>();
     if (body.contains(field::kFailed))
-      result.failed = body.at(field::kFailed).get<std::vector<std::string>>();
+      result.failed_conditions = body.at(field::kFailed).get<std::vector<std::string>>();
   });
   return result;
 }
--- a/src/store/store_types.hpp
+++ b/src/store/store_types.hpp
@@ -76,8 +76,8 @@
 
 struct TransactionResult {
   Outcome outcome = Outcome::unknown;
-  Revision revision = 0;            ///< of the transaction, or of the store on a conflict
-  std::vector<std::string> failed;  ///< keys whose conditions do not hold
+  Revision revision = 0;  ///< of the transaction, or of the store on a conflict
+  std::vector<std::string> failed_conditions;  ///< keys whose conditions do not hold
 };
 
 struct GetResult {
--- a/tests/core/scale_test.cpp
+++ b/tests/core/scale_test.cpp
@@ -176,7 +176,7 @@
       table->take(now_, left, std::size_t{52} * 1024, batch);
       left -= batch.writes.size();
       outcome_.changes += batch.writes.size();
-      table->committed(batch, ++revision_);
+      table->mark_committed(batch, ++revision_);
     }
   }
 
--- a/tests/golden/golden_exchange_test.cpp
+++ b/tests/golden/golden_exchange_test.cpp
@@ -97,7 +97,7 @@
                   [finish](const store::TransactionResult& result) {
                     finish({{"outcome", static_cast<int>(result.outcome)},
                             {"revision", result.revision},
-                            {"failed", result.failed}});
+                            {"failed", result.failed_conditions}});
                   });
   } else if (operation == "create_lease") {
     client.create_lease(
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -228,7 +228,7 @@
 
 store::LearnedStateSettings learned_state_settings(const Json& set) {
   store::LearnedStateSettings settings;
-  settings.value_bytes = set.at("value_bytes").get<std::size_t>();
+  settings.max_value_bytes = set.at("value_bytes").get<std::size_t>();
   if (set.at("signed").get<bool>()) settings.key = history::parse_key(std::string(64, '7'));
   return settings;
 }
--- a/tests/store/election_test.cpp
+++ b/tests/store/election_test.cpp
@@ -34,7 +34,7 @@
 class ElectionTest : public ::testing::Test {
  protected:
   /// Writes a key as an earlier process of this name would, whose lease has not expired.
-  Revision previous_incarnation(const std::string& member) {
+  Revision write_key_of_previous_incarnation(const std::string& member) {
     Revision written = 0;
     client_.create_lease(kLongLease, [&](const LeaseResult& result) {
       const auto lease = result.lease;
@@ -54,8 +54,8 @@
   StoreClient client_{io_, net::parse_endpoint(state_.address()), {1000, 1000}, 3};
 };
 
-TEST_F(ElectionTest, AProcessThatFindsItsOwnNameEndsItsPreviousIncarnationAndCampaignsAnew) {
-  const auto before = previous_incarnation("n-0");
+TEST_F(ElectionTest, AProcessThatFindsItsOwnNameRevokesTheLeaseOfItsPreviousIncarnationAndWins) {
+  const auto before = write_key_of_previous_incarnation("n-0");
   Process process(io_, state_.address(), "n-0");
   process.election.start();
   until([&] { return process.won == 1; });
@@ -64,9 +64,9 @@
 
 // Several restarts in a row while another node campaigns too: each incarnation leads under a token
 // of its own.
-TEST_F(ElectionTest, SeveralRestartsInARowAndInTheMiddleOfAnElection) {
+TEST_F(ElectionTest, EachIncarnationLeadsUnderANewTokenAfterRestartsDuringElections) {
   Process other(io_, state_.address(), "n-1");
-  auto last = previous_incarnation("n-0");
+  auto last = write_key_of_previous_incarnation("n-0");
   other.election.start();
   for (int incarnation = 0; incarnation < 5; ++incarnation) {
     Process process(io_, state_.address(), "n-0");
@@ -84,22 +84,22 @@
   }
 }
 
-TEST_F(ElectionTest, ASuspicionEndsTheIncarnationItIsAboutAndNoLaterOne) {
-  const auto first = previous_incarnation("n-0");
+TEST_F(ElectionTest, RevokingTheLeaseOfALeaderEndsOnlyTheIncarnationOfThatRevision) {
+  const auto first = write_key_of_previous_incarnation("n-0");
   Process peer(io_, state_.address(), "n-1");
   peer.election.start();
-  until([&] { return peer.election.led_by("n-0") == first; });
+  until([&] { return peer.election.leader_revision_of("n-0") == first; });
   Process again(io_, state_.address(), "n-0");
   again.election.start();
   until([&] {
     // The peer may win the key first: then it resigns and does not campaign again.
     if (peer.leadership.leading()) peer.election.resign("stands back", kLongLease);
-    return again.won == 1 && peer.election.led_by("n-0") > first;
+    return again.won == 1 && peer.election.leader_revision_of("n-0") > first;
   });
   peer.election.revoke_lease_of("n-0", first);
   // If the lease was revoked wrongly, the key is gone before this answer comes.
   std::optional<bool> proven;
-  again.election.prove([&](bool result) { proven = result; });
+  again.election.prove_leadership([&](bool result) { proven = result; });
   until([&] { return proven.has_value(); });
   EXPECT_TRUE(*proven);
   peer.election.revoke_lease_of("n-0", again.leadership.token());
@@ -108,7 +108,7 @@
 
 // The transaction that would have made the process leader gets no answer and is executed after the
 // next one.
-TEST_F(ElectionTest, ALeaderKeyThatIsWrittenLateFindsItsLeaseGone) {
+TEST_F(ElectionTest, ALeaderKeyTransactionExecutedLateDoesNotEndTheCurrentLeadership) {
   const auto endpoint = state_.add_endpoint();
   Process process(io_, state_.address(endpoint), "n-0");
   state_.execute_late(endpoint, milliseconds(2500));
@@ -119,7 +119,7 @@
   const auto token = process.leadership.token();
   until([&] { return state_.executed_late() > 0; });
   std::optional<bool> proven;
-  process.election.prove([&](bool result) { proven = result; });
+  process.election.prove_leadership([&](bool result) { proven = result; });
   until([&] { return proven.has_value(); });
   EXPECT_TRUE(*proven);
   EXPECT_EQ(process.leadership.token(), token);
@@ -127,7 +127,7 @@
 }
 
 // A state service that accepts connections and answers nothing, as behind a network partition.
-TEST_F(ElectionTest, AUsersRequestIsNotHeldWhileTheStateServiceIsSilent) {
+TEST_F(ElectionTest, AUserRequestFailsAtOnceWhileTheStateServiceIsSilent) {
   std::size_t requests = 0;
   net::HttpServer silent(io_, fakes::any_port(), {},
                          [&](net::Request&&, const net::Responder&) { ++requests; });
--- a/tests/store/learned_state_test.cpp
+++ b/tests/store/learned_state_test.cpp
@@ -50,11 +50,11 @@
 LearnedStateSettings settings(bool key = false) {
   LearnedStateSettings out;
   if (key) out.key = history::parse_key(std::string(64, 'a'));
-  out.value_bytes = 2000;
+  out.max_value_bytes = 2000;
   return out;
 }
 
-TEST(LearnedState, ComesBackCompleteInPieces) {
+TEST(LearnedState, RoundTripsThroughSeveralPieces) {
   for (const bool key : {false, true}) {
     const auto written = encode_learned_state(learned(150), "a", 7, settings(key));
     EXPECT_GT(written.pieces.size(), 1U);
@@ -67,7 +67,7 @@
   }
 }
 
-TEST(LearnedState, IsShortenedByWhatIsWorthLeast) {
+TEST(LearnedState, DropsJobsOfWhichOnlyTheWaitingTimeIsKnownFirst) {
   const auto written = encode_learned_state(learned(5000), "a", 7, settings());
   EXPECT_LE(written.pieces.size(), 6U);
   const auto read = decode_learned_state(items_of(written), settings(), kWall);
@@ -76,7 +76,7 @@
   EXPECT_EQ(read.learned_state->jobs[0].id, "req-saved");
 }
 
-TEST(LearnedState, AnIncompleteOrForeignSetIsNotUsedAndTheProblemIsNamed) {
+TEST(LearnedState, AnIncompleteForeignOrOldSetIsRejectedWithItsCause) {
   const auto whole = items_of(encode_learned_state(learned(150), "a", 7, settings(true)));
   const auto problem = [&](auto change, const LearnedStateSettings& with,
                            core::WallTime wall = kWall) {
@@ -105,7 +105,7 @@
       decode_learned_state(whole, settings(true), kWall - std::chrono::hours(2)).learned_state);
 }
 
-TEST(LearnedState, SpeedsTheNextLeaderUpAndConfirmsNoMachine) {
+TEST(LearnedState, GivesTheNextLeaderHintsAndConfirmsNoMachine) {
   core::ControllerSettings controller;
   controller.teams = {{"t", 0, 0, 0, 0}};
   controller.wall_at_start = kWall + std::chrono::seconds(10);
--- a/tests/store/paged_records_test.cpp
+++ b/tests/store/paged_records_test.cpp
@@ -30,7 +30,7 @@
   }
 };
 
-TEST(PagedRecords, ManyMachinesAtOnceTakeFewChanges) {
+TEST(PagedRecords, AThousandMachinesAreRegisteredInAtMostTwentyChanges) {
   core::TimePoint now{};
   PagedRecords records("machines/", 14000, milliseconds(2000));
   int saved = 0;
@@ -44,7 +44,7 @@
     records.take(now, 12, std::size_t{52} * 1024, batch);
     changes += batch.writes.size();
     for (const auto& write : batch.writes) EXPECT_LE(write.value->dump().size(), 16U * 1024);
-    records.committed(batch, *store.apply(batch));
+    records.mark_committed(batch, *store.apply(batch));
   }
   EXPECT_EQ(saved, 1000);
   EXPECT_LE(changes, 20U);
@@ -86,13 +86,13 @@
         if (faults && chance(30)) {
           late.push_back(batch);
           if (chance(50)) store.apply(batch);
-          records.failed(batch, now);
+          records.mark_failed(batch, now);
         } else if (const auto revision = store.apply(batch)) {
-          records.committed(batch, *revision);
+          records.mark_committed(batch, *revision);
         } else {
-          records.failed(batch, now);
+          records.mark_failed(batch, now);
           for (const auto& condition : batch.conditions)
-            records.reread(condition.key, store.entries[condition.key].revision);
+            records.set_page_revision(condition.key, store.entries[condition.key].revision);
         }
       }
       for (const auto& id : reported) {
--- a/tests/store/read_barrier_outages_test.cpp
+++ b/tests/store/read_barrier_outages_test.cpp
@@ -31,52 +31,53 @@
         timer_(io),
         fault_timer_(io) {
     machines_.resize(3);
-    for (auto& machine : machines_) machine.answered = Clock::now();
+    for (auto& machine : machines_) machine.last_answered = Clock::now();
     tick();
     next_fault(milliseconds(1500));
   }
-  Seconds longest() const { return longest_; }
+  Seconds max_end_delay() const { return max_end_delay_; }
   std::size_t cancelled() const { return confirmed_.size(); }
   std::size_t heartbeats_refused_while_stale() const { return refused_while_stale_; }
 
  private:
   struct Machine {
-    TimePoint answered{};  // sending of the last heartbeat that was answered
+    TimePoint last_answered{};  // sending of the last heartbeat that was answered
     std::map<JobId, TimePoint> tasks;
     TimePoint partitioned_until{};  // heartbeats sent before are lost
   };
   double between(double low, double high) {
     return std::uniform_real_distribution<double>(low, high)(random_);
   }
-  milliseconds ms(double low, double high) {
+  milliseconds random_ms(double low, double high) {
     return milliseconds(static_cast<long>(between(low, high) * 1000));
   }
-  void later(asio::steady_timer& timer, milliseconds wait, std::function<void()> what) {
+  void schedule(asio::steady_timer& timer, milliseconds wait, std::function<void()> action) {
     timer.expires_after(wait);
-    timer.async_wait([what = std::move(what)](const asio::error_code& error) {
-      if (!error) what();
+    timer.async_wait([action = std::move(action)](const asio::error_code& error) {
+      if (!error) action();
     });
   }
 
   // The leader alone is refused, then all; both end in either order; the next fault begins soon.
   void next_fault(milliseconds wait) {
-    later(fault_timer_, wait, [this] {
+    schedule(fault_timer_, wait, [this] {
       auto* leader = deployment_.leader();
       if (leader == nullptr) return next_fault(milliseconds(100));
       refused_ = leader->endpoint;
-      deployment_.state.answer_late(refused_, between(0, 1) < 0.5 ? ms(0.3, 1.2) : milliseconds(0));
-      later(fault_timer_, ms(0, 1), [this] {
+      deployment_.state.answer_late(refused_,
+                                    between(0, 1) < 0.5 ? random_ms(0.3, 1.2) : milliseconds(0));
+      schedule(fault_timer_, random_ms(0, 1), [this] {
         deployment_.state.refuse(refused_, true);
-        later(fault_timer_, ms(0.1, 2.6), [this] {
+        schedule(fault_timer_, random_ms(0.1, 2.6), [this] {
           // Sometimes the refusal ends for a moment in which the key can be renewed.
           if (between(0, 1) < 0.4) deployment_.state.refuse(refused_, false);
-          later(fault_timer_, ms(0, 0.9), [this] {
+          schedule(fault_timer_, random_ms(0, 0.9), [this] {
             deployment_.state.outage(true);
             deployment_.state.refuse(refused_, false);
             deployment_.state.answer_late(refused_, milliseconds(0));
-            later(fault_timer_, ms(0.2, 5), [this] {
+            schedule(fault_timer_, random_ms(0.2, 5), [this] {
               deployment_.state.outage(false);
-              next_fault(ms(0, 2));
+              next_fault(random_ms(0, 2));
             });
           });
         });
@@ -85,14 +86,14 @@
   }
 
   void tick() {
-    later(timer_, milliseconds(20), [this] {
-      act_as_users();
+    schedule(timer_, milliseconds(20), [this] {
+      submit_and_cancel_jobs();
       for (auto& machine : machines_) heartbeat(machine);
       tick();
     });
   }
 
-  void act_as_users() {
+  void submit_and_cancel_jobs() {
     if (between(0, 1) < 0.15) {
       const auto id = "req-" + std::to_string(++jobs_);
       submit(client_, id);
@@ -106,7 +107,7 @@
       if (cancelled) confirmed_.try_emplace(id, Clock::now());
     });
   }
-  std::vector<JobId> open_jobs(const Controller& at) const {
+  std::vector<JobId> open_jobs(const TestController& at) const {
     std::vector<JobId> ids;
     for (const auto& [id, record] : at.job_replica.jobs()) ids.push_back(id);
     std::sort(ids.begin(), ids.end());
@@ -116,30 +117,30 @@
   void task_ended(const JobId& id, TimePoint when) {
     const auto confirmed = confirmed_.find(id);
     if (confirmed == confirmed_.end()) return;
-    const Seconds took = when - confirmed->second;
-    longest_ = std::max(longest_, took);
-    EXPECT_LE(took.count(), short_times().cancel.count()) << "ran_cancelled " << id;
+    const Seconds end_delay = when - confirmed->second;
+    max_end_delay_ = std::max(max_end_delay_, end_delay);
+    EXPECT_LE(end_delay.count(), short_times().cancel.count()) << "ran_cancelled " << id;
   }
 
   void heartbeat(Machine& machine) {
     const auto now = Clock::now();
     const auto lease = core::to_duration(short_times().lease);
-    if (now - machine.answered > lease) {
-      for (const auto& [id, since] : machine.tasks) task_ended(id, machine.answered + lease);
+    if (now - machine.last_answered > lease) {
+      for (const auto& [id, since] : machine.tasks) task_ended(id, machine.last_answered + lease);
       machine.tasks.clear();
-      machine.answered = now;  // the next agent epoch has begun
+      machine.last_answered = now;  // the next agent epoch has begun
     }
-    if (between(0, 1) < 0.002) machine.partitioned_until = now + ms(0.2, 2);
+    if (between(0, 1) < 0.002) machine.partitioned_until = now + random_ms(0.2, 2);
     auto* leader = deployment_.leader();
     if (leader == nullptr || now < machine.partitioned_until) return;
     // The heartbeat was sent a moment ago.
-    const auto sent = std::max(machine.answered, now - milliseconds(20));
+    const auto sent = std::max(machine.last_answered, now - milliseconds(20));
     if (!leader->serves()) {
       if (leader->leadership.last_proven() > leader->leadership.fresh_until())
         ++refused_while_stale_;
       return;
     }
-    machine.answered = sent;
+    machine.last_answered = sent;
     for (auto task = machine.tasks.begin(); task != machine.tasks.end();) {
       if (leader->job_replica.find(task->first) != nullptr) {
         ++task;
@@ -165,11 +166,11 @@
   std::size_t refused_ = 0;
   std::size_t refused_while_stale_ = 0;
   int jobs_ = 0;
-  Seconds longest_{0};
+  Seconds max_end_delay_{0};
 };
 
 // More deployments: VIOLETPULLEY_EXTRA_SEEDS=100.
-TEST(ReadBarrierOutages, CancelledTasksEndInTimeWhicheverControllerConfirmed) {
+TEST(ReadBarrierOutages, CancelledTasksEndWithinTheCancelTimeWhicheverControllerConfirms) {
   const char* extra = std::getenv("VIOLETPULLEY_EXTRA_SEEDS");
   const int count = 12 + (extra == nullptr ? 0 : std::atoi(extra));
   asio::io_context io;
@@ -181,17 +182,17 @@
   bool over = false;
   end.async_wait([&](const asio::error_code&) { over = true; });
   while (!over) io.run_one();
-  Seconds longest{0};
+  Seconds max_end_delay{0};
   std::size_t cancelled = 0;
   std::size_t refused_while_stale = 0;
   for (const auto& deployment : deployments) {
-    longest = std::max(longest, deployment->longest());
+    max_end_delay = std::max(max_end_delay, deployment->max_end_delay());
     cancelled += deployment->cancelled();
     refused_while_stale += deployment->heartbeats_refused_while_stale();
   }
   std::cout << count << " deployments, " << cancelled
             << " jobs cancelled, from the confirmation to "
-            << "the end at most " << longest.count() << " of " << short_times().cancel.count()
+            << "the end at most " << max_end_delay.count() << " of " << short_times().cancel.count()
             << " s; heartbeats not answered for a stale replica though the key was ours: "
             << refused_while_stale << "\n";
   EXPECT_GT(cancelled, 0U);
--- a/tests/store/read_barrier_test.cpp
+++ b/tests/store/read_barrier_test.cpp
@@ -24,11 +24,11 @@
 class ReadBarrierTest : public ::testing::Test {
  protected:
   void until(const std::function<bool()>& done) { fakes::run_until(io_, done); }
-  Controller& lead() {
+  TestController& wait_for_leader() {
     until([&] { return deployment_.leader() != nullptr && deployment_.leader()->serves(); });
     return *deployment_.leader();
   }
-  void job(const JobId& id) {
+  void submit_and_replicate(const JobId& id) {
     submit(client_, id);
     until([&] {
       return deployment_.a.job_replica.find(id) != nullptr &&
@@ -36,7 +36,7 @@
     });
   }
   /// Returns when the user got the answer.
-  TimePoint cancel(Controller& at, const JobId& id) {
+  TimePoint cancel_and_wait(TestController& at, const JobId& id) {
     std::optional<TimePoint> confirmed;
     at.cancel(id, [&](bool cancelled) {
       ASSERT_TRUE(cancelled);
@@ -51,18 +51,18 @@
   StoreClient client_{io_, net::parse_endpoint(deployment_.state.address()), {1000, 1000}, 3};
 };
 
-TEST_F(ReadBarrierTest, ARenewedKeyAloneProvesNothingAboutCancellations) {
-  auto& leader = lead();
-  job("req-1");
+TEST_F(ReadBarrierTest, ARenewedLeaderKeyWithoutAReadBarrierDoesNotLetTheLeaderServe) {
+  auto& leader = wait_for_leader();
+  submit_and_replicate("req-1");
   deployment_.state.refuse(leader.endpoint, true);
-  const auto confirmed = cancel(deployment_.other(leader), "req-1");
+  const auto confirmed = cancel_and_wait(deployment_.other(leader), "req-1");
   // The outage begins before the lease has expired; the key outlives the outage, and the watch is
   // silent.
   deployment_.state.outage(true);
   deployment_.state.refuse(leader.endpoint, false);
   deployment_.state.outage(false);
   bool renewed = false;
-  leader.election.prove([&](bool proven) { renewed = proven; });
+  leader.election.prove_leadership([&](bool proven) { renewed = proven; });
   until([&] {
     if (leader.leadership.fresh_until() > confirmed) {
       EXPECT_TRUE(leader.closed.contains("req-1"));
@@ -80,17 +80,17 @@
   EXPECT_TRUE(leader.closed.contains("req-1"));
 }
 
-TEST_F(ReadBarrierTest, FreshnessIsCountedFromTheSendingAndOnlyAfterTheAnswerWasApplied) {
-  auto& leader = lead();
-  job("req-1");
+TEST_F(ReadBarrierTest, FreshnessCountsFromTheSendingOfABarrierAndOnlyOnceItsResponseIsApplied) {
+  auto& leader = wait_for_leader();
+  submit_and_replicate("req-1");
   deployment_.state.answer_late(leader.endpoint, milliseconds(300));
   // The barrier that is under way may be older than the cancellation; the next barrier is not.
-  cancel(deployment_.other(leader), "req-1");
+  cancel_and_wait(deployment_.other(leader), "req-1");
   const auto asked = Clock::now();
   bool fresh = false;
   bool known = false;
   ReadBarrierLoop read_barriers(io_, leader.leadership, leader.job_replica);
-  read_barriers.ask([&](bool ok) {
+  read_barriers.request_barrier([&](bool ok) {
     fresh = ok;
     known = leader.closed.contains("req-1");
     EXPECT_LT(*leader.leadership.fresh_until(), asked + milliseconds(300))
@@ -100,13 +100,13 @@
   EXPECT_TRUE(known);
 }
 
-TEST_F(ReadBarrierTest, ARevisionThatGoesBackwardIsNoAnswer) {
-  auto& leader = lead();
-  job("req-1");
+TEST_F(ReadBarrierTest, AResponseWithALowerRevisionIsRejected) {
+  auto& leader = wait_for_leader();
+  submit_and_replicate("req-1");
   deployment_.state.go_backward(1);
   const auto since = Clock::now();
   std::optional<bool> fresh;
-  leader.job_replica.barrier(RequestPriority::safety, [&](bool ok) { fresh = ok; });
+  leader.job_replica.read_barrier(RequestPriority::safety, [&](bool ok) { fresh = ok; });
   until([&] { return fresh.has_value(); });
   EXPECT_FALSE(*fresh);
   EXPECT_LT(*leader.leadership.fresh_until(), since);
@@ -116,9 +116,9 @@
 
 // The state service is slow: a list that was read before a job ended arrives after a barrier that
 // reported the end.
-TEST_F(ReadBarrierTest, AListThatABarrierHasOvertakenOpensNothing) {
-  auto& leader = lead();
-  job("req-1");
+TEST_F(ReadBarrierTest, AListOlderThanAReadBarrierReopensNoJob) {
+  auto& leader = wait_for_leader();
+  submit_and_replicate("req-1");
   JobReplica replica(io_, client_, {[](const core::JobRecord&) {}, [](const JobId&) {}});
   replica.start();
   until([&] { return replica.find("req-1") != nullptr; });
@@ -126,9 +126,9 @@
   deployment_.state.hold_lists(true);
   replica.start();
   until([&] { return deployment_.state.lists_held() > 0; });
-  cancel(leader, "req-1");
+  cancel_and_wait(leader, "req-1");
   std::optional<bool> fresh;
-  replica.barrier(RequestPriority::safety, [&](bool ok) { fresh = ok; });
+  replica.read_barrier(RequestPriority::safety, [&](bool ok) { fresh = ok; });
   until([&] { return fresh.has_value(); });
   ASSERT_TRUE(*fresh);
   ASSERT_EQ(replica.find("req-1"), nullptr);
@@ -140,14 +140,14 @@
 
 // A submission and a cancellation get no answer, are repeated, and the first ones are executed
 // after everything else.
-TEST_F(ReadBarrierTest, ATransactionExecutedLateChangesNothingThatCameAfter) {
-  auto& leader = lead();
+TEST_F(ReadBarrierTest, ATransactionExecutedLateDoesNotOverwriteLaterChanges) {
+  auto& leader = wait_for_leader();
   const auto endpoint = deployment_.state.add_endpoint();
   StoreClient late(io_, net::parse_endpoint(deployment_.state.address(endpoint)), {1000, 1000}, 9);
   deployment_.state.execute_late(endpoint, milliseconds(1800));
   std::optional<bool> taken;
   submit(late, "req-1", [&](bool ok) { taken = ok; });
-  job("req-1");
+  submit_and_replicate("req-1");
   const auto* record = leader.job_replica.find("req-1");
   ASSERT_NE(record, nullptr);
   std::optional<Outcome> ended;  // as the leader ends a job; its user cancels it meanwhile
@@ -158,7 +158,7 @@
                 {kEndPrefix + std::string("req-1"), Json{{"state", "done"}}, std::nullopt}}},
               RequestPriority::safety,
               [&](const TransactionResult& result) { ended = result.outcome; });
-  cancel(deployment_.other(leader), "req-1");
+  cancel_and_wait(deployment_.other(leader), "req-1");
   until([&] { return deployment_.state.executed_late() == 2; });
   ASSERT_TRUE(taken && ended);
   EXPECT_FALSE(*taken);
@@ -178,13 +178,13 @@
 // submission, at two controllers, in every order of the four. One transaction decides; every later
 // answer reports that decision, and once an answer has reported the end, no answer reports an older
 // state.
-TEST_F(ReadBarrierTest, AnEndConcurrentWithACancellationAPollAndARepeatInEveryOrder) {
-  auto& leader = lead();
+TEST_F(ReadBarrierTest, AConcurrentEndCancellationPollAndResubmissionReportOneFinalState) {
+  auto& leader = wait_for_leader();
   auto& other = deployment_.other(leader);
   for (auto* controller : {&leader, &other})
     controller->types = {{"bench", {16, 0, 128}, 60, 0.5, 1.1, 0.39, Seconds(30), {"a"}}};
   for (int i = 101; i < 148; ++i) submit(client_, "req-" + std::to_string(i));
-  job("req-148");
+  submit_and_replicate("req-148");
   for (int i = 101; i < 148; ++i)
     until([&] {
       const auto id = "req-" + std::to_string(i);
@@ -203,8 +203,8 @@
       std::size_t open_requests = 0;
       std::optional<TimePoint> end_reported;
       std::set<std::string> final_states;
-      std::function<void(Controller&, const char*, const std::string&)> ask;
-      ask = [&](Controller& at, const char* method, const std::string& body) {
+      std::function<void(TestController&, const char*, const std::string&)> ask;
+      ask = [&](TestController& at, const char* method, const std::string& body) {
         ++open_requests;
         at.user.request(
             {method, "/" + id, body}, std::chrono::seconds(5),
@@ -235,7 +235,7 @@
                             RequestPriority::safety, [&](const TransactionResult& result) {
                               ended = true;
                               if (result.outcome == Outcome::ok)
-                                leader.job_replica.note_closed(id, result.revision);
+                                leader.job_replica.apply_local_close(id, result.revision);
                             });
       };
       for (const auto event : order) {
--- a/tests/store/two_controllers.hpp
+++ b/tests/store/two_controllers.hpp
@@ -22,8 +22,9 @@
 }
 
 /// The parts that Node joins, without machines and cloud.
-struct Controller {
-  Controller(asio::io_context& io, fakes::StateService& state, const std::string& name, int seed)
+struct TestController {
+  TestController(asio::io_context& io, fakes::StateService& state, const std::string& name,
+                 int seed)
       : io(io),
         endpoint(state.add_endpoint()),
         store(io, net::parse_endpoint(state.address(endpoint)), {1000, 1000},
@@ -59,15 +60,15 @@
   }
   // As a new leader reads its jobs: complete up to the leader key, or once more.
   void read_jobs() {
-    read_barriers->ask([this](bool fresh) {
-      if (!fresh || job_replica.revision() < leadership.token()) {
+    read_barriers->request_barrier([this](bool fresh) {
+      if (!fresh || job_replica.applied_revision() < leadership.token()) {
         asio::post(io, [this, token = leadership.token()] {
           if (read_barriers && leadership.token() == token) read_jobs();
         });
         return;
       }
       ready = true;
-      read_barriers->keep();
+      read_barriers->run();
     });
   }
   void lost() {
@@ -102,14 +103,14 @@
 struct Deployment {
   explicit Deployment(asio::io_context& io, int seed)
       : state(io), a(io, state, "n-0", seed * 10 + 1), b(io, state, "n-1", seed * 10 + 5) {}
-  Controller* leader() {
+  TestController* leader() {
     return a.leadership.leading() ? &a : b.leadership.leading() ? &b : nullptr;
   }
-  Controller& other(const Controller& controller) { return &controller == &a ? b : a; }
+  TestController& other(const TestController& controller) { return &controller == &a ? b : a; }
 
   fakes::StateService state;
-  Controller a;
-  Controller b;
+  TestController a;
+  TestController b;
 };
 
 /// Submits a job of one task; `done` gets whether the submission was accepted.
