--- a/src/store/election.cpp
+++ b/src/store/election.cpp
@@ -40,7 +40,7 @@
 void Election::reload() {
   store_.list(kLeaderKey, RequestPriority::safety, lifetime_.guard([this](ListResult result) {
     if (result.outcome != Outcome::ok) return reload_later(kReloadRetry);
-    last_answer_ = Clock::now();
+    last_response_ = Clock::now();
     if (result.revision > applied_revision_) apply_listed_key(std::move(result));
     if (!leader_) campaign();
     watch();
@@ -63,7 +63,7 @@
   store_.changes(kLeaderKey, applied_revision_, kWatchBlock, RequestPriority::safety,
                  lifetime_.guard([this](const ChangesResult& result) {
                    if (result.outcome != Outcome::ok) return reload_later(kWatchRetry);
-                   last_answer_ = Clock::now();
+                   last_response_ = Clock::now();
                    for (const auto& change : result.changes)
                      if (change.key == kLeaderKey && change.revision > applied_revision_)
                        apply(change.value, change.revision);
@@ -78,7 +78,7 @@
     try {
       leader_ = decode_leader_key(*value, revision);
     } catch (const DecodeError& problem) {
-      spdlog::error("the leader key is malformed: {}", problem.what());
+      spdlog::error("leader key cannot be decoded: {}", problem.what());
       leader_ = LeaderInfo{"", "", 0, revision};
     }
     if (leadership_.leading() && revision > leadership_.token()) lose("another node leads");
@@ -90,16 +90,16 @@
   events_.leader_changed();
 }
 
-// A process that finds its own name under the key and does not lead is not the leader: the key was
-// written by an earlier process of this name, which has ended, or by a request of this process
-// whose answer did not come. Nobody leads until that lease has expired, so it is revoked at once: a
-// process that was back within a fraction of a second used to lock everybody out for the lease's
-// full time.
+// A leader key that names this node while it does not lead was written by an earlier process of
+// this name, which has ended, or by a request of this process whose response was lost. No node can
+// win until that lease ends, so it is revoked at once. Otherwise a process restarted within a
+// fraction of a second would block every election for the full lease time.
 void Election::revoke_previous_incarnation() {
   if (!leader_ || leader_->member != member_ || leadership_.leading()) return;
-  if (leader_->lease == candidate_lease_) return;  // written just now; its answer is on its way
+  if (leader_->lease == candidate_lease_) return;  // being written; its response is still pending
   spdlog::info(
-      "the leader key of revision {} is of a previous incarnation of this controller: revoking its "
+      "leader key of revision {} belongs to a previous incarnation of this controller; revoking "
+      "its "
       "lease",
       leader_->revision);
   store_.revoke_lease(leader_->lease);
@@ -150,15 +150,15 @@
                                   core::TimePoint sent) {
   candidate_lease_ = 0;
   if (result.outcome != Outcome::ok) {
-    // Without an answer the key may exist under this lease: it ends with the lease.
+    // If the response was lost, the key may exist: revoking the lease deletes it.
     store_.revoke_lease(lease);
     return campaign_again();
   }
   campaigning_ = false;
-  last_answer_ = Clock::now();
+  last_response_ = Clock::now();
   leadership_.won(result.revision, lease, sent);
   leader_ = LeaderInfo{member_, peer_address_, lease, result.revision};
-  spdlog::info("won leadership: token {}", result.revision);
+  spdlog::info("won leadership with fencing token {}", result.revision);
   renew_later(kRenewInterval);
   events_.leader_changed();
   events_.won();
@@ -180,7 +180,7 @@
                         if (outcome == Outcome::not_found) return lose("its lease has expired");
                         if (outcome == Outcome::ok) {
                           leadership_.record_proof(sent);
-                          last_answer_ = Clock::now();
+                          last_response_ = Clock::now();
                         }
                         renew_later(outcome == Outcome::ok ? kRenewInterval : kRenewRetry);
                       }));
@@ -218,7 +218,7 @@
 void Election::revoke_lease_of(const std::string& member, Revision leader_revision) {
   if (leader_revision == 0 || leader_revision_of(member) != leader_revision || member == member_)
     return;
-  spdlog::info("leader {} is gone: revoking its lease", member);
+  spdlog::info("leader {} has ended; revoking its lease", member);
   store_.revoke_lease(leader_->lease);
 }
 
--- a/src/store/election.hpp
+++ b/src/store/election.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Leader election by a key of the state service that is attached to a store lease. Owns what this
-/// node knows of the leader key, campaigns for the key while nobody holds it, extends the lease
-/// while this node leads, and reports when leadership is won or lost. What may be concluded from
-/// the answers is kept in core::Leadership.
+/// Leader election by a key of the state service that is attached to a store lease. Owns this
+/// node's view of the leader key; campaigns for the key while no node holds it, extends the lease
+/// while this node leads, and reports when leadership is won or lost. core::Leadership holds the
+/// conclusions drawn from the responses.
 #pragma once
 
 #include "async/lifetime.hpp"
@@ -12,8 +12,9 @@
 
 namespace violetpulley::store {
 
-/// How often a leader extends its lease and sends a read barrier; and again after no answer.
+/// Interval at which a leader extends its lease and sends a read barrier.
 inline constexpr std::chrono::milliseconds kRenewInterval{800};
+/// Delay before the next attempt when the previous one failed or got no response.
 inline constexpr std::chrono::milliseconds kRenewRetry{250};
 
 class Election {
@@ -21,35 +22,36 @@
   struct Events {
     std::function<void()> won;
     std::function<void(const std::string& cause)> lost;
-    std::function<void()> leader_changed;  ///< `leader()` may have changed
+    std::function<void()> leader_changed;  ///< Called when `leader()` may have changed.
   };
   using ProofHandler = std::function<void(bool proven)>;
 
-  /// `seed`: of the jitter between attempts.
+  /// `seed` seeds the jitter between attempts.
   Election(asio::io_context& io, StoreClient& store, core::Leadership& leadership,
            std::string member, std::string peer_address, Events events, std::uint64_t seed);
   Election(const Election&) = delete;
   Election& operator=(const Election&) = delete;
 
   void start();
-  /// Gives the leadership up and does not campaign for `campaign_pause`.
+  /// Gives up leadership, revokes the lease and does not campaign for `campaign_pause`.
   void resign(const std::string& cause, std::chrono::milliseconds campaign_pause);
-  /// Reads the leader key: its success proves leadership as of the sending of the request.
+  /// Reads the leader key. `done` gets true if the key still has this leader's revision, which
+  /// proves leadership at the time the request was sent.
   void prove_leadership(ProofHandler done);
-  /// The revision of the key under which `member` leads, as far as is known; 0: it does not.
+  /// Revision of the leader key if `member` is the last known leader, otherwise 0.
   Revision leader_revision_of(const std::string& member) const {
     return leader_ && leader_->member == member ? leader_->revision : 0;
   }
-  /// Ends the lease of another process that led under revision `leader_revision` and is certainly
-  /// gone, instead of waiting for the lease to expire. A key that a later process of that name has
-  /// written is left alone.
+  /// Revokes the lease of another process that led under `leader_revision` and is known to have
+  /// ended, instead of waiting for the lease to expire. Does nothing if a later process of the same
+  /// name has written the key since.
   void revoke_lease_of(const std::string& member, Revision leader_revision);
 
-  /// Empty: nobody leads, as far as is known.
+  /// The last known leader; empty if no node is known to lead.
   const std::optional<LeaderInfo>& leader() const { return leader_; }
-  /// When the store last answered a request about leadership.
-  core::TimePoint last_store_answer() const { return last_answer_; }
-  /// The leader's name; empty: nobody leads.
+  /// When the state service last responded to a request about leadership.
+  core::TimePoint last_store_response() const { return last_response_; }
+  /// Name of the last known leader; empty if no node is known to lead.
   std::string leader_name() const { return leader_ ? leader_->member : std::string(); }
 
  private:
@@ -73,16 +75,16 @@
   std::string member_;
   std::string peer_address_;
   Events events_;
-  asio::steady_timer renew_timer_;  // of campaigns, and of renewals while this node leads
+  asio::steady_timer renew_timer_;  // schedules campaigns, and renewals while this node leads
   asio::steady_timer watch_timer_;
   std::mt19937_64 random_;
   std::optional<LeaderInfo> leader_;
-  Revision applied_revision_ = 0;  // all changes of the key up to this revision are applied
+  Revision applied_revision_ = 0;  // all changes of the leader key up to this revision are applied
   bool campaigning_ = false;
-  LeaseId candidate_lease_ = 0;  // of the key that is being written; 0: none
+  LeaseId candidate_lease_ = 0;  // lease of the leader key being written; 0 if none is
   core::TimePoint no_campaign_before_{};
-  core::TimePoint last_answer_{};
-  async::Lifetime lifetime_;  // last member: ends before the others
+  core::TimePoint last_response_{};
+  async::Lifetime lifetime_;  // must be the last member, so that it is destroyed first
 };
 
 }  // namespace violetpulley::store
--- a/src/store/job_record_codec.cpp
+++ b/src/store/job_record_codec.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Stored names.
+// Field names in the stored value.
 constexpr const char* kJob = "job";
-constexpr const char* kSubmitted = "submitted_ms";  // milliseconds since 1970
+constexpr const char* kSubmitted = "submitted_ms";  // milliseconds since the Unix epoch
 
-// Fields that older programs let users leave out, with the values that were meant then.
+// Fields that were optional when older versions stored the job, with their defaults of that time.
 const Json& defaults_of_older_jobs() {
   static const Json defaults{{"gpus", 0.0},      {"same_place", false}, {"spread", false},
                              {"loaners", false}, {"mark_s", 0.0},       {"stow_s", 0.0}};
--- a/src/store/job_replica.cpp
+++ b/src/store/job_replica.cpp
@@ -14,7 +14,8 @@
 constexpr milliseconds kWatchBlock{10000};
 constexpr milliseconds kNoBlock{0};
 constexpr milliseconds kReloadRetry{300};
-// Reads are a shared budget: barriers that are asked for within this time share one read.
+// Reads count against the rate limit of the state service, so barriers requested within this time
+// share one read.
 constexpr milliseconds kMinBarrierInterval{200};
 
 core::JobId id_of_key(const std::string& key) {
@@ -42,17 +43,16 @@
   store_.list(kJobPrefix, RequestPriority::safety,
               lifetime_.guard([this](const ListResult& result) {
                 if (result.outcome != Outcome::ok) return reload_later();
-                // A barrier may have overtaken a slow list: a job that the barrier closed would be
-                // opened once more, and as the replica's revision is newer, no later change would
-                // ever close it again (a finished job was queued again;
-                // ReadBarrierTest.AListThatABarrierHasOvertaken...). The replica is complete up to
-                // its revision without the list.
+                // A barrier may complete while a slow list is in flight. Applying the older list
+                // would reopen a job that the barrier closed, and because the replica's revision is
+                // newer, no later change would close it again, so a finished job would be queued
+                // once more. The replica is complete up to its revision without the list.
                 if (result.revision >= applied_revision_) apply_list(result);
                 watch();
               }));
 }
 
-// Later pages may be newer than the first: changes since the first page come by the watch.
+// Later pages may be newer than the first one; the watch reports all changes after the first page.
 void JobReplica::apply_list(const ListResult& result) {
   std::unordered_map<core::JobId, Revision> listed;
   for (const auto& item : result.items) listed[id_of_key(item.key)] = item.revision;
@@ -74,7 +74,7 @@
                  }));
 }
 
-// Each opened watch is a request of the budget, so changes that come close together share one.
+// Every watch request counts against the rate limit, so changes within the delay share one.
 void JobReplica::watch_later() {
   retry_timer_.expires_after(watch_delay_);
   retry_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
@@ -82,7 +82,7 @@
   }));
 }
 
-// A revision that goes backward is malformed, which counts as no answer.
+// A response whose revision is lower than the requested one is treated like a lost response.
 bool JobReplica::is_valid_response(Revision since, const ChangesResult& result) {
   if (result.outcome != Outcome::ok) return false;
   if (result.revision >= since) {
@@ -90,13 +90,13 @@
     return true;
   }
   if (!std::exchange(regression_logged_, true))
-    spdlog::warn("state service: revision {} after {} was seen, taken as no answer",
+    spdlog::warn("state service returned revision {}, expected at least {}; response discarded",
                  result.revision, since);
   return false;
 }
 
-// An answer covers every change after the revision that it was asked for, so of an answer that
-// comes late only what is newer than the replica counts.
+// A response contains every change after the requested revision. When it arrives after the replica
+// has advanced, the changes that are already applied are skipped.
 void JobReplica::apply(const ChangesResult& result) {
   for (const auto& change : result.changes) {
     if (change.revision <= applied_revision_) continue;
@@ -121,7 +121,7 @@
     const auto& record = jobs_.emplace(id, decode_job_record(value, revision)).first->second;
     events_.opened(record);
   } catch (const DecodeError& problem) {
-    spdlog::error("the record of job {} cannot be read: {}", id, problem.what());
+    spdlog::error("record of job {} cannot be decoded: {}", id, problem.what());
   }
 }
 
--- a/src/store/job_replica.hpp
+++ b/src/store/job_replica.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// This node's replica of the unfinished jobs, fed by a watch of the state service, and the read
-/// barrier that brings the replica up to date before a user gets an answer that could be older than
-/// what another node has answered. Owns the job records and the revision up to which all changes
-/// are applied.
+/// This node's replica of the unfinished jobs, kept up to date by a watch of the state service.
+/// A read barrier brings the replica up to date on demand, so that a user never gets a response
+/// older than one that another node has already given. Owns the job records and the revision up to
+/// which all changes are applied.
 #pragma once
 
 #include <unordered_map>
@@ -18,7 +18,8 @@
     std::function<void(const core::JobRecord&)> opened;
     std::function<void(const core::JobId&)> closed;
   };
-  /// `fresh`: the replica is not older than the call that passed the handler.
+  /// `fresh` is true if the replica contains all changes committed before the barrier was
+  /// requested.
   using BarrierHandler = std::function<void(bool fresh)>;
 
   JobReplica(asio::io_context& io, StoreClient& store, Events events);
@@ -28,20 +29,21 @@
   void start() { reload(); }
   /// Whether the replica has been read completely at least once.
   bool synced() const { return synced_; }
-  /// All changes up to this revision are applied.
+  /// Revision up to which all changes are applied.
   Revision applied_revision() const { return applied_revision_; }
   const std::unordered_map<core::JobId, core::JobRecord>& jobs() const { return jobs_; }
-  /// Null: there is no unfinished job of this id here.
+  /// Returns null if the replica has no unfinished job with this id.
   const core::JobRecord* find(const core::JobId& id) const;
 
-  /// How long changes may gather before the next watch: short for a leader, which waits for new
-  /// jobs.
+  /// Sets the delay before the next watch request, in which changes accumulate. A leader uses a
+  /// short delay, because new jobs wait for it.
   void set_watch_delay(std::chrono::milliseconds delay) { watch_delay_ = delay; }
 
-  /// Reads the changes that are missing here. Barriers that come close together share one read.
+  /// Reads and applies the changes that the replica lacks. Barriers requested within a short time
+  /// share one read. `done` gets false if the read fails or the first list is not complete yet.
   void read_barrier(RequestPriority priority, BarrierHandler done);
 
-  /// A commit of this node, which may be known before the watch reports the change.
+  /// Applies a job opened or closed by a commit of this node, before the watch reports the change.
   void apply_local_open(const core::JobRecord& record);
   void apply_local_close(const core::JobId& id, Revision revision);
 
@@ -64,18 +66,19 @@
   asio::steady_timer retry_timer_;
   asio::steady_timer barrier_timer_;
   std::unordered_map<core::JobId, core::JobRecord> jobs_;
-  // Jobs that this node closed at a revision that the watch has not reached yet.
+  // Jobs closed by commits of this node, with the revision of the commit, until the watch reaches
+  // it.
   std::unordered_map<core::JobId, Revision> closed_ahead_of_watch_;
   std::chrono::milliseconds watch_delay_{400};
   Revision applied_revision_ = 0;
   bool synced_ = false;
-  bool regression_logged_ = false;  // that the state service's revision went backward
+  bool regression_logged_ = false;  // whether a decreasing revision has been logged
   bool barrier_running_ = false;
   bool barrier_scheduled_ = false;
-  RequestPriority barrier_priority_ = RequestPriority::user;  // of the next barrier
+  RequestPriority barrier_priority_ = RequestPriority::user;  // priority of the next barrier
   core::TimePoint last_barrier_{};
-  std::vector<BarrierHandler> barrier_handlers_;  // for the next barrier
-  async::Lifetime lifetime_;                      // last member: ends before the others
+  std::vector<BarrierHandler> barrier_handlers_;  // handlers of the next barrier
+  async::Lifetime lifetime_;  // must be the last member, so that it is destroyed first
 };
 
 }  // namespace violetpulley::store
--- a/src/store/leader_key.cpp
+++ b/src/store/leader_key.cpp
@@ -3,7 +3,7 @@
 namespace violetpulley::store {
 
 namespace {
-// Stored names.
+// Field names in the stored value.
 constexpr const char* kMember = "member";
 constexpr const char* kPeerAddress = "mesh";
 constexpr const char* kLease = "hold";
--- a/src/store/leader_key.hpp
+++ b/src/store/leader_key.hpp
@@ -1,22 +1,22 @@
 /// @file
-/// The value of the leader key and its stored form.
+/// Value of the leader key and its stored form. Stateless.
 #pragma once
 
 #include "store/store_types.hpp"
 
 namespace violetpulley::store {
 
-/// The leader, as its key says.
+/// The leader as described by the leader key.
 struct LeaderInfo {
   std::string member;
-  std::string peer_address;  ///< where other controllers reach the leader
-  LeaseId lease = 0;         ///< the lease that the key is attached to
-  Revision revision = 0;     ///< of the key: the leader's fencing token
+  std::string peer_address;  ///< Address at which other controllers reach the leader.
+  LeaseId lease = 0;         ///< Lease that the key is attached to.
+  Revision revision = 0;     ///< Revision of the key, which is the leader's fencing token.
 };
 
-/// The stored value; the revision is none of it.
+/// Returns the stored value, which does not contain the revision.
 Json encode_leader_key(const LeaderInfo& leader);
-/// Throws DecodeError.
+/// `revision` is the revision of the key. Throws DecodeError if the value is malformed.
 LeaderInfo decode_leader_key(const Json& value, Revision revision);
 
 }  // namespace violetpulley::store
--- a/src/store/leader_writer.cpp
+++ b/src/store/leader_writer.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-// A transaction holds 64 KiB altogether; names, conditions and quotes take their part.
+// The state service limits a transaction to 64 KiB; the rest is left for keys, conditions and JSON
+// punctuation.
 constexpr std::size_t kMaxTransactionBytes = std::size_t{52} * 1024;
-// Between two transactions of pages, so that changes that come close together share one.
+// Minimum time between two page transactions, so that changes within it share one transaction.
 constexpr milliseconds kMinFlushInterval{200};
 constexpr milliseconds kFlushRetryDelay{300};
 
@@ -50,7 +51,7 @@
          });
 }
 
-// What the transaction has no capacity for stays due in its table.
+// Pages that do not fit into the transaction remain due in their tables.
 Transaction LeaderWriter::take_due_pages(core::TimePoint now, Batches& batches) {
   Transaction transaction;
   std::size_t bytes = 0;
@@ -76,18 +77,18 @@
     else
       tables()[i]->mark_failed(batches[i], now);
   }
-  // An unanswered write of ours was executed after all: read which revision it left.
+  // A write of this leader whose response was lost has been executed: read the page's new revision.
   if (result.outcome == Outcome::conflict)
     for (const auto& key : result.failed_conditions)
       if (key != kLeaderKey) reread_page(key);
 }
 
 void LeaderWriter::reread_page(const std::string& key) {
-  spdlog::info("the page {} was changed by a late write; reading it again", key);
+  spdlog::info("page {} was changed by a delayed write; reading its revision again", key);
   ++pending_rereads_;
   store_.get(key, RequestPriority::safety, lifetime_.guard([this, key](const GetResult& result) {
     --pending_rereads_;
-    // Without an answer the next write fails on the same condition, and the page is read once more.
+    // If this read fails, the next write fails on the same condition and the page is read again.
     if (result.outcome != Outcome::ok && result.outcome != Outcome::not_found) return;
     const auto revision = result.outcome == Outcome::ok ? result.item.revision : 0;
     for (auto* table : tables())
--- a/src/store/leader_writer.hpp
+++ b/src/store/leader_writer.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The leader's writes to the state service. Each is conditioned on the leader key, so that a late
-/// write of a former leader fails. Owns the record tables, which are kept in pages; at most one
-/// transaction of pages is under way.
+/// The leader's writes to the state service. Every write is conditioned on the leader key, so that
+/// a delayed write of a former leader fails. Owns the record tables, which are stored in pages, and
+/// allows one page transaction in flight at a time.
 #pragma once
 
 #include <array>
@@ -14,31 +14,32 @@
 
 class LeaderWriter {
  public:
-  /// `max_changes`: the most writes of one transaction.
+  /// `max_changes` limits the writes of one transaction, `page_bytes` the size of a page.
   LeaderWriter(StoreClient& store, core::FencingToken token, std::size_t max_changes,
                std::size_t page_bytes);
   LeaderWriter(const LeaderWriter&) = delete;
   LeaderWriter& operator=(const LeaderWriter&) = delete;
 
-  /// Registered machines: the first command to a machine waits for its record.
+  /// Registered machines. The first command to a machine waits until its record is committed.
   PagedRecords& machines() { return machines_; }
-  /// Requested machines that have not come up yet.
+  /// Requested machines that have not registered yet.
   PagedRecords& provisioning() { return provisioning_; }
-  /// Progress of jobs: may be late, since only repeated work is at stake.
+  /// Progress of jobs. A delayed or lost record only causes work to be repeated.
   PagedRecords& progress() { return progress_; }
-  /// Machines that may run tasks of gangs and services: the starts wait for the record.
+  /// Machines that may run tasks of gangs and services. Starts wait until the record is committed.
   PagedRecords& placements() { return placements_; }
 
-  /// Writes the pages that are due, machines and placements first.
+  /// Writes the pages that are due, machines and placements first. Does nothing while a page
+  /// transaction is in flight or other requests wait for this node's share of the rate limits.
   void flush(core::TimePoint now);
-  /// Commits a transaction of its own, with the leader key added to its conditions.
+  /// Commits `transaction` on its own, with the leader key added to its conditions.
   void commit(Transaction transaction, TransactionHandler done);
 
  private:
   static constexpr std::size_t kTables = 4;
   using Batches = std::array<PagedRecords::Batch, kTables>;  // in the order of `tables()`
 
-  /// By descending priority.
+  /// The tables by descending priority.
   std::array<PagedRecords*, kTables> tables() {
     return {&machines_, &placements_, &provisioning_, &progress_};
   }
@@ -56,7 +57,7 @@
   bool flush_in_flight_ = false;  // a transaction of pages
   int pending_rereads_ = 0;       // pages whose revisions are being read
   core::TimePoint next_flush_{};
-  async::Lifetime lifetime_;  // last member: ends before the others
+  async::Lifetime lifetime_;  // must be the last member, so that it is destroyed first
 };
 
 }  // namespace violetpulley::store
--- a/src/store/learned_state_codec.cpp
+++ b/src/store/learned_state_codec.cpp
@@ -18,7 +18,7 @@
 constexpr int kBase64Variant = sodium_base64_VARIANT_ORIGINAL;
 const std::string kHeadKey = kLearnedStatePrefix + "head";
 
-// Stored names of the head's fields.
+// Field names in the stored head.
 constexpr const char* kVersionField = "v";
 constexpr const char* kSlotField = "slot";
 constexpr const char* kPiecesField = "chunks";
@@ -54,7 +54,8 @@
   return history::hex(history::Digest::of_bytes(bytes));
 }
 
-// Signs the set together with its token, so that a set of another leader cannot take its place.
+// Signs the set together with its fencing token, so that the set of another leader cannot replace
+// it.
 std::string mac_of(const std::string& bytes, core::FencingToken token,
                    const LearnedStateSettings& settings) {
   if (!settings.key) return "";
@@ -63,8 +64,8 @@
   return to_base64(history::text_of(chain.extend(bytes)));
 }
 
-// Leaves out what is worth least: first the jobs of which only the waiting time is known, which the
-// submission time of the job gives nearly as well.
+// Drops the jobs of which only the waiting time is known, because the submission time is a good
+// substitute for it. If there are none, drops the second half of the jobs.
 void drop_least_useful_jobs(core::LearnedState& learned_state) {
   const auto has_only_wait_time = [](const core::LearnedJob& job) {
     return job.saved.empty() && job.failed_on.empty() && job.failures == 0;
@@ -78,7 +79,7 @@
     jobs.resize(jobs.size() / 2);
 }
 
-// Packs the state, shortened until it takes at most `max_bytes` or has no jobs left.
+// Packs the state and drops jobs until it takes at most `max_bytes` or has no jobs left.
 std::string packed_within(const core::LearnedState& learned_state, std::size_t max_bytes) {
   auto bytes = history::packed(learned_state);
   if (bytes.size() <= max_bytes) return bytes;
@@ -90,7 +91,7 @@
   return bytes;
 }
 
-// Throws DecodeError if a piece is missing or malformed.
+// Joins the pieces of a set. Throws DecodeError if a piece is missing or malformed.
 std::string join_pieces(const ValuesByKey& values, const std::string& slot, std::size_t pieces) {
   std::string bytes;
   for (std::size_t number = 0; number < pieces; ++number) {
@@ -98,14 +99,14 @@
     const auto found = values.find(key);
     const auto piece =
         found == values.end() ? std::nullopt : from_base64(found->second->get<std::string>());
-    if (!piece) throw DecodeError(key + " is missing or no base64");
+    if (!piece) throw DecodeError(key + " is missing or is not valid base64");
     bytes += *piece;
   }
   return bytes;
 }
 
-// Throws DecodeError, or an exception of the libraries, if the set cannot be used. `slot` is set as
-// soon as it is known.
+// Decodes a set. Throws DecodeError, or an exception of the libraries, if the set cannot be used.
+// Sets `slot` as soon as the slot is decoded, so that the caller knows it after an exception.
 core::LearnedState decode_set(const Json& head, const ValuesByKey& values,
                               const LearnedStateSettings& settings, std::string& slot) {
   const auto version = head.at(kVersionField).get<int>();
@@ -125,7 +126,7 @@
 LearnedStateWrites encode_learned_state(const core::LearnedState& learned_state,
                                         const std::string& slot, core::FencingToken token,
                                         const LearnedStateSettings& settings) {
-  const auto piece_bytes = settings.max_value_bytes * 3 / 4;  // base64 takes four bytes for three
+  const auto piece_bytes = settings.max_value_bytes * 3 / 4;  // base64 encodes 3 bytes as 4
   const auto bytes = packed_within(learned_state, piece_bytes * kMaxPieces);
   LearnedStateWrites writes;
   for (std::size_t at = 0; at < bytes.size(); at += piece_bytes)
@@ -153,7 +154,7 @@
   if (head == values.end()) return out;
   try {
     out.learned_state = decode_set(*head->second, values, settings, out.slot);
-  } catch (const std::exception& problem) {  // hints only: whatever is wrong, they are not used
+  } catch (const std::exception& problem) {  // the state holds only hints, so it may be ignored
     out.problem = problem.what();
     return out;
   }
--- a/src/store/learned_state_store.cpp
+++ b/src/store/learned_state_store.cpp
@@ -14,19 +14,21 @@
     : store_(store), writer_(writer), token_(token), settings_(settings), slot_(kSecondSlot) {}
 
 void LearnedStateStore::load(core::WallTime wall, LoadHandler done) {
-  store_.list(kLearnedStatePrefix, RequestPriority::safety,
-              lifetime_.guard([this, wall, done = std::move(done)](const ListResult& result) {
-                if (result.outcome != Outcome::ok) {
-                  spdlog::warn("the learned state of the former leader could not be read");
-                  return done(std::nullopt);
-                }
-                auto decoded = decode_learned_state(result.items, settings_, wall);
-                if (!decoded.problem.empty())
-                  spdlog::error("the learned state of the former leader is not used: {}",
-                                decoded.problem);
-                if (!decoded.slot.empty()) slot_ = decoded.slot;
-                done(std::move(decoded.learned_state));
-              }));
+  store_.list(
+      kLearnedStatePrefix, RequestPriority::safety,
+      lifetime_.guard([this, wall, done = std::move(done)](const ListResult& result) {
+        if (result.outcome != Outcome::ok) {
+          spdlog::warn(
+              "learned state of the former leader could not be read from the state service; "
+              "starting without it");
+          return done(std::nullopt);
+        }
+        auto decoded = decode_learned_state(result.items, settings_, wall);
+        if (!decoded.problem.empty())
+          spdlog::error("learned state of the former leader is rejected: {}", decoded.problem);
+        if (!decoded.slot.empty()) slot_ = decoded.slot;
+        done(std::move(decoded.learned_state));
+      }));
 }
 
 bool LearnedStateStore::due(core::TimePoint now) const {
@@ -43,16 +45,16 @@
               0);
 }
 
-// One piece a transaction: the changes are small, so that other writes may come between.
+// Writes one piece per transaction, so that other writes can be sent between the pieces.
 void LearnedStateStore::write_piece(const std::shared_ptr<LearnedStateWrites>& writes,
                                     std::size_t number) {
   const bool head = number == writes->pieces.size();
   Transaction transaction{{}, {head ? writes->head : writes->pieces[number]}};
   writer_.commit(std::move(transaction),
                  lifetime_.guard([this, writes, number, head](const TransactionResult& result) {
-                   // Without the head the old set stays the newest; another set is written when it
-                   // is due. A piece without an answer may be executed late, over the slot's next
-                   // set: then the checksum of that set is wrong, and it is not used.
+                   // Without the new head the previous set remains the newest until the next one is
+                   // due. A write whose response was lost may be executed after a piece of the
+                   // slot's next set; the checksum of that set then fails and it is rejected.
                    if (head || result.outcome != Outcome::ok) {
                      save_in_flight_ = false;
                      return;
--- a/src/store/paged_records.cpp
+++ b/src/store/paged_records.cpp
@@ -7,14 +7,15 @@
 namespace violetpulley::store {
 
 namespace {
-constexpr std::size_t kEnvelopeBytes = 64;  // name, condition and punctuation of one write
+constexpr std::size_t kEnvelopeBytes = 64;  // key, condition and JSON punctuation of one page write
 }
 
 int PagedRecords::page_number_of(const std::string& key) const {
   int number = -1;
   const auto* end = key.data() + key.size();
   const auto [stop, error] = std::from_chars(key.data() + prefix_.size(), end, number);
-  if (error != std::errc() || stop != end || number < 0) throw DecodeError("page name " + key);
+  if (error != std::errc() || stop != end || number < 0)
+    throw DecodeError("page number missing or malformed in key " + key);
   return number;
 }
 
@@ -24,7 +25,7 @@
   page.revision = item.revision;
   for (const auto& [id, value] : item.value.items()) {
     const auto reserved_bytes = read_record(id, value);
-    if (!page_of_.emplace(id, number).second) continue;  // read once more
+    if (!page_of_.emplace(id, number).second) continue;  // loaded before
     page.records[id] = {value, reserved_bytes};
     page.total_reserved_bytes += reserved_bytes;
   }
@@ -35,7 +36,7 @@
   if (priority == WritePriority::urgent) page.urgent = true;
 }
 
-// The first page that has capacity; the next new one if none has.
+// Returns the first page with enough capacity, or the number of a new page if there is none.
 int PagedRecords::page_with_capacity(std::size_t reserved_bytes) const {
   int next = 0;
   for (const auto& [number, page] : pages_) {
--- a/src/store/paged_records.hpp
+++ b/src/store/paged_records.hpp
@@ -1,11 +1,12 @@
 /// @file
-/// Many small records kept in few keys ("pages"), since the state service limits changes a second
-/// and not bytes: hundreds of machines that boot together are registered by a handful of changes.
-/// Pure bookkeeping: the owner sends the pages and reports the outcome.
+/// A table of small records stored in a few keys ("pages"). The state service limits the number of
+/// changes per second rather than bytes, so hundreds of machines that boot together are registered
+/// with a few changes. Owns the records and the page revisions but does no I/O: the owner sends the
+/// pages and reports the outcome.
 ///
-/// Every write of a page is conditioned on the page's revision. A transaction that was not answered
-/// may be executed late, and without the condition it would put an old page over a newer one and so
-/// lose records that were already reported as committed (docs/safety.md, "Pages").
+/// Every write of a page is conditioned on the page's revision. A transaction whose response was
+/// lost may be executed late; without the condition it would overwrite a newer page and lose
+/// records that were already reported as committed (docs/safety.md, "Pages").
 #pragma once
 
 #include <functional>
@@ -17,25 +18,25 @@
 
 namespace violetpulley::store {
 
-/// How soon a change has to be in the store.
+/// How soon a change must be written to the state service.
 enum class WritePriority {
-  urgent,    ///< something waits for the write
-  deferred,  ///< the write may wait so that more changes of its page gather
+  urgent,    ///< The owner waits for the write.
+  deferred,  ///< The write may be delayed so that further changes of its page share it.
 };
 
 class PagedRecords {
  public:
   using Done = std::function<void()>;
-  /// Reads one record and returns the bytes to reserve for it. Throws DecodeError.
+  /// Decodes one record and returns the bytes to reserve for it. Throws DecodeError.
   using RecordReader = std::function<std::size_t(const std::string& id, const Json& value)>;
 
-  /// `prefix`: of the pages' keys. `max_deferral`: how long a deferred write may wait.
+  /// `prefix` is the key prefix of the pages; `max_deferral` is how long a deferred write may wait.
   PagedRecords(std::string prefix, std::size_t max_page_bytes, core::Duration max_deferral)
       : prefix_(std::move(prefix)), max_page_bytes_(max_page_bytes), max_deferral_(max_deferral) {}
 
   const std::string& prefix() const { return prefix_; }
 
-  /// Takes over a page as an earlier leader left it. Throws DecodeError.
+  /// Loads a page written by an earlier leader. Throws DecodeError.
   void load(const Item& item, const RecordReader& read_record);
 
   /// Adds or replaces a record. `reserved_bytes`: the most bytes that this record will ever take,
@@ -45,32 +46,32 @@
            core::TimePoint now, Done done);
   void erase(const std::string& id, core::TimePoint now);
 
-  /// A page in a transaction that is under way.
+  /// A page in a transaction that is in flight.
   struct BatchPage {
     int page = 0;
     bool urgent = false;
     std::vector<Done> done;
   };
-  /// The part of a transaction that writes pages of this table.
+  /// The writes of this table's pages within one transaction, with their conditions.
   struct Batch {
     std::vector<Condition> conditions;
     std::vector<Write> writes;
     std::vector<BatchPage> pages;
     std::size_t bytes = 0;
   };
-  /// Adds the pages that are due, urgent ones first, as far as the limits of a transaction allow.
+  /// Adds the pages that are due to `batch`, urgent pages first, within the given limits.
   void take(core::TimePoint now, std::size_t max_writes, std::size_t max_bytes, Batch& batch);
-  /// The batch was committed at `revision`.
+  /// Records that the batch was committed at `revision`, and calls the handlers of its pages.
   void mark_committed(const Batch& batch, Revision revision);
-  /// The batch was not committed, or its outcome is unknown: its pages are due again, and what
-  /// waits for them goes on waiting.
+  /// Records that the batch was not committed or that its outcome is unknown. Its pages become due
+  /// again and their handlers are called after a later commit.
   void mark_failed(Batch& batch, core::TimePoint now);
-  /// The page was changed by a write that was executed late: its revision as read now.
+  /// Sets the revision of the page at `key`, as read after a delayed write changed the page.
   void set_page_revision(const std::string& key, Revision revision);
 
-  /// Number of records.
+  /// Returns the number of records.
   std::size_t size() const { return page_of_.size(); }
-  /// Number of pages.
+  /// Returns the number of pages.
   std::size_t pages() const { return pages_.size(); }
 
  private:
@@ -80,8 +81,8 @@
   };
   struct Page {
     std::map<std::string, Record> records;
-    std::size_t total_reserved_bytes = 0;  // bytes of all records
-    Revision revision = 0;                 // 0: the key does not exist
+    std::size_t total_reserved_bytes = 0;  // sum over all records
+    Revision revision = 0;                 // 0 if the key does not exist
     bool urgent = false;
     std::optional<core::TimePoint> dirty_since;
     std::vector<Done> waiting;
@@ -97,7 +98,7 @@
   std::size_t max_page_bytes_;
   core::Duration max_deferral_;
   std::map<int, Page> pages_;
-  std::map<std::string, int> page_of_;  // by record
+  std::map<std::string, int> page_of_;  // page number by record id
 };
 
 }  // namespace violetpulley::store
--- a/src/store/read_barrier_loop.cpp
+++ b/src/store/read_barrier_loop.cpp
@@ -12,8 +12,8 @@
                                  JobReplica& job_replica)
     : leadership_(leadership), job_replica_(job_replica), token_(leadership.token()), timer_(io) {}
 
-// Counted from before the request is sent: a cancellation that is confirmed while the request is on
-// its way may not be in its answer.
+// Freshness counts from before the request is sent, because the response may lack a cancellation
+// that is confirmed while the request is in flight.
 void ReadBarrierLoop::request_barrier(JobReplica::BarrierHandler done) {
   const auto sent = Clock::now();
   job_replica_.read_barrier(RequestPriority::safety,
@@ -40,11 +40,12 @@
   serving_ = serving;
   if (serving)
     return spdlog::info(
-        "all confirmed cancellations are known again: heartbeats are answered, tasks start");
+        "job replica is fresh again and leadership is proven; answering heartbeats and starting "
+        "tasks");
   const auto ago = [now](core::TimePoint then) { return core::Seconds(now - then).count(); };
   spdlog::warn(
-      "heartbeats are not answered and nothing starts: the last read barrier is {:.1f} s old, the "
-      "leader key was last known to be ours {:.1f} s ago, and {:.1f} s are allowed",
+      "not answering heartbeats and not starting tasks: the last read barrier is {:.1f} s old and "
+      "leadership was last proven {:.1f} s ago; the limit for both is {:.1f} s",
       leadership_.fresh_until() ? ago(*leadership_.fresh_until()) : 0.0,
       ago(leadership_.last_proven()), leadership_.serving_time().count());
 }
--- a/src/store/read_barrier_loop.hpp
+++ b/src/store/read_barrier_loop.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Keeps a leader's job replica fresh: sends a read barrier with each renewal of the leader key.
-/// The answer, once applied, bounds up to when every confirmed cancellation is known here
-/// (docs/safety.md, "Serving limit"). Exists as long as the leader. Owns the interval of the
-/// barriers and whether serving was last logged as possible.
+/// Keeps a leader's job replica fresh by sending a read barrier at the interval at which the leader
+/// key is renewed. Once a barrier's response is applied, this node knows every cancellation that
+/// was confirmed before the barrier was sent (docs/safety.md, "Serving limit"). Exists as long as
+/// the leader. Owns the timer of the barriers and the last logged serving state.
 #pragma once
 
 #include "async/lifetime.hpp"
@@ -17,14 +17,14 @@
   ReadBarrierLoop(const ReadBarrierLoop&) = delete;
   ReadBarrierLoop& operator=(const ReadBarrierLoop&) = delete;
 
-  /// Sends one barrier now. `done` gets true if the replica is not older than this call, which is
-  /// then recorded in the leadership.
+  /// Requests one barrier now. `done` gets true if the replica contains all changes committed
+  /// before this call, and core::Leadership then records the time of the call.
   void request_barrier(JobReplica::BarrierHandler done);
-  /// Sends one barrier now and one after each renewal interval.
+  /// Requests one barrier now and then one after each renewal interval.
   void run();
 
  private:
-  /// Logs when heartbeats are no longer answered, and why, and when they are answered again.
+  /// Logs when the leader stops answering heartbeats, with the reason, and when it resumes.
   void log_serving_changes(core::TimePoint now);
 
   core::Leadership& leadership_;
@@ -32,7 +32,7 @@
   core::FencingToken token_;
   asio::steady_timer timer_;
   bool serving_ = true;       // as last logged
-  async::Lifetime lifetime_;  // last member: ends before the others
+  async::Lifetime lifetime_;  // must be the last member, so that it is destroyed first
 };
 
 }  // namespace violetpulley::store
--- a/src/store/record_codec.cpp
+++ b/src/store/record_codec.cpp
@@ -10,31 +10,32 @@
 constexpr std::string_view kHexDigits = "0123456789abcdef";
 constexpr core::TaskIndex kBitsPerDigit = 4;
 
-// Stored arrays: the position of each field.
+// Positions of the fields in the stored arrays.
 enum MachineField : std::size_t { kEndpoint, kType, kZone, kSpot, kImages };
 enum ImageField : std::size_t { kImageName, kImageGb };
 enum ProgressField : std::size_t { kDone, kRestarted, kTasksInChunk };
 
-// Bytes beside the contents: quotes, commas and brackets.
+// JSON punctuation of one record: quotes, commas and brackets.
 constexpr std::size_t kMachineEnvelopeBytes = 8;
 constexpr std::size_t kPlacementsEnvelopeBytes = 16;
 constexpr std::size_t kProgressEnvelopeBytes = 24;
-// A machine's name with its quotes and comma.
+// A machine id with its quotes and comma.
 constexpr std::size_t kMachineNameBytes = 24;
 
-// Calls `decode` and reports whatever does not fit as a DecodeError.
+// Calls `decode` and rethrows exceptions of the JSON library and of number parsing as DecodeError.
 template <typename Decode>
 auto rethrow_as_decode_error(Decode decode) {
   try {
     return decode();
   } catch (const Json::exception& problem) {
     throw DecodeError(problem.what());
-  } catch (const std::logic_error& problem) {  // of std::stoul
+  } catch (const std::logic_error& problem) {  // thrown by std::stoul
     throw DecodeError(problem.what());
   }
 }
 
-// One bit a task, four tasks a hexadecimal digit: the size is bounded, however scattered the tasks.
+// Encodes task indexes as a bitmap with four tasks per hexadecimal digit, whose size does not
+// depend on how the tasks are scattered.
 std::string encode_bitmap(const std::vector<core::IndexRange>& ranges, core::TaskIndex first) {
   std::string digits;
   for (const auto& [from, to] : ranges)
@@ -51,7 +52,8 @@
   std::vector<core::IndexRange> ranges;
   for (std::size_t position = 0; position < digits.size(); ++position) {
     const auto value = kHexDigits.find(digits[position]);
-    if (value == std::string_view::npos) throw DecodeError("progress holds " + digits);
+    if (value == std::string_view::npos)
+      throw DecodeError("progress bitmap is not hexadecimal: " + digits);
     for (core::TaskIndex bit = 0; bit < kBitsPerDigit; ++bit)
       if ((value >> bit & 1U) != 0)
         core::append_index(ranges,
@@ -63,8 +65,8 @@
 }  // namespace
 
 std::size_t page_bytes(const config::Settings& settings) {
-  constexpr double kMaxPageKib = 24.0;  // two or more pages must fit into a transaction of 64 KiB
-  constexpr double kPageShare = 0.9;    // of the largest value
+  constexpr double kMaxPageKib = 24.0;  // at least two pages must fit into a transaction of 64 KiB
+  constexpr double kPageShare = 0.9;    // share of the largest allowed value
   return static_cast<std::size_t>(std::min(settings.state_value_kib, kMaxPageKib) * 1024 *
                                   kPageShare);
 }
@@ -125,7 +127,8 @@
 core::ProgressRecord progress_from_json(const std::string& name, const Json& value) {
   return rethrow_as_decode_error([&] {
     const auto slash = name.rfind('/');
-    if (slash == std::string::npos) throw DecodeError("progress record " + name);
+    if (slash == std::string::npos)
+      throw DecodeError("no chunk number in the id of progress record " + name);
     core::ProgressRecord record;
     record.job = name.substr(0, slash);
     record.chunk = static_cast<core::TaskIndex>(std::stoul(name.substr(slash + 1)));
@@ -141,7 +144,7 @@
 }
 
 std::size_t progress_bytes(const std::string& name, std::size_t tasks_in_chunk) {
-  // Two strings of one digit for four tasks.
+  // Two bitmaps: finished tasks and restarted tasks.
   return name.size() + kProgressEnvelopeBytes + (tasks_in_chunk / kBitsPerDigit + 1) * 2;
 }
 
--- a/src/store/request_pacer.cpp
+++ b/src/store/request_pacer.cpp
@@ -64,8 +64,8 @@
   watch_client_.request(std::move(request.request), request.timeout,
                         lifetime_.guard([this, now, done = std::move(request.handler)](
                                             std::optional<net::Response> response) {
-                          // A watch may stay open through an outage: one without an answer shows
-                          // nothing.
+                          // A watch may stay open throughout an outage, so a missing response does
+                          // not show that the state service is silent.
                           if (response) note_response(response, now);
                           done(std::move(response));
                         }));
@@ -83,7 +83,8 @@
   }));
 }
 
-// Sends what the share allows. Returns how long the next request has to wait; max: none is left.
+// Sends the queued requests that the share allows. Returns how long the next request must wait, or
+// Duration::max() if the queue is empty.
 core::Duration RequestPacer::send_queued_in(QueueId queue_id) {
   auto& queue = queues_[queue_id];
   while (!queue.empty()) {
@@ -133,7 +134,8 @@
   back_off_ = std::clamp(back_off_ * 2, kMinBackOff, kMaxBackOff);
   std::uniform_int_distribution<long> jitter(back_off_.count() / 2, back_off_.count());
   resume_at_ = Clock::now() + milliseconds(jitter(random_));
-  spdlog::debug("state service: 429, backing off {} ms", back_off_.count());
+  spdlog::debug("state service responded with 429; backing off for at most {} ms",
+                back_off_.count());
 }
 
 core::Duration RequestPacer::wait_for_share(const StoreRequest& request, core::TimePoint now) {
--- a/src/store/request_pacer.hpp
+++ b/src/store/request_pacer.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Sends HTTP requests to the state service at this node's share of its rate limits. Owns the
-/// connections, the waiting requests by priority, the back-off after a 429, and the time since
-/// which the state service has answered nothing. Knows nothing of the contents of requests.
+/// Sends HTTP requests to the state service within this node's share of the service's rate limits.
+/// Owns the connections, the request queues by priority, the back-off after a 429, and the time
+/// since which no request has got a response. Does not interpret the contents of requests.
 #pragma once
 
 #include <array>
@@ -15,7 +15,7 @@
 
 namespace violetpulley::store {
 
-/// This node's share of the limits of the state service.
+/// This node's share of the rate limits of the state service.
 struct StoreShare {
   double requests_per_s = 30;
   double writes_per_s = 8;
@@ -25,13 +25,13 @@
 struct StoreRequest {
   net::Request request;
   std::chrono::milliseconds timeout;
-  double writes = 0;             ///< how much of the write limit the request takes
-  net::ResponseHandler handler;  ///< called once, and not after the pacer's end
+  double writes = 0;             ///< Number of writes that count against the write limit.
+  net::ResponseHandler handler;  ///< Called once, and not after the pacer is destroyed.
 };
 
 class RequestPacer {
  public:
-  /// `seed`: of the generator that draws the jitter of the back-off.
+  /// `seed` seeds the jitter of the back-off.
   RequestPacer(asio::io_context& io, const asio::ip::tcp::endpoint& peer, StoreShare share,
                std::uint64_t seed);
   RequestPacer(const RequestPacer&) = delete;
@@ -39,30 +39,31 @@
 
   void set_share(StoreShare share);
 
-  /// Sends the request when the share allows, or at once for `RequestPriority::safety`. A user's
-  /// request is answered with no response, without being sent, while the state service is silent.
+  /// Sends the request when the share allows it, or at once for `RequestPriority::safety`. While
+  /// the state service is silent, a user's request is not sent and its handler gets no response.
   void send(StoreRequest request, RequestPriority priority);
-  /// Sends a request that the state service may keep open until something changes. Such a request
-  /// uses the share without waiting for it, and has connections of its own.
+  /// Sends a request that the state service may keep open until a key changes. The request counts
+  /// against the share without waiting for it and uses separate connections.
   void send_watch(StoreRequest request);
 
-  /// How long a user's write of one change would wait for the share if it came now.
+  /// Returns how long a user's write of one change would wait for the share if it were sent now.
   core::Duration expected_write_wait();
-  /// The same for a user's read.
+  /// Returns how long a user's read would wait for the share if it were sent now.
   core::Duration expected_read_wait();
-  /// From one write of this node to the next, at its share.
+  /// Returns the average time between two writes at this node's share.
   core::Duration write_interval() const;
-  /// Whether requests have been without any answer for longer than the timeout of one.
+  /// Whether the state service has not responded for longer than the timeout of one request.
   bool silent(core::TimePoint now) const;
   /// Whether no request waits for the share.
   bool idle() const;
 
  private:
-  // Reads must not wait behind writes, whose share is smaller by far.
+  // Reads have a queue of their own, so that they do not wait behind writes, whose share is much
+  // smaller.
   enum QueueId { user_writes, user_reads, background, kQueues };
   struct QueuedRequest {
     StoreRequest request;
-    core::TimePoint retry_until{};  // until then a 429, which is no execution, is tried again
+    core::TimePoint retry_until{};  // a 429, which means not executed, is retried until this time
   };
 
   static QueueId queue_id_of(const StoreRequest& request, RequestPriority priority);
@@ -81,11 +82,12 @@
   core::RateLimiter writes_;
   std::array<std::deque<QueuedRequest>, kQueues> queues_;
   std::mt19937_64 random_;
-  core::TimePoint resume_at_{};  // no request that waits for the share is sent before
+  core::TimePoint resume_at_{};  // end of the back-off; queued requests are not sent before
   std::chrono::milliseconds back_off_{0};
-  // When the first of the requests was sent that got no answer; empty: the last one was answered.
+  // When the first request without a response since the last response was sent; empty if the last
+  // completed request got a response.
   std::optional<core::TimePoint> unanswered_since_;
-  async::Lifetime lifetime_;  // last member: ends before the others
+  async::Lifetime lifetime_;  // must be the last member, so that it is destroyed first
 };
 
 }  // namespace violetpulley::store
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -82,7 +82,7 @@
 }
 
 void StoreClient::revoke_lease(LeaseId lease) {
-  // Without an answer the lease ends when its time is over.
+  // The response is ignored: a lease that was not revoked ends when its time to live has passed.
   pacer_.send({encode_revoke_lease(lease), kTimeout, kNoWrites, [](const OptionalResponse&) {}},
               RequestPriority::safety);
 }
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Client of the state service, the consensus-backed key-value store outside the process. Turns
-/// calls into paced requests (store/request_pacer.hpp) and responses into typed results
+/// Client of the state service, the external consensus-backed key-value store. Converts calls into
+/// paced requests (store/request_pacer.hpp) and responses into typed results
 /// (store/store_codec.hpp). Each `done` is called once, never from within the call, and not after
-/// the client's end.
+/// the client is destroyed.
 #pragma once
 
 #include "store/request_pacer.hpp"
@@ -13,8 +13,8 @@
 
 class StoreClient {
  public:
-  /// `share`: this node's share of the limits of the state service. `seed`: of the back-off's
-  /// jitter.
+  /// `share` is this node's share of the rate limits of the state service; `seed` seeds the jitter
+  /// of the back-off.
   StoreClient(asio::io_context& io, const asio::ip::tcp::endpoint& peer, StoreShare share,
               std::uint64_t seed);
   StoreClient(const StoreClient&) = delete;
@@ -22,33 +22,35 @@
 
   void set_share(StoreShare share) { pacer_.set_share(share); }
 
-  /// Reads one key.
+  /// Reads the key.
   void get(const std::string& key, RequestPriority priority, GetHandler done);
-  /// Reads all keys that start with `prefix`, page by page: later pages may be newer than the
+  /// Reads all keys that start with `prefix`, page by page. Later pages may be newer than the
   /// first.
   void list(const std::string& prefix, RequestPriority priority, const ListHandler& done);
-  /// Executes a transaction.
+  /// Executes the transaction.
   void commit(const Transaction& transaction, RequestPriority priority, TransactionHandler done);
-  /// Reads the changes after revision `since` below `prefix`. With `block` > 0 the request is a
-  /// watch: it stays open until the first change or for that time, and `priority` does not matter.
+  /// Reads the changes below `prefix` after revision `since`. With `block` > 0 the request is a
+  /// watch, which stays open until the first change or for that time and ignores `priority`.
   void changes(const std::string& prefix, Revision since, std::chrono::milliseconds block,
                RequestPriority priority, ChangesHandler done);
 
-  /// Leases: they end, and delete the keys attached to them, unless extended within `time_to_live`.
+  /// Creates a lease. It ends, and the keys attached to it are deleted, unless it is extended
+  /// within `time_to_live`.
   void create_lease(std::chrono::milliseconds time_to_live, LeaseHandler done);
   void extend_lease(LeaseId lease, OutcomeHandler done);
   void revoke_lease(LeaseId lease);
 
-  /// How long a user's write would wait for the share if it came now: callers shed load by it.
+  /// Returns how long a user's write would wait for the share if it were sent now. Callers use it
+  /// to shed load.
   core::Duration expected_write_wait() { return pacer_.expected_write_wait(); }
-  /// The same for a user's read.
+  /// Returns how long a user's read would wait for the share if it were sent now.
   core::Duration expected_read_wait() { return pacer_.expected_read_wait(); }
-  /// Whether requests have been without any answer for longer than the timeout of one. A user's
-  /// request then gets `Outcome::unknown` without being sent; background requests are still sent.
+  /// Whether the state service has not responded for longer than the timeout of one request. A
+  /// user's request then gets `Outcome::unknown` without being sent; other requests are still sent.
   bool silent(core::TimePoint now) const { return pacer_.silent(now); }
-  /// From one write of this node to the next, at its share.
+  /// Returns the average time between two writes at this node's share.
   core::Duration write_interval() const { return pacer_.write_interval(); }
-  /// Whether no request waits for the share: background work may use what is left.
+  /// Whether no request waits for the share, so that background work may use the rest of it.
   bool idle() const { return pacer_.idle(); }
 
  private:
--- a/src/store/store_codec.cpp
+++ b/src/store/store_codec.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Field names of PROTOCOL.
+// Field names on the wire (PROTOCOL).
 namespace field {
 constexpr const char* kKey = "k";
 constexpr const char* kValue = "v";
@@ -59,13 +59,13 @@
   return change;
 }
 
-// Decodes the body into `result` by `decode`; a malformed body makes the outcome unknown.
+// Parses the body and passes it to `decode`. Sets the outcome to unknown if the body is malformed.
 template <typename Result, typename Decode>
 void decode_body(const std::string& body, Result& result, Decode decode) {
   try {
     decode(Json::parse(body));
   } catch (const Json::exception& problem) {
-    spdlog::warn("state service sent a malformed answer, taken as no answer: {}", problem.what());
+    spdlog::warn("malformed response from the state service, treated as lost: {}", problem.what());
     result.outcome = Outcome::unknown;
   }
 }
--- a/src/store/store_keys.hpp
+++ b/src/store/store_keys.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Keys and key prefixes of the state service. These are stored names: a deployment that is
-/// upgraded finds its data under them, so they do not follow renames in the code
+/// Keys and key prefixes in the state service. They are part of the stored data, which an upgraded
+/// deployment must still find, so they keep their values when names in the code change
 /// (docs/glossary.md).
 #pragma once
 
@@ -8,17 +8,17 @@
 
 namespace violetpulley::store {
 
-/// Held by the leader; attached to its lease. Its revision is the leader's fencing token.
+/// Written by the leader and attached to its lease. Its revision is the leader's fencing token.
 inline constexpr const char* kLeaderKey = "leader";
 /// The cloud's catalog as last read by a leader.
 inline constexpr const char* kCatalogKey = "catalog";
 
 /// `job/<id>`: an unfinished job.
 inline constexpr const char* kJobPrefix = "job/";
-/// `end/<id>`: the final state of a job; created by the transaction that deletes `job/<id>`.
+/// `end/<id>`: the final state of a job, created by the transaction that deletes `job/<id>`.
 inline constexpr const char* kEndPrefix = "end/";
 
-/// Prefixes of the leader's record tables, followed by a page number.
+/// Prefixes of the leader's record tables, each followed by a page number.
 /// @{
 inline constexpr const char* kMachinesPrefix = "machines/";
 inline constexpr const char* kProvisioningPrefix = "rented/";
--- a/src/store/store_types.hpp
+++ b/src/store/store_types.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Values, transactions and results of the state service, independent of their form on the wire.
+/// Values, transactions and results of the state service, independent of their wire format.
 #pragma once
 
 #include <cstdint>
@@ -24,24 +24,24 @@
   using std::runtime_error::runtime_error;
 };
 
-/// Which requests go first when this node's share of the limits is used up.
+/// Order of requests when this node's share of the rate limits is exhausted.
 enum class RequestPriority {
-  safety,      ///< sent at once; uses the share, but never waits for it
-  user,        ///< a user waits for the answer
-  background,  ///< everything else
+  safety,      ///< Sent at once; counts against the share but never waits for it.
+  user,        ///< A user waits for the response.
+  background,  ///< All other requests.
 };
 
-/// The result of a request.
+/// Outcome of a request.
 enum class Outcome {
-  ok,         ///< executed
-  conflict,   ///< not executed: a condition of the transaction does not hold
-  not_found,  ///< not executed: the key or lease does not exist
-  too_old,    ///< not executed: the changes since that revision are no longer kept
-  refused,    ///< certainly not executed
-  unknown,    ///< no usable answer: it may have been, or may yet be, executed
+  ok,         ///< Executed.
+  conflict,   ///< Not executed: a condition of the transaction does not hold.
+  not_found,  ///< Not executed: the key or lease does not exist.
+  too_old,    ///< Not executed: the changes since the requested revision are no longer available.
+  refused,    ///< Not executed, for any other reason.
+  unknown,    ///< No usable response: the request may have been executed or may be executed later.
 };
 
-/// A key with its value, as read.
+/// A key with its value and the revision of its last change.
 struct Item {
   std::string key;
   Json value;
@@ -51,11 +51,11 @@
 /// A change of a key, as a watch reports it.
 struct Change {
   std::string key;
-  std::optional<Json> value;  ///< empty: the key was deleted
+  std::optional<Json> value;  ///< Empty if the key was deleted.
   Revision revision = 0;
 };
 
-/// Holds if the key's last change has this revision; 0: the key must not exist.
+/// Holds if the key's last change has this revision, or, for revision 0, if the key does not exist.
 struct Condition {
   std::string key;
   Revision revision = 0;
@@ -64,11 +64,11 @@
 /// One write of a transaction.
 struct Write {
   std::string key;
-  std::optional<Json> value;     ///< empty: delete the key
-  std::optional<LeaseId> lease;  ///< the key is deleted when this lease ends
+  std::optional<Json> value;     ///< Empty to delete the key.
+  std::optional<LeaseId> lease;  ///< Lease that the key is attached to; its end deletes the key.
 };
 
-/// All writes are executed if all conditions hold, and none otherwise.
+/// All writes are executed atomically if all conditions hold, and none otherwise.
 struct Transaction {
   std::vector<Condition> conditions;
   std::vector<Write> writes;
@@ -76,8 +76,8 @@
 
 struct TransactionResult {
   Outcome outcome = Outcome::unknown;
-  Revision revision = 0;  ///< of the transaction, or of the store on a conflict
-  std::vector<std::string> failed_conditions;  ///< keys whose conditions do not hold
+  Revision revision = 0;  ///< Of the transaction, or of the store after a conflict.
+  std::vector<std::string> failed_conditions;  ///< Keys whose conditions do not hold.
 };
 
 struct GetResult {
@@ -88,13 +88,13 @@
 struct ListResult {
   Outcome outcome = Outcome::unknown;
   std::vector<Item> items;
-  Revision revision = 0;  ///< of the first page: later changes must be watched from here
+  Revision revision = 0;  ///< Revision of the first page, from which later changes must be watched.
 };
 
 struct ChangesResult {
   Outcome outcome = Outcome::unknown;
   std::vector<Change> changes;
-  Revision revision = 0;  ///< up to which `changes` is complete
+  Revision revision = 0;  ///< Revision up to which `changes` is complete.
 };
 
 struct LeaseResult {
