--- a/src/failover/controller_settings.cpp
+++ b/src/failover/controller_settings.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-// Share of the cloud's rate limit for requesting and returning machines; the rest is for the list
-// and the catalog.
+// Share of the cloud's rate limit for requesting and returning machines; the rest is for listing
+// machines and reading the catalog.
 constexpr double kScalingShare = 0.8;
 
-// Kinds of objectives in the settings file.
+// Values of an objective's kind in the settings file.
 constexpr const char* kCompletionKind = "finished";
 constexpr const char* kTardinessKind = "deadline";
 
--- a/src/failover/failover_timeline.hpp
+++ b/src/failover/failover_timeline.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Records when a failover reached each of its steps, for one log record (docs/operations.md,
-/// "After a failover"). Each step is recorded once; a step that was not reached is left out of the
-/// record.
+/// Records when a failover reached each of its steps, for a single log record (docs/operations.md,
+/// "After a failover"). Owns the time at which each step was first reached; steps that were not
+/// reached are omitted from the log record.
 #pragma once
 
 #include <array>
@@ -13,34 +13,34 @@
 namespace violetpulley::failover {
 
 enum class FailoverStep : std::uint8_t {
-  pages_read,                 ///< the record tables: machines, provisioning, progress, placements
-  jobs_read,                  ///< the job replica holds everything up to the leader key
-  leadership_proven,          ///< the leader key was still ours after all of that was read
-  core_built,                 ///< decisions may be made
-  first_command,              ///< sent to a machine
-  first_answer,               ///< a machine is confirmed
-  first_start_of_newer_task,  ///< of a task accepted after the leader key was won
-  first_start_of_older_task,  ///< of a task accepted before
-  reconciled,                 ///< no machine is unconfirmed
+  pages_read,                 ///< The record tables have been read.
+  jobs_read,                  ///< The job replica contains all changes up to the leader key.
+  leadership_proven,          ///< This node still held the leader key after these reads.
+  core_built,                 ///< The core exists and may make decisions.
+  first_command,              ///< The first command was sent to a machine.
+  first_answer,               ///< The first machine was confirmed.
+  first_start_of_newer_task,  ///< Of a task accepted after this node won the leader key.
+  first_start_of_older_task,  ///< Of a task accepted before this node won the leader key.
+  reconciled,                 ///< No machine is unconfirmed any more.
 };
 inline constexpr std::size_t kStepCount = 9;
 
 class FailoverTimeline {
  public:
-  /// `elected_at`: when the leader key was won.
+  /// `elected_at` is when the leader key was won.
   explicit FailoverTimeline(core::TimePoint elected_at) : elected_at_(elected_at) {}
 
   void record(FailoverStep step, core::TimePoint now) {
     auto& time = times_[static_cast<std::size_t>(step)];
     if (!time) time = now;
   }
-  /// Everything is read anew: the steps of the reads before do not count.
+  /// Forgets all steps, because the reader starts over.
   void reset() { times_ = {}; }
   bool reached(FailoverStep step) const {
     return times_[static_cast<std::size_t>(step)].has_value();
   }
 
-  /// "pages_read=0.050 jobs_read=0.060 ...", in seconds since the leader was elected.
+  /// Returns the steps in seconds since the election: "pages_read=0.050 jobs_read=0.060 ...".
   std::string text() const;
 
  private:
--- a/src/failover/recovered_state_reader.cpp
+++ b/src/failover/recovered_state_reader.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::chrono::milliseconds kRetryWait{200};
 
-// Order in which the record tables are read.
+// The record tables in the order in which they are read.
 enum Table : std::size_t { kMachines, kProvisioning, kProgress, kPlacements };
 
 }  // namespace
@@ -48,8 +48,8 @@
   }));
 }
 
-// Every read here is sent after the key was won, so an older leader's conditioned writes are either
-// in its answer or will fail.
+// Every read is sent after this node won the leader key. A write of an earlier leader, which is
+// conditioned on the key, is therefore either contained in the response or will fail.
 void RecoveredStateReader::read() {
   Tables tables{&writer_.machines(), &writer_.provisioning(), &writer_.progress()};
   if (records_starts_) tables.push_back(&writer_.placements());
@@ -70,7 +70,8 @@
   try {
     decode_pages(tables, pages);
   } catch (const store::DecodeError& problem) {
-    spdlog::error("records of an earlier leader cannot be read: {}", problem.what());
+    spdlog::error("records of an earlier leader cannot be decoded, reading them again: {}",
+                  problem.what());
     return read_again();
   }
   read_placements_mark();
@@ -85,8 +86,8 @@
   if (pages.size() > kPlacements) decode_placements(*tables[kPlacements], pages[kPlacements]);
 }
 
-// A machine that came up is registered before its provisioning record is erased: it may be in both
-// tables, and the registered machine counts.
+// A machine is registered before its provisioning record is erased, so it may be in both tables.
+// The registered machine takes precedence.
 void RecoveredStateReader::decode_machines(store::PagedRecords& table, const Pages& pages,
                                            std::set<core::MachineId>& known) {
   for (const auto& page : pages)
@@ -113,8 +114,8 @@
     });
 }
 
-// The mark says that the placement records cover every start of gangs and services. A leader that
-// does not write such records deletes the mark before anything else.
+// The mark declares that the placement records cover every start of gangs and services. A leader
+// that does not write placement records deletes the mark before it starts any task.
 void RecoveredStateReader::read_placements_mark() {
   store_.get(store::kPlacementsMark, RequestPriority::safety,
              lifetime_.guard([this](const store::GetResult& result) {
--- a/src/failover/recovered_state_reader.hpp
+++ b/src/failover/recovered_state_reader.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Reads the recovered state of a new leader: all that earlier leaders stored, read after the
-/// leader key was won and proved afterwards to have been read while the key was ours
-/// (docs/safety.md, "What a leader checks before its first decision"). Decides nothing; a read that
-/// fails or cannot be decoded starts over.
+/// Reads the state that earlier leaders stored, for a new leader. All reads are sent after the
+/// leader key was won; afterwards the key is read again to prove that this node still led
+/// (docs/safety.md, "What a leader checks before its first decision"). Owns the state read so far,
+/// makes no decisions, and starts over when a read fails or a record cannot be decoded.
 #pragma once
 
 #include <set>
@@ -18,12 +18,12 @@
 
 class RecoveredStateReader {
  public:
-  /// Called once, with what was read.
+  /// Called once, with the state that was read.
   using Done = std::function<void(core::RecoveredState)>;
 
-  /// Begins to read. `records_starts`: this leader records where tasks of gangs and services may
-  /// be; otherwise the mark that says so is deleted first. The record tables of `writer` are
-  /// filled.
+  /// Starts reading and fills the record tables of `writer`. `records_starts` says whether this
+  /// leader records on which machines tasks of gangs and services may run; if not, the mark that
+  /// declares these records complete is deleted before the read finishes.
   RecoveredStateReader(asio::io_context& io, core::FencingToken token, bool records_starts,
                        store::StoreClient& store, store::LeaderWriter& writer,
                        store::JobReplica& job_replica, store::ReadBarrierLoop& read_barriers,
@@ -37,7 +37,8 @@
 
   void read();
   void read_again();
-  /// Lists the pages of one table after the other. `pages`: of the tables that are read already.
+  /// Lists the pages of the tables one after the other. `pages` holds those of the tables that have
+  /// been read.
   void read_pages(Tables tables, std::vector<Pages> pages);
   /// Throws store::DecodeError.
   void decode_pages(const Tables& tables, const std::vector<Pages>& pages);
@@ -61,7 +62,7 @@
   Done done_;
   asio::steady_timer retry_timer_;
   core::RecoveredState recovered_;
-  async::Lifetime lifetime_;  // last member: ends before the others
+  async::Lifetime lifetime_;  // must be the last member, so that it is destroyed first
 };
 
 }  // namespace violetpulley::failover
--- a/tests/store/election_test.cpp
+++ b/tests/store/election_test.cpp
@@ -1,8 +1,8 @@
 /// @file
-/// Election over several incarnations of a process: a leader key, a lease and a suspicion belong to
-/// one of them (docs/safety.md, "Restarts within a fraction of a second"). Also: a user's request
-/// to a silent state service is answered at once. Against fake services on loopback; leases last so
-/// long that none expires by itself.
+/// Elections with several incarnations of a process (docs/safety.md, "Restarts within a fraction of
+/// a second"). Guards against a lease of one incarnation blocking the election, and against the
+/// revocation of one incarnation's lease ending the leadership of a later one. Runs against fake
+/// services on loopback, with leases so long that none expires.
 #include "store/election.hpp"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,8 @@
 
 class ElectionTest : public ::testing::Test {
  protected:
-  /// Writes a key as an earlier process of this name would, whose lease has not expired.
+  /// Writes the leader key as an earlier process of this name would, with a lease that has not
+  /// expired. Returns the revision of the key.
   Revision write_key_of_previous_incarnation(const std::string& member) {
     Revision written = 0;
     client_.create_lease(kLongLease, [&](const LeaseResult& result) {
@@ -62,8 +63,7 @@
   EXPECT_GT(process.leadership.token(), before);
 }
 
-// Several restarts in a row while another node campaigns too: each incarnation leads under a token
-// of its own.
+// A process restarts several times in a row while another node campaigns as well.
 TEST_F(ElectionTest, EachIncarnationLeadsUnderANewTokenAfterRestartsDuringElections) {
   Process other(io_, state_.address(), "n-1");
   auto last = write_key_of_previous_incarnation("n-0");
@@ -77,10 +77,10 @@
     EXPECT_FALSE(process.leadership.leading() && other.leadership.leading());
     last = token;
     if (other.won > 0) {
-      other.election.resign("the test goes on", milliseconds(1));
+      other.election.resign("next restart of the test", milliseconds(1));
       other.won = 0;
     }
-    // The process ends here; its lease, if it leads, is left behind.
+    // The process ends here. If it leads, its lease remains.
   }
 }
 
@@ -92,12 +92,13 @@
   Process again(io_, state_.address(), "n-0");
   again.election.start();
   until([&] {
-    // The peer may win the key first: then it resigns and does not campaign again.
-    if (peer.leadership.leading()) peer.election.resign("stands back", kLongLease);
+    // If the peer wins the key first, it resigns and does not campaign again.
+    if (peer.leadership.leading())
+      peer.election.resign("yields to the restarted process", kLongLease);
     return again.won == 1 && peer.election.leader_revision_of("n-0") > first;
   });
   peer.election.revoke_lease_of("n-0", first);
-  // If the lease was revoked wrongly, the key is gone before this answer comes.
+  // If the lease was revoked wrongly, the key is deleted before this response is received.
   std::optional<bool> proven;
   again.election.prove_leadership([&](bool result) { proven = result; });
   until([&] { return proven.has_value(); });
@@ -106,8 +107,8 @@
   until([&] { return again.lost == 1; });
 }
 
-// The transaction that would have made the process leader gets no answer and is executed after the
-// next one.
+// The transaction that creates the leader key gets no response and is executed only after the next
+// attempt has succeeded. Its lease has been revoked by then.
 TEST_F(ElectionTest, ALeaderKeyTransactionExecutedLateDoesNotEndTheCurrentLeadership) {
   const auto endpoint = state_.add_endpoint();
   Process process(io_, state_.address(endpoint), "n-0");
@@ -126,7 +127,7 @@
   EXPECT_EQ(process.lost, 0);
 }
 
-// A state service that accepts connections and answers nothing, as behind a network partition.
+// The state service accepts connections but never responds, as behind a network partition.
 TEST_F(ElectionTest, AUserRequestFailsAtOnceWhileTheStateServiceIsSilent) {
   std::size_t requests = 0;
   net::HttpServer silent(io_, fakes::any_port(), {},
@@ -142,7 +143,7 @@
             [&](const GetResult& result) { second = result.outcome; });
   until([&] { return second.has_value(); });
   EXPECT_EQ(*second, Outcome::unknown);
-  EXPECT_EQ(requests, 1U) << "it was answered without asking";
+  EXPECT_EQ(requests, 1U) << "the request was sent although the state service is silent";
   std::optional<Outcome> background;
   store.get("job/a", RequestPriority::background,
             [&](const GetResult& result) { background = result.outcome; });
--- a/tests/store/learned_state_test.cpp
+++ b/tests/store/learned_state_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The learned state of a leader, through the state service and into the next leader.
+/// Stored form of a leader's learned state and its use by the next leader. Guards against the use
+/// of an incomplete, foreign or outdated set, and against hints being taken for confirmed facts.
 #include <gtest/gtest.h>
 
 #include "core/controller.hpp"
@@ -100,7 +101,7 @@
             "the MAC is wrong");
   EXPECT_EQ(problem(none, settings(true), kWall + std::chrono::hours(2)), "too old");
   EXPECT_TRUE(decode_learned_state({}, settings(), kWall).problem.empty());
-  // A time of day that stepped back does not make the set older.
+  // A time of day that has stepped back does not make the set older.
   EXPECT_TRUE(
       decode_learned_state(whole, settings(true), kWall - std::chrono::hours(2)).learned_state);
 }
@@ -120,9 +121,10 @@
   core::Controller next(controller, 9, now, now + std::chrono::seconds(60), recovered);
   const auto& job = next.jobs().at("req-saved");
   EXPECT_EQ(job.tasks[1].saved, Seconds(7));
-  // The job had waited 40 s, and 10 s more have passed, but it was submitted 40 s ago.
+  // The job had waited 40 s and 10 s have passed since, but it was submitted only 40 s ago, which
+  // limits its waiting time.
   EXPECT_EQ(Seconds(now - job.opened), Seconds(40));
-  EXPECT_EQ(job.waiting.size(), 4U) << "nothing is taken for being on a machine";
+  EXPECT_EQ(job.waiting.size(), 4U) << "a task was assumed to be on a machine";
   EXPECT_TRUE(next.fleet().find("m1")->quarantined);
   EXPECT_FALSE(next.fleet().find("m1")->confirmed);
   EXPECT_TRUE(next.recovering());
--- a/tests/store/paged_records_test.cpp
+++ b/tests/store/paged_records_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Records in pages: few changes for many machines, and no committed record lost to a late write.
+/// Record tables stored in pages. Guards against one change per machine, which would exceed the
+/// write limit, and against committed records being lost to a write that is executed late.
 #include "store/paged_records.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-/// A key-value store that may execute a transaction late, or without an answer.
+/// A key-value store with conditional writes. The test applies a batch late, or hides its result.
 struct FakeStore {
   struct Entry {
     Json value;
@@ -20,7 +21,7 @@
   std::map<std::string, Entry> entries;
   Revision revision = 100;
 
-  /// The revision of the commit; empty on a conflict.
+  /// Returns the revision of the commit, or nothing after a conflict.
   std::optional<Revision> apply(const PagedRecords::Batch& batch) {
     for (const auto& condition : batch.conditions)
       if (entries[condition.key].revision != condition.revision) return std::nullopt;
@@ -59,8 +60,8 @@
     core::TimePoint now{};
     PagedRecords records("p/", 600, milliseconds(500));
     FakeStore store;
-    std::set<std::string> reported;         // committed, as far as the owner knows, and not erased
-    std::vector<PagedRecords::Batch> late;  // executed at some later time
+    std::set<std::string> reported;         // reported as committed and not erased
+    std::vector<PagedRecords::Batch> late;  // executed in a later step
     int next = 0;
     for (int step = 0; step < 400; ++step) {
       now += milliseconds(100);
@@ -75,7 +76,7 @@
         records.erase(*reported.begin(), now);
         reported.erase(reported.begin());
       }
-      // A late transaction is executed: it must not take a committed record away.
+      // A late transaction is executed; it must not remove a committed record.
       if (!late.empty() && chance(30)) {
         store.apply(late.front());
         late.erase(late.begin());
@@ -98,7 +99,7 @@
       for (const auto& id : reported) {
         bool stored = false;
         for (const auto& [key, entry] : store.entries) stored |= entry.value.contains(id);
-        ASSERT_TRUE(stored) << id << " was told committed and is not stored, seed " << seed;
+        ASSERT_TRUE(stored) << id << " was reported as committed but is not stored, seed " << seed;
       }
     }
     PagedRecords reloaded("p/", 600, milliseconds(500));
--- a/tests/store/read_barrier_outages_test.cpp
+++ b/tests/store/read_barrier_outages_test.cpp
@@ -1,7 +1,8 @@
 /// @file
-/// Cancelled tasks end in time under random faults of the state service (docs/safety.md, "Serving
-/// limit"). What is asserted about time follows from times that the parts themselves have read, so
-/// a slow machine changes no verdict.
+/// Cancelled tasks end within the cancel time under random faults of the state service
+/// (docs/safety.md, "Serving limit"). Guards against a leader that renews leases or starts tasks
+/// after it has missed a cancellation confirmed by another controller. Time bounds are derived from
+/// timestamps taken by the tested code, so a slow machine does not change the results.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,9 +20,9 @@
 using std::chrono::milliseconds;
 
 /// A deployment with modelled machines whose leases the leader renews, under random faults of the
-/// state service: refusals of the leader alone, outages soon after, several in a row, slow answers,
-/// and cancellations at any time. Measures for each cancelled task the time from the confirmation
-/// of the cancellation to the end of the task.
+/// state service: refusals of the leader alone, outages shortly afterwards, slow responses, and
+/// several of these in a row, with cancellations at any time. Measures for each cancelled task the
+/// time from the confirmed cancellation to the end of the task.
 class RandomOutages {
  public:
   RandomOutages(asio::io_context& io, std::uint64_t seed)
@@ -41,14 +42,15 @@
 
  private:
   struct Machine {
-    TimePoint last_answered{};  // sending of the last heartbeat that was answered
+    TimePoint last_answered{};  // when the last answered heartbeat was sent
     std::map<JobId, TimePoint> tasks;
-    TimePoint partitioned_until{};  // heartbeats sent before are lost
+    TimePoint partitioned_until{};  // heartbeats sent before this time are lost
   };
   double between(double low, double high) {
     return std::uniform_real_distribution<double>(low, high)(random_);
   }
-  milliseconds random_ms(double low, double high) {
+  /// The limits are in seconds.
+  milliseconds random_duration(double low, double high) {
     return milliseconds(static_cast<long>(between(low, high) * 1000));
   }
   void schedule(asio::steady_timer& timer, milliseconds wait, std::function<void()> action) {
@@ -58,26 +60,28 @@
     });
   }
 
-  // The leader alone is refused, then all; both end in either order; the next fault begins soon.
+  // The leader alone is refused and then all controllers; the refusal may end before the outage
+  // begins. The next fault follows within 2 s.
   void next_fault(milliseconds wait) {
     schedule(fault_timer_, wait, [this] {
       auto* leader = deployment_.leader();
       if (leader == nullptr) return next_fault(milliseconds(100));
       refused_ = leader->endpoint;
-      deployment_.state.answer_late(refused_,
-                                    between(0, 1) < 0.5 ? random_ms(0.3, 1.2) : milliseconds(0));
-      schedule(fault_timer_, random_ms(0, 1), [this] {
+      deployment_.state.answer_late(
+          refused_, between(0, 1) < 0.5 ? random_duration(0.3, 1.2) : milliseconds(0));
+      schedule(fault_timer_, random_duration(0, 1), [this] {
         deployment_.state.refuse(refused_, true);
-        schedule(fault_timer_, random_ms(0.1, 2.6), [this] {
-          // Sometimes the refusal ends for a moment in which the key can be renewed.
+        schedule(fault_timer_, random_duration(0.1, 2.6), [this] {
+          // In some faults the refusal ends shortly before the outage, so that the key can be
+          // renewed.
           if (between(0, 1) < 0.4) deployment_.state.refuse(refused_, false);
-          schedule(fault_timer_, random_ms(0, 0.9), [this] {
+          schedule(fault_timer_, random_duration(0, 0.9), [this] {
             deployment_.state.outage(true);
             deployment_.state.refuse(refused_, false);
             deployment_.state.answer_late(refused_, milliseconds(0));
-            schedule(fault_timer_, random_ms(0.2, 5), [this] {
+            schedule(fault_timer_, random_duration(0.2, 5), [this] {
               deployment_.state.outage(false);
-              next_fault(random_ms(0, 2));
+              next_fault(random_duration(0, 2));
             });
           });
         });
@@ -128,12 +132,12 @@
     if (now - machine.last_answered > lease) {
       for (const auto& [id, since] : machine.tasks) task_ended(id, machine.last_answered + lease);
       machine.tasks.clear();
-      machine.last_answered = now;  // the next agent epoch has begun
+      machine.last_answered = now;  // the agent has started a new epoch
     }
-    if (between(0, 1) < 0.002) machine.partitioned_until = now + random_ms(0.2, 2);
+    if (between(0, 1) < 0.002) machine.partitioned_until = now + random_duration(0.2, 2);
     auto* leader = deployment_.leader();
     if (leader == nullptr || now < machine.partitioned_until) return;
-    // The heartbeat was sent a moment ago.
+    // The heartbeat was sent up to one tick ago.
     const auto sent = std::max(machine.last_answered, now - milliseconds(20));
     if (!leader->serves()) {
       if (leader->leadership.last_proven() > leader->leadership.fresh_until())
@@ -152,7 +156,7 @@
     for (const auto& id : open_jobs(*leader)) {
       if (machine.tasks.size() >= 4) break;
       if (machine.tasks.try_emplace(id, now).second)
-        task_ended(id, now);  // nor may a cancelled task start later
+        task_ended(id, now);  // a cancelled task must not start after the deadline either
     }
   }
 
@@ -169,7 +173,7 @@
   Seconds max_end_delay_{0};
 };
 
-// More deployments: VIOLETPULLEY_EXTRA_SEEDS=100.
+// VIOLETPULLEY_EXTRA_SEEDS=100 adds 100 deployments.
 TEST(ReadBarrierOutages, CancelledTasksEndWithinTheCancelTimeWhicheverControllerConfirms) {
   const char* extra = std::getenv("VIOLETPULLEY_EXTRA_SEEDS");
   const int count = 12 + (extra == nullptr ? 0 : std::atoi(extra));
@@ -191,9 +195,9 @@
     refused_while_stale += deployment->heartbeats_refused_while_stale();
   }
   std::cout << count << " deployments, " << cancelled
-            << " jobs cancelled, from the confirmation to "
-            << "the end at most " << max_end_delay.count() << " of " << short_times().cancel.count()
-            << " s; heartbeats not answered for a stale replica though the key was ours: "
+            << " jobs cancelled, time from confirmation to "
+            << "end at most " << max_end_delay.count() << " of " << short_times().cancel.count()
+            << " s; heartbeats refused for a stale replica while the leader key was held: "
             << refused_while_stale << "\n";
   EXPECT_GT(cancelled, 0U);
 }
--- a/tests/store/read_barrier_test.cpp
+++ b/tests/store/read_barrier_test.cpp
@@ -1,9 +1,8 @@
 /// @file
-/// Leading is not the same as being fresh (docs/safety.md, "Serving limit"): the real election, job
-/// replica, watch and read barriers of several controllers against a fake state service that
-/// refuses one of them alone and then all, while another controller confirms cancellations. What is
-/// asserted about time follows from times that the parts themselves have read, so a slow machine
-/// changes no verdict.
+/// Read barriers of a leader (docs/safety.md, "Serving limit"). Guards against a leader that still
+/// holds its key but serves from a stale replica: a fake state service refuses one controller alone
+/// and then all, while another controller confirms cancellations. Time bounds are derived from
+/// timestamps taken by the tested code, so a slow machine does not change the results.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -35,7 +34,7 @@
              deployment_.b.job_replica.find(id) != nullptr;
     });
   }
-  /// Returns when the user got the answer.
+  /// Cancels the job and returns when the user received the confirmation.
   TimePoint cancel_and_wait(TestController& at, const JobId& id) {
     std::optional<TimePoint> confirmed;
     at.cancel(id, [&](bool cancelled) {
@@ -56,8 +55,8 @@
   submit_and_replicate("req-1");
   deployment_.state.refuse(leader.endpoint, true);
   const auto confirmed = cancel_and_wait(deployment_.other(leader), "req-1");
-  // The outage begins before the lease has expired; the key outlives the outage, and the watch is
-  // silent.
+  // The outage begins before the lease has expired, so the key survives it. The watch reports
+  // nothing.
   deployment_.state.outage(true);
   deployment_.state.refuse(leader.endpoint, false);
   deployment_.state.outage(false);
@@ -70,7 +69,7 @@
     return renewed;
   });
   ASSERT_GT(leader.leadership.last_proven(), confirmed);
-  // Until the barrier is applied the key alone does not let the leader serve.
+  // Until the barrier's response is applied, the key alone does not let the leader serve.
   if (!leader.closed.contains("req-1")) {
     EXPECT_LT(*leader.leadership.fresh_until(), confirmed);
     EXPECT_FALSE(leader.leadership.may_serve(confirmed +
@@ -84,7 +83,7 @@
   auto& leader = wait_for_leader();
   submit_and_replicate("req-1");
   deployment_.state.answer_late(leader.endpoint, milliseconds(300));
-  // The barrier that is under way may be older than the cancellation; the next barrier is not.
+  // The barrier in flight may have been sent before the cancellation; the next barrier is not.
   cancel_and_wait(deployment_.other(leader), "req-1");
   const auto asked = Clock::now();
   bool fresh = false;
@@ -94,7 +93,7 @@
     fresh = ok;
     known = leader.closed.contains("req-1");
     EXPECT_LT(*leader.leadership.fresh_until(), asked + milliseconds(300))
-        << "counted from its answer";
+        << "freshness counted from the response";
   });
   until([&] { return fresh; });
   EXPECT_TRUE(known);
@@ -114,15 +113,15 @@
   until([&] { return leader.leadership.fresh_until() > since; });
 }
 
-// The state service is slow: a list that was read before a job ended arrives after a barrier that
-// reported the end.
+// A slow state service: the response to a list request, read before a job ended, arrives after the
+// barrier that reported the end.
 TEST_F(ReadBarrierTest, AListOlderThanAReadBarrierReopensNoJob) {
   auto& leader = wait_for_leader();
   submit_and_replicate("req-1");
   JobReplica replica(io_, client_, {[](const core::JobRecord&) {}, [](const JobId&) {}});
   replica.start();
   until([&] { return replica.find("req-1") != nullptr; });
-  // The replica reads everything anew, as after a watch that failed.
+  // The replica reads all jobs again, as after a failed watch.
   deployment_.state.hold_lists(true);
   replica.start();
   until([&] { return deployment_.state.lists_held() > 0; });
@@ -135,11 +134,11 @@
   deployment_.state.hold_lists(false);
   submit(client_, "req-2");
   until([&] { return replica.find("req-2") != nullptr; });
-  EXPECT_EQ(replica.find("req-1"), nullptr) << "a job that has ended is open again";
+  EXPECT_EQ(replica.find("req-1"), nullptr) << "a finished job was reopened";
 }
 
-// A submission and a cancellation get no answer, are repeated, and the first ones are executed
-// after everything else.
+// A submission and the end of a job get no response, and both transactions are executed only after
+// the job was submitted again and cancelled.
 TEST_F(ReadBarrierTest, ATransactionExecutedLateDoesNotOverwriteLaterChanges) {
   auto& leader = wait_for_leader();
   const auto endpoint = deployment_.state.add_endpoint();
@@ -150,7 +149,7 @@
   submit_and_replicate("req-1");
   const auto* record = leader.job_replica.find("req-1");
   ASSERT_NE(record, nullptr);
-  std::optional<Outcome> ended;  // as the leader ends a job; its user cancels it meanwhile
+  std::optional<Outcome> ended;  // the leader ends the job while its user cancels it
   late.commit({{{kJobPrefix + std::string("req-1"), record->revision},
                 {kEndPrefix + std::string("req-1"), 0},
                 {"leader", leader.leadership.token()}},
@@ -174,10 +173,10 @@
   EXPECT_EQ(end_key->item.value.value("state", ""), "withdrawn");
 }
 
-// A job's last task ends while its user cancels the job, asks for its status and repeats its
-// submission, at two controllers, in every order of the four. One transaction decides; every later
-// answer reports that decision, and once an answer has reported the end, no answer reports an older
-// state.
+// A job's last task ends while its user cancels the job, polls its status and submits it again, at
+// two controllers and in every order of the four. The first transaction that commits decides the
+// final state; every later response reports it, and once a response has reported it, no request
+// sent afterwards gets an older state.
 TEST_F(ReadBarrierTest, AConcurrentEndCancellationPollAndResubmissionReportOneFinalState) {
   auto& leader = wait_for_leader();
   auto& other = deployment_.other(leader);
@@ -211,12 +210,12 @@
             [&, method, body, sent = Clock::now()](const std::optional<net::Response>& response) {
               --open_requests;
               ASSERT_TRUE(response) << id;
-              if (response->status == 503) return ask(at, method, body);  // as users do
+              if (response->status == 503) return ask(at, method, body);  // retry, as clients do
               ASSERT_EQ(response->status, 200) << id;
               const auto status = Json::parse(response->body).at("status").get<std::string>();
               if (status != "done" && status != "withdrawn") {
                 EXPECT_FALSE(end_reported && sent >= *end_reported)
-                    << id << " was told its end before";
+                    << id << ": older state after its end was reported";
                 return;
               }
               final_states.insert(status);
@@ -246,7 +245,7 @@
         if (apart) io_.run_for(milliseconds(1));
       }
       until([&] { return ended && open_requests == 0; });
-      ASSERT_EQ(final_states.size(), 1U) << id << ": one end, whoever is asked";
+      ASSERT_EQ(final_states.size(), 1U) << id << ": responses disagree about the final state";
       ++ends[*final_states.begin()];
     }
   } while (std::next_permutation(order.begin(), order.end()));
--- a/tests/store/two_controllers.hpp
+++ b/tests/store/two_controllers.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Two controllers without machines and cloud, against a fake state service on loopback.
+/// Test fixture: two controllers without machines and cloud, connected to a fake state service on
+/// loopback.
 #pragma once
 
 #include <set>
@@ -12,7 +13,7 @@
 
 namespace violetpulley::store {
 
-/// Short, so that a run takes seconds; the inequality between the times is the same.
+/// Times short enough that a run takes seconds. They satisfy the same inequality as the defaults.
 inline core::WorkerTimes short_times() {
   core::WorkerTimes times;
   times.heartbeat_interval = core::Seconds(0.1);
@@ -21,7 +22,7 @@
   return times;
 }
 
-/// The parts that Node joins, without machines and cloud.
+/// The components of a Node that lead and serve users, without machines and cloud.
 struct TestController {
   TestController(asio::io_context& io, fakes::StateService& state, const std::string& name,
                  int seed)
@@ -58,7 +59,7 @@
     read_barriers = std::make_unique<ReadBarrierLoop>(io, leadership, job_replica);
     read_jobs();
   }
-  // As a new leader reads its jobs: complete up to the leader key, or once more.
+  // Reads the jobs as a new leader does: again until the replica is complete up to the leader key.
   void read_jobs() {
     read_barriers->request_barrier([this](bool fresh) {
       if (!fresh || job_replica.applied_revision() < leadership.token()) {
@@ -75,7 +76,7 @@
     ready = false;
     asio::post(io, [old = std::shared_ptr<ReadBarrierLoop>(std::move(read_barriers))] {});
   }
-  /// Calls back with true when the user has got the answer that the job is cancelled.
+  /// Cancels the job as a user; `answered` gets true if the cancellation is confirmed.
   void cancel(const core::JobId& id, std::function<void(bool)> answered) {
     user.request({"POST", "/" + id, ""}, std::chrono::seconds(5),
                  [answered = std::move(answered)](const std::optional<net::Response>& response) {
@@ -89,7 +90,7 @@
   std::vector<core::MachineType> types;
   StoreClient store;
   core::Leadership leadership;
-  std::set<core::JobId> closed;  // as reported to the core
+  std::set<core::JobId> closed;  // jobs reported as closed to the core
   JobReplica job_replica;
   api::UserApi users;
   std::unique_ptr<ReadBarrierLoop> read_barriers;
@@ -99,7 +100,7 @@
   net::HttpClient user;
 };
 
-/// Two controllers and their state service.
+/// Two controllers and the state service that they share.
 struct Deployment {
   explicit Deployment(asio::io_context& io, int seed)
       : state(io), a(io, state, "n-0", seed * 10 + 1), b(io, state, "n-1", seed * 10 + 5) {}
