--- a/src/store/election.cpp
+++ b/src/store/election.cpp
@@ -216,7 +216,8 @@
 }
 
 void Election::revoke_lease_of(const std::string& member, Revision leader_revision) {
-  if (leader_revision == 0 || leader_revision_of(member) != leader_revision || member == member_)
+  if (leader_revision == 0 || this->leader_revision_of(member) != leader_revision ||
+      member == member_)
     return;
   spdlog::info("leader {} has ended; revoking its lease", member);
   store_.revoke_lease(leader_->lease);
--- a/src/store/leader_writer.hpp
+++ b/src/store/leader_writer.hpp
@@ -54,7 +54,7 @@
   PagedRecords provisioning_;
   PagedRecords progress_;
   PagedRecords placements_;
-  bool flush_in_flight_ = false;  // a transaction of pages
+  bool flush_in_flight_ = false;  // a page transaction was sent
   int pending_rereads_ = 0;       // pages whose revisions are being read
   core::TimePoint next_flush_{};
   async::Lifetime lifetime_;  // must be the last member, so that it is destroyed first
--- a/src/store/paged_records.cpp
+++ b/src/store/paged_records.cpp
@@ -15,7 +15,7 @@
   const auto* end = key.data() + key.size();
   const auto [stop, error] = std::from_chars(key.data() + prefix_.size(), end, number);
   if (error != std::errc() || stop != end || number < 0)
-    throw DecodeError("page number missing or malformed in key " + key);
+    throw DecodeError("page name has no valid number: " + key);
   return number;
 }
 
--- a/src/store/paged_records.hpp
+++ b/src/store/paged_records.hpp
@@ -39,9 +39,9 @@
   /// Loads a page written by an earlier leader. Throws DecodeError.
   void load(const Item& item, const RecordReader& read_record);
 
-  /// Adds or replaces a record. `reserved_bytes`: the most bytes that this record will ever take,
-  /// so that a page never outgrows the limit. `done`, which may be empty, is called once the page
-  /// is committed.
+  /// Adds or replaces a record. `reserved_bytes` is the largest size that the record will ever
+  /// have; reserving it keeps the page within its limit. `done`, which may be empty, is called once
+  /// the page is committed.
   void put(const std::string& id, Json value, std::size_t reserved_bytes, WritePriority priority,
            core::TimePoint now, Done done);
   void erase(const std::string& id, core::TimePoint now);
--- a/src/store/read_barrier_loop.cpp
+++ b/src/store/read_barrier_loop.cpp
@@ -40,11 +40,11 @@
   serving_ = serving;
   if (serving)
     return spdlog::info(
-        "job replica is fresh again and leadership is proven; answering heartbeats and starting "
-        "tasks");
+        "job replica is fresh again and leadership is proven: heartbeats are answered and tasks "
+        "start");
   const auto ago = [now](core::TimePoint then) { return core::Seconds(now - then).count(); };
   spdlog::warn(
-      "not answering heartbeats and not starting tasks: the last read barrier is {:.1f} s old and "
+      "heartbeats are not answered and no task starts: the last read barrier is {:.1f} s old and "
       "leadership was last proven {:.1f} s ago; the limit for both is {:.1f} s",
       leadership_.fresh_until() ? ago(*leadership_.fresh_until()) : 0.0,
       ago(leadership_.last_proven()), leadership_.serving_time().count());
