--- a/src/leader/action_executor.hpp
+++ b/src/leader/action_executor.hpp
@@ -36,7 +36,7 @@
     std::function<void()> resigning_isolated;
   };
 
-  /// `page_bytes`: a placement record that is larger is stored as unknown.
+  /// `max_page_bytes`: a placement record that is larger is stored as unknown.
   ActionExecutor(const Services& services, core::FencingToken token, std::size_t page_bytes,
                  Events events);
   ActionExecutor(const ActionExecutor&) = delete;
--- a/src/store/record_codec.cpp
+++ b/src/store/record_codec.cpp
@@ -10,32 +10,33 @@
 constexpr std::string_view kHexDigits = "0123456789abcdef";
 constexpr core::TaskIndex kBitsPerDigit = 4;
 
-// Stored arrays: the position of each field.
+// Positions of the fields in the stored arrays.
 enum MachineField : std::size_t { kEndpoint, kType, kZone, kSpot, kImages };
 enum ImageField : std::size_t { kImageName, kImageGb };
 enum ProgressField : std::size_t { kDone, kRestarted, kTasksInChunk };
 
-// Bytes beside the contents: quotes, commas and brackets.
-constexpr std::size_t kMachineEnvelope = 8;
-constexpr std::size_t kPlacementsEnvelope = 16;
-constexpr std::size_t kProgressEnvelope = 24;
-// A machine's name with its quotes and comma.
+// JSON punctuation of one record: quotes, commas and brackets.
+constexpr std::size_t kMachineEnvelopeBytes = 8;
+constexpr std::size_t kPlacementsEnvelopeBytes = 16;
+constexpr std::size_t kProgressEnvelopeBytes = 24;
+// A machine id with its quotes and comma.
 constexpr std::size_t kMachineNameBytes = 24;
 
-// Calls `decode` and reports whatever does not fit as a DecodeError.
+// Calls `decode` and rethrows exceptions of the JSON library and of number parsing as DecodeError.
 template <typename Decode>
-auto decoded(Decode decode) {
+auto rethrow_as_decode_error(Decode decode) {
   try {
     return decode();
   } catch (const Json::exception& problem) {
     throw DecodeError(problem.what());
-  } catch (const std::logic_error& problem) {  // of std::stoul
+  } catch (const std::logic_error& problem) {  // thrown by std::stoul
     throw DecodeError(problem.what());
   }
 }
 
-// One bit a task, four tasks a hexadecimal digit: the size is bounded, however scattered the tasks.
-std::string bits_of(const std::vector<core::IndexRange>& ranges, core::TaskIndex first) {
+// Encodes task indexes as a bitmap with four tasks per hexadecimal digit, whose size does not
+// depend on how the tasks are scattered.
+std::string encode_bitmap(const std::vector<core::IndexRange>& ranges, core::TaskIndex first) {
   std::string digits;
   for (const auto& [from, to] : ranges)
     for (auto bit = from - first; bit <= to - first; ++bit) {
@@ -47,11 +48,12 @@
   return digits;
 }
 
-std::vector<core::IndexRange> ranges_of(const std::string& digits, core::TaskIndex first) {
+std::vector<core::IndexRange> decode_bitmap(const std::string& digits, core::TaskIndex first) {
   std::vector<core::IndexRange> ranges;
   for (std::size_t position = 0; position < digits.size(); ++position) {
     const auto value = kHexDigits.find(digits[position]);
-    if (value == std::string_view::npos) throw DecodeError("progress holds " + digits);
+    if (value == std::string_view::npos)
+      throw DecodeError("progress bitmap is not hexadecimal: " + digits);
     for (core::TaskIndex bit = 0; bit < kBitsPerDigit; ++bit)
       if ((value >> bit & 1U) != 0)
         core::append_index(ranges,
@@ -63,26 +65,26 @@
 }  // namespace
 
 std::size_t page_bytes(const config::Settings& settings) {
-  constexpr double kMaxPageKib = 24.0;  // two or more pages must fit into a transaction of 64 KiB
-  constexpr double kPageShare = 0.9;    // of the largest value
+  constexpr double kMaxPageKib = 24.0;  // at least two pages must fit into a transaction of 64 KiB
+  constexpr double kPageShare = 0.9;    // share of the largest allowed value
   return static_cast<std::size_t>(std::min(settings.state_value_kib, kMaxPageKib) * 1024 *
                                   kPageShare);
 }
 
 Json machine_to_json(const core::MachineRecord& record) {
   Json out{record.endpoint, record.type, record.zone, record.spot ? 1 : 0, Json::array()};
-  auto bytes = record.id.size() + out.dump().size() + kMachineEnvelope;
+  auto bytes = record.id.size() + out.dump().size() + kMachineEnvelopeBytes;
   for (const auto& [name, gb] : record.images) {
     Json image{name, gb};
     bytes += image.dump().size() + 1;
-    if (bytes > kMachineBytes) break;
+    if (bytes > kMaxMachineRecordBytes) break;
     out[kImages].push_back(std::move(image));
   }
   return out;
 }
 
 core::MachineRecord machine_from_json(const std::string& id, const Json& value) {
-  return decoded([&] {
+  return rethrow_as_decode_error([&] {
     core::MachineRecord record{id,
                                value.at(kEndpoint).get<std::string>(),
                                value.at(kType).get<std::string>(),
@@ -101,7 +103,7 @@
 }
 
 core::PlacementRecord placements_from_json(const std::string& job, const Json& value) {
-  return decoded([&] {
+  return rethrow_as_decode_error([&] {
     core::PlacementRecord record{job, {}, !value.is_null()};
     if (record.known) record.machines = value.get<std::vector<core::MachineId>>();
     return record;
@@ -109,7 +111,7 @@
 }
 
 std::size_t placements_bytes(const core::PlacementRecord& record) {
-  return record.job.size() + kPlacementsEnvelope + record.machines.size() * kMachineNameBytes;
+  return record.job.size() + kPlacementsEnvelopeBytes + record.machines.size() * kMachineNameBytes;
 }
 
 std::string progress_name(const core::JobId& job, core::TaskIndex chunk) {
@@ -118,30 +120,32 @@
 
 Json progress_to_json(const core::ProgressRecord& record, std::size_t tasks_in_chunk) {
   const auto first = record.chunk * core::kProgressChunk;
-  return {bits_of(record.done, first), bits_of(record.restarted, first), tasks_in_chunk};
+  return {encode_bitmap(record.done, first), encode_bitmap(record.restarted, first),
+          tasks_in_chunk};
 }
 
 core::ProgressRecord progress_from_json(const std::string& name, const Json& value) {
-  return decoded([&] {
+  return rethrow_as_decode_error([&] {
     const auto slash = name.rfind('/');
-    if (slash == std::string::npos) throw DecodeError("progress record " + name);
+    if (slash == std::string::npos)
+      throw DecodeError("no chunk number in the id of progress record " + name);
     core::ProgressRecord record;
     record.job = name.substr(0, slash);
     record.chunk = static_cast<core::TaskIndex>(std::stoul(name.substr(slash + 1)));
     const auto first = record.chunk * core::kProgressChunk;
-    record.done = ranges_of(value.at(kDone).get<std::string>(), first);
-    record.restarted = ranges_of(value.at(kRestarted).get<std::string>(), first);
+    record.done = decode_bitmap(value.at(kDone).get<std::string>(), first);
+    record.restarted = decode_bitmap(value.at(kRestarted).get<std::string>(), first);
     return record;
   });
 }
 
 std::size_t tasks_in_chunk_from_json(const Json& value) {
-  return decoded([&] { return value.at(kTasksInChunk).get<std::size_t>(); });
+  return rethrow_as_decode_error([&] { return value.at(kTasksInChunk).get<std::size_t>(); });
 }
 
 std::size_t progress_bytes(const std::string& name, std::size_t tasks_in_chunk) {
-  // Two strings of one digit for four tasks.
-  return name.size() + kProgressEnvelope + (tasks_in_chunk / kBitsPerDigit + 1) * 2;
+  // Two bitmaps: finished tasks and restarted tasks.
+  return name.size() + kProgressEnvelopeBytes + (tasks_in_chunk / kBitsPerDigit + 1) * 2;
 }
 
 }  // namespace violetpulley::store
--- a/tests/store/learned_state_test.cpp
+++ b/tests/store/learned_state_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The learned state of a leader, through the state service and into the next leader.
+/// Stored form of a leader's learned state and its use by the next leader. Guards against the use
+/// of an incomplete, foreign or outdated set, and against hints being taken for confirmed facts.
 #include <gtest/gtest.h>
 
 #include "core/controller.hpp"
@@ -50,11 +51,11 @@
 LearnedStateSettings settings(bool key = false) {
   LearnedStateSettings out;
   if (key) out.key = history::parse_key(std::string(64, 'a'));
-  out.value_bytes = 2000;
+  out.max_value_bytes = 2000;
   return out;
 }
 
-TEST(LearnedState, ComesBackCompleteInPieces) {
+TEST(LearnedState, RoundTripsThroughSeveralPieces) {
   for (const bool key : {false, true}) {
     const auto written = encode_learned_state(learned(150), "a", 7, settings(key));
     EXPECT_GT(written.pieces.size(), 1U);
@@ -67,7 +68,7 @@
   }
 }
 
-TEST(LearnedState, IsShortenedByWhatIsWorthLeast) {
+TEST(LearnedState, DropsJobsOfWhichOnlyTheWaitingTimeIsKnownFirst) {
   const auto written = encode_learned_state(learned(5000), "a", 7, settings());
   EXPECT_LE(written.pieces.size(), 6U);
   const auto read = decode_learned_state(items_of(written), settings(), kWall);
@@ -76,7 +77,7 @@
   EXPECT_EQ(read.learned_state->jobs[0].id, "req-saved");
 }
 
-TEST(LearnedState, AnIncompleteOrForeignSetIsNotUsedAndTheProblemIsNamed) {
+TEST(LearnedState, AnIncompleteForeignOrOldSetIsRejectedWithItsCause) {
   const auto whole = items_of(encode_learned_state(learned(150), "a", 7, settings(true)));
   const auto problem = [&](auto change, const LearnedStateSettings& with,
                            core::WallTime wall = kWall) {
@@ -100,12 +101,12 @@
             "the MAC is wrong");
   EXPECT_EQ(problem(none, settings(true), kWall + std::chrono::hours(2)), "too old");
   EXPECT_TRUE(decode_learned_state({}, settings(), kWall).problem.empty());
-  // A time of day that stepped back does not make the set older.
+  // A time of day that has stepped back does not make the set older.
   EXPECT_TRUE(
       decode_learned_state(whole, settings(true), kWall - std::chrono::hours(2)).learned_state);
 }
 
-TEST(LearnedState, SpeedsTheNextLeaderUpAndConfirmsNoMachine) {
+TEST(LearnedState, GivesTheNextLeaderHintsAndConfirmsNoMachine) {
   core::ControllerSettings controller;
   controller.teams = {{"t", 0, 0, 0, 0}};
   controller.wall_at_start = kWall + std::chrono::seconds(10);
@@ -120,9 +121,10 @@
   core::Controller next(controller, 9, now, now + std::chrono::seconds(60), recovered);
   const auto& job = next.jobs().at("req-saved");
   EXPECT_EQ(job.tasks[1].saved, Seconds(7));
-  // The job had waited 40 s, and 10 s more have passed, but it was submitted 40 s ago.
+  // The job had waited 40 s and 10 s have passed since, but it was submitted only 40 s ago, which
+  // limits its waiting time.
   EXPECT_EQ(Seconds(now - job.opened), Seconds(40));
-  EXPECT_EQ(job.waiting.size(), 4U) << "nothing is taken for being on a machine";
+  EXPECT_EQ(job.waiting.size(), 4U) << "a task was assumed to be on a machine";
   EXPECT_TRUE(next.fleet().find("m1")->quarantined);
   EXPECT_FALSE(next.fleet().find("m1")->confirmed);
   EXPECT_TRUE(next.recovering());
--- a/tests/store/read_barrier_test.cpp
+++ b/tests/store/read_barrier_test.cpp
@@ -1,9 +1,8 @@
 /// @file
-/// Leading is not the same as being fresh (docs/safety.md, "Serving limit"): the real election, job
-/// replica, watch and read barriers of several controllers against a fake state service that
-/// refuses one of them alone and then all, while another controller confirms cancellations. What is
-/// asserted about time follows from times that the parts themselves have read, so a slow machine
-/// changes no verdict.
+/// Read barriers of a leader (docs/safety.md, "Serving limit"). Guards against a leader that still
+/// holds its key but serves from a stale replica: a fake state service refuses one controller alone
+/// and then all, while another controller confirms cancellations. Time bounds are derived from
+/// timestamps taken by the tested code, so a slow machine does not change the results.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,19 +23,19 @@
 class ReadBarrierTest : public ::testing::Test {
  protected:
   void until(const std::function<bool()>& done) { fakes::run_until(io_, done); }
-  Controller& lead() {
+  TestController& wait_for_leader() {
     until([&] { return deployment_.leader() != nullptr && deployment_.leader()->serves(); });
     return *deployment_.leader();
   }
-  void job(const JobId& id) {
+  void submit_and_replicate(const JobId& id) {
     submit(client_, id);
     until([&] {
       return deployment_.a.job_replica.find(id) != nullptr &&
              deployment_.b.job_replica.find(id) != nullptr;
     });
   }
-  /// Returns when the user got the answer.
-  TimePoint cancel(Controller& at, const JobId& id) {
+  /// Cancels the job and returns when the user received the confirmation.
+  TimePoint cancel_and_wait(TestController& at, const JobId& id) {
     std::optional<TimePoint> confirmed;
     at.cancel(id, [&](bool cancelled) {
       ASSERT_TRUE(cancelled);
@@ -51,18 +50,18 @@
   StoreClient client_{io_, net::parse_endpoint(deployment_.state.address()), {1000, 1000}, 3};
 };
 
-TEST_F(ReadBarrierTest, ARenewedKeyAloneProvesNothingAboutCancellations) {
-  auto& leader = lead();
-  job("req-1");
+TEST_F(ReadBarrierTest, ARenewedLeaderKeyWithoutAReadBarrierDoesNotLetTheLeaderServe) {
+  auto& leader = wait_for_leader();
+  submit_and_replicate("req-1");
   deployment_.state.refuse(leader.endpoint, true);
-  const auto confirmed = cancel(deployment_.other(leader), "req-1");
-  // The outage begins before the lease has expired; the key outlives the outage, and the watch is
-  // silent.
+  const auto confirmed = cancel_and_wait(deployment_.other(leader), "req-1");
+  // The outage begins before the lease has expired, so the key survives it. The watch reports
+  // nothing.
   deployment_.state.outage(true);
   deployment_.state.refuse(leader.endpoint, false);
   deployment_.state.outage(false);
   bool renewed = false;
-  leader.election.prove([&](bool proven) { renewed = proven; });
+  leader.election.prove_leadership([&](bool proven) { renewed = proven; });
   until([&] {
     if (leader.leadership.fresh_until() > confirmed) {
       EXPECT_TRUE(leader.closed.contains("req-1"));
@@ -70,7 +69,7 @@
     return renewed;
   });
   ASSERT_GT(leader.leadership.last_proven(), confirmed);
-  // Until the barrier is applied the key alone does not let the leader serve.
+  // Until the barrier's response is applied, the key alone does not let the leader serve.
   if (!leader.closed.contains("req-1")) {
     EXPECT_LT(*leader.leadership.fresh_until(), confirmed);
     EXPECT_FALSE(leader.leadership.may_serve(confirmed +
@@ -80,33 +79,33 @@
   EXPECT_TRUE(leader.closed.contains("req-1"));
 }
 
-TEST_F(ReadBarrierTest, FreshnessIsCountedFromTheSendingAndOnlyAfterTheAnswerWasApplied) {
-  auto& leader = lead();
-  job("req-1");
+TEST_F(ReadBarrierTest, FreshnessCountsFromTheSendingOfABarrierAndOnlyOnceItsResponseIsApplied) {
+  auto& leader = wait_for_leader();
+  submit_and_replicate("req-1");
   deployment_.state.answer_late(leader.endpoint, milliseconds(300));
-  // The barrier that is under way may be older than the cancellation; the next barrier is not.
-  cancel(deployment_.other(leader), "req-1");
+  // The barrier in flight may have been sent before the cancellation; the next barrier is not.
+  cancel_and_wait(deployment_.other(leader), "req-1");
   const auto asked = Clock::now();
   bool fresh = false;
   bool known = false;
   ReadBarrierLoop read_barriers(io_, leader.leadership, leader.job_replica);
-  read_barriers.ask([&](bool ok) {
+  read_barriers.request_barrier([&](bool ok) {
     fresh = ok;
     known = leader.closed.contains("req-1");
     EXPECT_LT(*leader.leadership.fresh_until(), asked + milliseconds(300))
-        << "counted from its answer";
+        << "freshness counted from the answer";
   });
   until([&] { return fresh; });
   EXPECT_TRUE(known);
 }
 
-TEST_F(ReadBarrierTest, ARevisionThatGoesBackwardIsNoAnswer) {
-  auto& leader = lead();
-  job("req-1");
+TEST_F(ReadBarrierTest, AResponseWithALowerRevisionIsRejected) {
+  auto& leader = wait_for_leader();
+  submit_and_replicate("req-1");
   deployment_.state.go_backward(1);
   const auto since = Clock::now();
   std::optional<bool> fresh;
-  leader.job_replica.barrier(RequestPriority::safety, [&](bool ok) { fresh = ok; });
+  leader.job_replica.read_barrier(RequestPriority::safety, [&](bool ok) { fresh = ok; });
   until([&] { return fresh.has_value(); });
   EXPECT_FALSE(*fresh);
   EXPECT_LT(*leader.leadership.fresh_until(), since);
@@ -114,43 +113,43 @@
   until([&] { return leader.leadership.fresh_until() > since; });
 }
 
-// The state service is slow: a list that was read before a job ended arrives after a barrier that
-// reported the end.
-TEST_F(ReadBarrierTest, AListThatABarrierHasOvertakenOpensNothing) {
-  auto& leader = lead();
-  job("req-1");
+// A slow state service: the response to a list request, read before a job ended, arrives after the
+// barrier that reported the end.
+TEST_F(ReadBarrierTest, AListOlderThanAReadBarrierReopensNoJob) {
+  auto& leader = wait_for_leader();
+  submit_and_replicate("req-1");
   JobReplica replica(io_, client_, {[](const core::JobRecord&) {}, [](const JobId&) {}});
   replica.start();
   until([&] { return replica.find("req-1") != nullptr; });
-  // The replica reads everything anew, as after a watch that failed.
+  // The replica reads all jobs again, as after a failed watch.
   deployment_.state.hold_lists(true);
   replica.start();
   until([&] { return deployment_.state.lists_held() > 0; });
-  cancel(leader, "req-1");
+  cancel_and_wait(leader, "req-1");
   std::optional<bool> fresh;
-  replica.barrier(RequestPriority::safety, [&](bool ok) { fresh = ok; });
+  replica.read_barrier(RequestPriority::safety, [&](bool ok) { fresh = ok; });
   until([&] { return fresh.has_value(); });
   ASSERT_TRUE(*fresh);
   ASSERT_EQ(replica.find("req-1"), nullptr);
   deployment_.state.hold_lists(false);
   submit(client_, "req-2");
   until([&] { return replica.find("req-2") != nullptr; });
-  EXPECT_EQ(replica.find("req-1"), nullptr) << "a job that has ended is open again";
+  EXPECT_EQ(replica.find("req-1"), nullptr) << "a finished job was reopened";
 }
 
-// A submission and a cancellation get no answer, are repeated, and the first ones are executed
-// after everything else.
-TEST_F(ReadBarrierTest, ATransactionExecutedLateChangesNothingThatCameAfter) {
-  auto& leader = lead();
+// A submission and the end of a job get no response, and both transactions are executed only after
+// the job was submitted again and cancelled.
+TEST_F(ReadBarrierTest, ATransactionExecutedLateDoesNotOverwriteLaterChanges) {
+  auto& leader = wait_for_leader();
   const auto endpoint = deployment_.state.add_endpoint();
   StoreClient late(io_, net::parse_endpoint(deployment_.state.address(endpoint)), {1000, 1000}, 9);
   deployment_.state.execute_late(endpoint, milliseconds(1800));
   std::optional<bool> taken;
   submit(late, "req-1", [&](bool ok) { taken = ok; });
-  job("req-1");
+  submit_and_replicate("req-1");
   const auto* record = leader.job_replica.find("req-1");
   ASSERT_NE(record, nullptr);
-  std::optional<Outcome> ended;  // as the leader ends a job; its user cancels it meanwhile
+  std::optional<Outcome> ended;  // the leader ends the job while its user cancels it
   late.commit({{{kJobPrefix + std::string("req-1"), record->revision},
                 {kEndPrefix + std::string("req-1"), 0},
                 {"leader", leader.leadership.token()}},
@@ -158,7 +157,7 @@
                 {kEndPrefix + std::string("req-1"), Json{{"state", "done"}}, std::nullopt}}},
               RequestPriority::safety,
               [&](const TransactionResult& result) { ended = result.outcome; });
-  cancel(deployment_.other(leader), "req-1");
+  cancel_and_wait(deployment_.other(leader), "req-1");
   until([&] { return deployment_.state.executed_late() == 2; });
   ASSERT_TRUE(taken && ended);
   EXPECT_FALSE(*taken);
@@ -174,17 +173,17 @@
   EXPECT_EQ(end_key->item.value.value("state", ""), "withdrawn");
 }
 
-// A job's last task ends while its user cancels the job, asks for its status and repeats its
-// submission, at two controllers, in every order of the four. One transaction decides; every later
-// answer reports that decision, and once an answer has reported the end, no answer reports an older
-// state.
-TEST_F(ReadBarrierTest, AnEndConcurrentWithACancellationAPollAndARepeatInEveryOrder) {
-  auto& leader = lead();
+// A job's last task ends while its user cancels the job, polls its status and submits it again, at
+// two controllers and in every order of the four. The first transaction that commits decides the
+// final state; every later response reports it, and once a response has reported it, no request
+// sent afterwards gets an older state.
+TEST_F(ReadBarrierTest, AConcurrentEndCancellationPollAndResubmissionReportOneFinalState) {
+  auto& leader = wait_for_leader();
   auto& other = deployment_.other(leader);
   for (auto* controller : {&leader, &other})
     controller->types = {{"bench", {16, 0, 128}, 60, 0.5, 1.1, 0.39, Seconds(30), {"a"}}};
   for (int i = 101; i < 148; ++i) submit(client_, "req-" + std::to_string(i));
-  job("req-148");
+  submit_and_replicate("req-148");
   for (int i = 101; i < 148; ++i)
     until([&] {
       const auto id = "req-" + std::to_string(i);
@@ -203,20 +202,20 @@
       std::size_t open_requests = 0;
       std::optional<TimePoint> end_reported;
       std::set<std::string> final_states;
-      std::function<void(Controller&, const char*, const std::string&)> ask;
-      ask = [&](Controller& at, const char* method, const std::string& body) {
+      std::function<void(TestController&, const char*, const std::string&)> ask;
+      ask = [&](TestController& at, const char* method, const std::string& body) {
         ++open_requests;
         at.user.request(
             {method, "/" + id, body}, std::chrono::seconds(5),
             [&, method, body, sent = Clock::now()](const std::optional<net::Response>& response) {
               --open_requests;
               ASSERT_TRUE(response) << id;
-              if (response->status == 503) return ask(at, method, body);  // as users do
+              if (response->status == 503) return ask(at, method, body);  // retry, as clients do
               ASSERT_EQ(response->status, 200) << id;
               const auto status = Json::parse(response->body).at("status").get<std::string>();
               if (status != "done" && status != "withdrawn") {
                 EXPECT_FALSE(end_reported && sent >= *end_reported)
-                    << id << " was told its end before";
+                    << id << ": older state after its end was reported";
                 return;
               }
               final_states.insert(status);
@@ -235,7 +234,7 @@
                             RequestPriority::safety, [&](const TransactionResult& result) {
                               ended = true;
                               if (result.outcome == Outcome::ok)
-                                leader.job_replica.note_closed(id, result.revision);
+                                leader.job_replica.apply_local_close(id, result.revision);
                             });
       };
       for (const auto event : order) {
@@ -246,7 +245,7 @@
         if (apart) io_.run_for(milliseconds(1));
       }
       until([&] { return ended && open_requests == 0; });
-      ASSERT_EQ(final_states.size(), 1U) << id << ": one end, whoever is asked";
+      ASSERT_EQ(final_states.size(), 1U) << id << ": responses disagree about the final state";
       ++ends[*final_states.begin()];
     }
   } while (std::next_permutation(order.begin(), order.end()));
