--- a/src/agent/agent_codec.cpp
+++ b/src/agent/agent_codec.cpp
@@ -55,8 +55,8 @@
 
 constexpr std::size_t kMaxNameBytes = 200;
 /// Bounds of a reclaim notice in seconds; a negative one has passed.
-constexpr double kMinNotice = -3600;
-constexpr double kMaxNotice = 1e7;
+constexpr double kMinNoticeSeconds = -3600;
+constexpr double kMaxNoticeSeconds = 1e7;
 
 template <class Value, std::size_t N>
 Value value_of(const std::string& name, const WireName<Value> (&known)[N], const char* what) {
@@ -100,10 +100,10 @@
 }
 
 Seconds parse_notice(const Json& value) {
-  const auto left = value.get<double>();
-  if (!(left >= kMinNotice && left < kMaxNotice))
+  const auto notice = value.get<double>();
+  if (!(notice >= kMinNoticeSeconds && notice < kMaxNoticeSeconds))
     throw DecodeError(std::string(wire::kReclaimNotice) + " is out of range");
-  return Seconds(left);
+  return Seconds(notice);
 }
 
 /// Decodes a task's name on the wire, "req-000412/3": job and index of the task.
--- a/src/agent/command_sender.cpp
+++ b/src/agent/command_sender.cpp
@@ -16,7 +16,7 @@
 /// question may be repeated soon.
 constexpr std::chrono::milliseconds kEmptyBatchTimeout{700};
 /// A request holds at most 64 KiB; commands that do not fit go with the next request.
-constexpr std::size_t kMaxCommands = 500;
+constexpr std::size_t kMaxCommandsPerRequest = 500;
 constexpr std::size_t kMaxResponseBytes = 1 << 20;
 
 }  // namespace
@@ -24,7 +24,7 @@
 void CommandSender::erase(const core::MachineId& machine) {
   const auto found = connections_.find(machine);
   if (found == connections_.end()) return;
-  idle_.erase({found->second.last_use, machine});
+  idle_.erase({found->second.last_batch, machine});
   connections_.erase(found);
 }
 
@@ -53,15 +53,15 @@
 void CommandSender::send(const core::SendCommands& batch) {
   if (!connections_.contains(batch.machine)) close_idle_beyond(max_connections_ - 1);
   auto& connection = connections_[batch.machine];
-  idle_.erase({connection.last_use, batch.machine});
-  connection.last_use = ++sends_;
+  idle_.erase({connection.last_batch, batch.machine});
+  connection.last_batch = ++batches_sent_;
   if (!connect(connection, batch)) {
     erase(batch.machine);
-    asio::post(io_, [answered = answered_, id = batch.machine] { answered(id, nullptr); });
+    asio::post(io_, [on_answer = on_answer_, id = batch.machine] { on_answer(id, nullptr); });
     return;
   }
   auto commands = batch.commands;
-  if (commands.size() > kMaxCommands) commands.resize(kMaxCommands);
+  if (commands.size() > kMaxCommandsPerRequest) commands.resize(kMaxCommandsPerRequest);
   connection.client->request(
       {"POST", kCommandsPath, commands_body(token_, batch.epoch, commands)},
       commands.empty() ? kEmptyBatchTimeout : kTimeout,
@@ -74,10 +74,10 @@
                                     const std::optional<net::Response>& response) {
   const auto connection = connections_.find(machine);
   if (connection != connections_.end() && connection->second.client->idle())
-    idle_.insert({connection->second.last_use, machine});
+    idle_.insert({connection->second.last_batch, machine});
   close_idle_beyond(max_connections_);
   const auto heartbeat = decode_answer(machine, response);
-  answered_(machine, heartbeat ? &*heartbeat : nullptr);
+  on_answer_(machine, heartbeat ? &*heartbeat : nullptr);
 }
 
 std::optional<core::Heartbeat> CommandSender::decode_answer(
--- a/src/agent/command_sender.hpp
+++ b/src/agent/command_sender.hpp
@@ -17,11 +17,14 @@
 class CommandSender {
  public:
   /// Called with the agent's answer; null heartbeat: no answer, a refusal, or a malformed answer.
-  using Answered = std::function<void(const core::MachineId&, const core::Heartbeat*)>;
+  using AnswerHandler = std::function<void(const core::MachineId&, const core::Heartbeat*)>;
 
   CommandSender(asio::io_context& io, core::FencingToken token, std::size_t max_connections,
-                Answered answered)
-      : io_(io), token_(token), max_connections_(max_connections), answered_(std::move(answered)) {}
+                AnswerHandler on_answer)
+      : io_(io),
+        token_(token),
+        max_connections_(max_connections),
+        on_answer_(std::move(on_answer)) {}
 
   /// Sends a command batch. Commands beyond what one request holds are left out: the core sends
   /// them again with a later batch.
@@ -38,10 +41,10 @@
   struct Connection {
     std::string endpoint;
     std::unique_ptr<net::HttpClient> client;
-    std::uint64_t last_use = 0;  ///< Number of the last batch sent over it.
+    std::uint64_t last_batch = 0;  ///< Number of the last batch sent over it.
   };
   struct IdleConnection {
-    std::uint64_t last_use = 0;
+    std::uint64_t last_batch = 0;
     core::MachineId machine;
     auto operator<=>(const IdleConnection&) const = default;
   };
@@ -61,8 +64,8 @@
   asio::io_context& io_;
   core::FencingToken token_;
   std::size_t max_connections_;
-  std::uint64_t sends_ = 0;
-  Answered answered_;
+  std::uint64_t batches_sent_ = 0;
+  AnswerHandler on_answer_;
   std::map<core::MachineId, Connection> connections_;
   std::set<IdleConnection> idle_;
 };
--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -28,10 +28,10 @@
 
 }  // namespace
 
-std::optional<std::string> never_runs(const core::JobSpec& spec,
-                                      const std::vector<core::Team>& teams,
-                                      const std::vector<core::MachineType>& types,
-                                      const std::vector<std::string>& zones) {
+std::optional<std::string> refusal_reason(const core::JobSpec& spec,
+                                          const std::vector<core::Team>& teams,
+                                          const std::vector<core::MachineType>& types,
+                                          const std::vector<std::string>& zones) {
   const auto team = std::find_if(teams.begin(), teams.end(),
                                  [&](const core::Team& t) { return t.name == spec.team; });
   if (team == teams.end()) return "unknown team " + spec.team;
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -11,9 +11,9 @@
 namespace violetpulley::api {
 
 /// Why the job can never run (HTTP 422); empty: it can. `zones`: all zones of the deployment.
-std::optional<std::string> never_runs(const core::JobSpec& spec,
-                                      const std::vector<core::Team>& teams,
-                                      const std::vector<core::MachineType>& types,
-                                      const std::vector<std::string>& zones);
+std::optional<std::string> refusal_reason(const core::JobSpec& spec,
+                                          const std::vector<core::Team>& teams,
+                                          const std::vector<core::MachineType>& types,
+                                          const std::vector<std::string>& zones);
 
 }  // namespace violetpulley::api
--- a/src/api/answers.hpp
+++ b/src/api/answers.hpp
@@ -10,8 +10,8 @@
 
 /// Returns a response with the text in the JSON field `error`. `retry`: after how long the client
 /// should repeat the request; null: the response does not say.
-inline net::Response error(int status, const std::string& text,
-                           std::optional<std::chrono::seconds> retry = {}) {
+inline net::Response error_response(int status, const std::string& text,
+                                    std::optional<std::chrono::seconds> retry = {}) {
   return {status, nlohmann::json{{"error", text}}.dump(), retry};
 }
 
--- a/src/api/operator_api.cpp
+++ b/src/api/operator_api.cpp
@@ -17,14 +17,14 @@
 constexpr double kRequestsPerSecond = 5;
 constexpr std::chrono::milliseconds kForwardTimeout{1500};
 constexpr std::size_t kMaxForwarded = 2;  // at once, to one leader
-constexpr std::chrono::seconds kRetry{1};
+constexpr std::chrono::seconds kRetryAfter{1};
 constexpr std::size_t kMaxConnections = 16;
 constexpr std::size_t kMaxBodyBytes = 1024;
 
 net::ServerLimits limits() {
   net::ServerLimits out;
   out.max_connections = kMaxConnections;
-  out.max_body = kMaxBodyBytes;
+  out.max_body_bytes = kMaxBodyBytes;
   return out;
 }
 
@@ -49,14 +49,15 @@
   return out.dump();
 }
 
-OperatorApi::OperatorApi(asio::io_context& io, const asio::ip::tcp::endpoint& at,
+OperatorApi::OperatorApi(asio::io_context& io, const asio::ip::tcp::endpoint& listen_endpoint,
                          Environment environment)
     : io_(io),
       environment_(std::move(environment)),
-      requests_(kRequestsPerSecond, kRequestsPerSecond),
-      server_(io, at, limits(), [this](net::Request&& request, const net::Responder& respond) {
-        route(request, respond);
-      }) {}
+      rate_limiter_(kRequestsPerSecond, kRequestsPerSecond),
+      server_(io, listen_endpoint, limits(),
+              [this](net::Request&& request, const net::Responder& respond) {
+                route(request, respond);
+              }) {}
 
 OperatorApi::~OperatorApi() = default;
 
@@ -65,37 +66,40 @@
   const auto path = request.target.substr(0, request.target.find('?'));
   const auto affixes = kJobsPrefix.size() + kWhySuffix.size();
   if (!path.starts_with(kJobsPrefix) || !path.ends_with(kWhySuffix) || path.size() <= affixes)
-    return respond(error(404, "no such path"));
-  if (request.method != "GET") return respond(error(405, "method not allowed"));
+    return respond(error_response(404, "no such path"));
+  if (request.method != "GET") return respond(error_response(405, "method not allowed"));
   const auto id = path.substr(kJobsPrefix.size(), path.size() - affixes);
-  if (id.find('/') != std::string::npos) return respond(error(404, "no such path"));
+  if (id.find('/') != std::string::npos) return respond(error_response(404, "no such path"));
   explain(id, forwarded, respond);
 }
 
 void OperatorApi::explain(const core::JobId& id, bool forwarded, const net::Responder& respond) {
   const auto now = core::Clock::now();
-  if (!requests_.take(now)) return respond(error(429, "too many questions at once", kRetry));
-  const auto* controller = environment_.leading();
+  if (!rate_limiter_.take(now))
+    return respond(error_response(429, "too many questions at once", kRetryAfter));
+  const auto* controller = environment_.leading_core();
   if (controller == nullptr) {
     // A request is forwarded once only, whichever controller leads by then.
-    if (forwarded) return respond(error(503, "this controller does not lead", kRetry));
+    if (forwarded)
+      return respond(error_response(503, "this controller does not lead", kRetryAfter));
     return forward(id, respond);
   }
   const auto explanation = diagnostics::explain_placement(*controller, environment_.teams,
                                                           environment_.types(), id, now);
-  if (!explanation) return respond(error(404, "no such open job"));
+  if (!explanation) return respond(error_response(404, "no such open job"));
   respond({200, explanation_text(*explanation), {}});
 }
 
 void OperatorApi::forward(const core::JobId& id, const net::Responder& respond) {
-  const auto leader = environment_.leader();
-  if (!leader) return respond(error(503, "no leader is known", kRetry));
-  auto& client = leaders_.try_emplace(*leader, io_, *leader, kMaxForwarded).first->second;
+  const auto leader = environment_.leader_address();
+  if (!leader) return respond(error_response(503, "no leader is known", kRetryAfter));
+  auto& client = leader_clients_.try_emplace(*leader, io_, *leader, kMaxForwarded).first->second;
   client.request({"GET", kJobsPrefix + id + kWhySuffix + kForwardedQuery, ""}, kForwardTimeout,
                  [respond](std::optional<net::Response> response) {
-                   if (!response) return respond(error(503, "the leader did not answer", kRetry));
+                   if (!response)
+                     return respond(error_response(503, "the leader did not answer", kRetryAfter));
                    if (response->status == 429 || response->status == 503)
-                     response->retry_after = kRetry;
+                     response->retry_after = kRetryAfter;
                    respond(std::move(*response));
                  });
 }
--- a/src/api/operator_api.hpp
+++ b/src/api/operator_api.hpp
@@ -23,13 +23,14 @@
     std::vector<core::Team> teams;
     std::function<const std::vector<core::MachineType>&()> types;
     /// The core; null: this controller does not lead, or has not recovered the state yet.
-    std::function<const core::Controller*()> leading;
+    std::function<const core::Controller*()> leading_core;
     /// The operators' address of the leader; null: no leader is known, or this controller leads.
-    std::function<std::optional<asio::ip::tcp::endpoint>()> leader;
+    std::function<std::optional<asio::ip::tcp::endpoint>()> leader_address;
   };
 
-  /// Starts to serve. Throws std::system_error if the address `at` cannot be listened at.
-  OperatorApi(asio::io_context& io, const asio::ip::tcp::endpoint& at, Environment environment);
+  /// Starts to serve. Throws std::system_error if the address cannot be listened at.
+  OperatorApi(asio::io_context& io, const asio::ip::tcp::endpoint& listen_endpoint,
+              Environment environment);
   ~OperatorApi();
   OperatorApi(const OperatorApi&) = delete;
   OperatorApi& operator=(const OperatorApi&) = delete;
@@ -45,10 +46,10 @@
 
   asio::io_context& io_;
   Environment environment_;
-  core::RateLimiter requests_;
+  core::RateLimiter rate_limiter_;
   /// A client for each controller that has led: a request under way to a former leader is still
   /// answered.
-  std::map<asio::ip::tcp::endpoint, net::HttpClient> leaders_;
+  std::map<asio::ip::tcp::endpoint, net::HttpClient> leader_clients_;
   net::HttpServer server_;
 };
 
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -19,11 +19,11 @@
 
 namespace {
 
-constexpr std::size_t kMaxRemembered = 20'000;
+constexpr std::size_t kMaxCachedFinalStates = 20'000;
 /// A submission that would wait longer for this node's request budget is refused at once.
-constexpr std::chrono::milliseconds kMaxWait{1000};
-constexpr seconds kRetry{1};
-constexpr seconds kMaxRetry{25};
+constexpr std::chrono::milliseconds kMaxQueueWait{1000};
+constexpr seconds kRetryAfter{1};
+constexpr seconds kMaxRetryAfter{25};
 constexpr int kCancelRetries = 3;
 
 /// Wire names of a job's status.
@@ -37,14 +37,14 @@
 constexpr const char* kEndedCancelled = "withdrawn";
 
 net::Response unavailable(const std::string& text, seconds retry) {
-  return error(503, text, retry);
+  return error_response(503, text, retry);
 }
 
 net::Response store_unavailable() {
-  return unavailable("the state service does not answer", kRetry);
+  return unavailable("the state service does not answer", kRetryAfter);
 }
 
-net::Response no_such_job() { return error(404, "no such job"); }
+net::Response no_such_job() { return error_response(404, "no such job"); }
 
 /// The id of a submission that may be malformed otherwise; empty if there is none.
 core::JobId id_of(const Json& body) {
@@ -60,12 +60,12 @@
 
 UserApi::~UserApi() = default;
 
-void UserApi::remember(const core::JobId& id, FinalState state) {
-  if (!ended_.emplace(id, state).second) return;
-  ended_order_.push_back(id);
-  if (ended_order_.size() > kMaxRemembered) {
-    ended_.erase(ended_order_.front());
-    ended_order_.pop_front();
+void UserApi::cache_final_state(const core::JobId& id, FinalState state) {
+  if (!final_states_.emplace(id, state).second) return;
+  final_state_order_.push_back(id);
+  if (final_state_order_.size() > kMaxCachedFinalStates) {
+    final_states_.erase(final_state_order_.front());
+    final_state_order_.pop_front();
   }
 }
 
@@ -92,8 +92,8 @@
 // present; a job that the replica then lacks has ended or was never accepted, which the job's end
 // key, read afterwards, shows.
 void UserApi::look_up(const core::JobId& id, LookupHandler done) {
-  const auto ended = ended_.find(id);
-  if (ended != ended_.end())
+  const auto ended = final_states_.find(id);
+  if (ended != final_states_.end())
     return done(ended->second == FinalState::done ? Lookup::done : Lookup::cancelled);
   job_replica_.barrier(RequestPriority::user,
                        lifetime_.guard([this, id, done = std::move(done)](bool fresh) {
@@ -105,37 +105,38 @@
 
 void UserApi::look_up_end(const core::JobId& id, const LookupHandler& done) {
   // A user waits for two seconds: when too many reads are queued, the user is refused at once.
-  if (store_.expected_read_wait() > kMaxWait) return done(Lookup::unavailable);
+  if (store_.expected_read_wait() > kMaxQueueWait) return done(Lookup::unavailable);
   store_.get(store::kEndPrefix + id, RequestPriority::user,
-             lifetime_.guard(
-                 [this, id, done](const store::GetResult& result) { done(end_read(id, result)); }));
+             lifetime_.guard([this, id, done](const store::GetResult& result) {
+               done(lookup_from_end(id, result));
+             }));
 }
 
-UserApi::Lookup UserApi::end_read(const core::JobId& id, const store::GetResult& result) {
+UserApi::Lookup UserApi::lookup_from_end(const core::JobId& id, const store::GetResult& result) {
   if (result.outcome == Outcome::not_found) return Lookup::absent;
   if (result.outcome != Outcome::ok) return Lookup::unavailable;
   const bool finished = result.item.value.value("state", "") == kEndedDone;
-  remember(id, finished ? FinalState::done : FinalState::cancelled);
+  cache_final_state(id, finished ? FinalState::done : FinalState::cancelled);
   return finished ? Lookup::done : Lookup::cancelled;
 }
 
 void UserApi::refuse_unless_known(const core::JobId& id, const Refusal& refusal,
                                   const net::Responder& respond) {
-  if (!valid_job_id(id)) return respond(error(refusal.status, refusal.problem));
+  if (!valid_job_id(id)) return respond(error_response(refusal.status, refusal.problem));
   look_up(id, [this, id, refusal, respond](Lookup found) {
     if (found != Lookup::absent) return answer(id, found, respond);
     spdlog::info("job {} refused with {}: {}", id, refusal.status, refusal.problem);
-    respond(error(refusal.status, refusal.problem));
+    respond(error_response(refusal.status, refusal.problem));
   });
 }
 
 void UserApi::submit(const net::Request& request, const net::Responder& respond) {
   const auto body = Json::parse(request.body, nullptr, false);
-  if (body.is_discarded()) return respond(error(400, "the body is not JSON"));
-  if (!body.is_object()) return respond(error(400, "the body must be a JSON object"));
+  if (body.is_discarded()) return respond(error_response(400, "the body is not JSON"));
+  if (!body.is_object()) return respond(error_response(400, "the body must be a JSON object"));
   const auto id = id_of(body);
   // A known id is recognised before the rest of the submission is examined.
-  if (ended_.contains(id) || job_replica_.find(id) != nullptr)
+  if (final_states_.contains(id) || job_replica_.find(id) != nullptr)
     return refuse_unless_known(id, {400, ""}, respond);
   if (shed_load(respond)) return;
   core::JobSpec spec;
@@ -145,15 +146,16 @@
     return refuse_unless_known(id, {400, problem.what()}, respond);
   }
   const auto& types = environment_.types();
-  if (types.empty()) return respond(unavailable("the machine types are not known yet", kRetry));
-  if (const auto problem = never_runs(spec, environment_.teams, types, environment_.zones))
+  if (types.empty())
+    return respond(unavailable("the machine types are not known yet", kRetryAfter));
+  if (const auto problem = refusal_reason(spec, environment_.teams, types, environment_.zones))
     return refuse_unless_known(id, {422, *problem}, respond);
   accept(std::move(spec), respond);
 }
 
 bool UserApi::shed_load(const net::Responder& respond) {
   const auto wait = store_.expected_wait();
-  if (wait <= kMaxWait) return false;
+  if (wait <= kMaxQueueWait) return false;
   respond(unavailable("too many submissions wait for the state service", retry_after(wait)));
   return true;
 }
@@ -161,8 +163,8 @@
 // Submissions that were refused earlier are to be repeated earlier.
 seconds UserApi::retry_after(core::Duration wait) {
   const auto now = core::Clock::now();
-  next_retry_ = std::max(next_retry_ + store_.write_interval(), now + wait);
-  return std::clamp(std::chrono::ceil<seconds>(next_retry_ - now), seconds(1), kMaxRetry);
+  next_retry_at_ = std::max(next_retry_at_ + store_.write_interval(), now + wait);
+  return std::clamp(std::chrono::ceil<seconds>(next_retry_at_ - now), seconds(1), kMaxRetryAfter);
 }
 
 void UserApi::accept(core::JobSpec spec, const net::Responder& respond) {
@@ -191,9 +193,9 @@
   }
   record.revision = result.revision;
   job_replica_.note_opened(record);
-  const auto taken = core::Clock::now() - received;
+  const auto elapsed = core::Clock::now() - received;
   spdlog::debug("job {} accepted in {} ms", id,
-                std::chrono::ceil<std::chrono::milliseconds>(taken).count());
+                std::chrono::ceil<std::chrono::milliseconds>(elapsed).count());
   respond({201, Json{{"id", id}, {"status", kQueued}}.dump(), {}});
 }
 
@@ -235,7 +237,7 @@
                               const store::TransactionResult& result,
                               const net::Responder& respond) {
   if (result.outcome == Outcome::ok) {
-    remember(id, FinalState::cancelled);
+    cache_final_state(id, FinalState::cancelled);
     job_replica_.note_closed(id, result.revision);
     spdlog::info("job {} cancelled", id);
     return answer(id, Lookup::cancelled, respond);
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -47,7 +47,7 @@
 
   void look_up(const core::JobId& id, LookupHandler done);
   void look_up_end(const core::JobId& id, const LookupHandler& done);
-  Lookup end_read(const core::JobId& id, const store::GetResult& result);
+  Lookup lookup_from_end(const core::JobId& id, const store::GetResult& result);
   void answer(const core::JobId& id, Lookup found, const net::Responder& respond);
   nlohmann::json status_of(const core::JobId& id, Lookup found) const;
 
@@ -68,14 +68,14 @@
   /// Answers if the job has ended, and tries again to cancel it if it is open.
   void look_up_and_cancel(const core::JobId& id, int tries_left, const net::Responder& respond);
   /// Keeps a final state, which never changes, and drops the oldest beyond a bound.
-  void remember(const core::JobId& id, core::FinalState state);
+  void cache_final_state(const core::JobId& id, core::FinalState state);
 
   store::StoreClient& store_;
   store::JobReplica& job_replica_;
   Environment environment_;
-  std::unordered_map<core::JobId, core::FinalState> ended_;
-  std::deque<core::JobId> ended_order_;
-  core::TimePoint next_retry_{};  ///< When the last refused submission may be repeated.
+  std::unordered_map<core::JobId, core::FinalState> final_states_;
+  std::deque<core::JobId> final_state_order_;
+  core::TimePoint next_retry_at_{};  ///< When the last refused submission may be repeated.
   async::Lifetime lifetime_;
 };
 
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -18,7 +18,7 @@
 
 constexpr milliseconds kTimeout{5000};
 constexpr milliseconds kPauseAfterTooManyRequests{400};
-constexpr std::size_t kConnections = 8;
+constexpr std::size_t kMaxConnections = 8;
 
 bool is_ok(const OptionalResponse& response) {
   return response && response->status == net::kStatusOk;
@@ -26,49 +26,49 @@
 
 }  // namespace
 
-CloudClient::CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& peer,
+CloudClient::CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint,
                          double requests_per_s)
     : timer_(io),
-      client_(io, peer, kConnections),
-      rate_(requests_per_s, std::max(1.0, requests_per_s)) {}
+      client_(io, endpoint, kMaxConnections),
+      rate_limiter_(requests_per_s, std::max(1.0, requests_per_s)) {}
 
-void CloudClient::send(Waiting waiting) {
-  queue_.push_back(std::move(waiting));
-  send_waiting();
+void CloudClient::enqueue(QueuedRequest queued) {
+  queue_.push_back(std::move(queued));
+  send_queued();
 }
 
-void CloudClient::send_first(Waiting waiting) {
-  queue_.push_front(std::move(waiting));
-  send_waiting();
+void CloudClient::enqueue_first(QueuedRequest queued) {
+  queue_.push_front(std::move(queued));
+  send_queued();
 }
 
-void CloudClient::send_waiting() {
+void CloudClient::send_queued() {
   if (timer_running_) return;
   while (!queue_.empty()) {
     const auto now = Clock::now();
-    const auto wait = std::max(rate_.wait_for(now), resume_at_ - now);
-    if (wait > core::Duration::zero()) return send_waiting_after(wait);
-    rate_.force(now);
+    const auto wait = std::max(rate_limiter_.wait_for(now), resume_at_ - now);
+    if (wait > core::Duration::zero()) return send_queued_after(wait);
+    rate_limiter_.force(now);
     auto next = std::move(queue_.front());
     queue_.pop_front();
-    launch(std::move(next));
+    start_request(std::move(next));
   }
 }
 
-void CloudClient::send_waiting_after(core::Duration wait) {
+void CloudClient::send_queued_after(core::Duration wait) {
   timer_running_ = true;
   timer_.expires_after(wait);
   timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
     if (error) return;
     timer_running_ = false;
-    send_waiting();
+    send_queued();
   }));
 }
 
-void CloudClient::launch(Waiting waiting) {
+void CloudClient::start_request(QueuedRequest queued) {
   client_.request(
-      std::move(waiting.request), kTimeout,
-      lifetime_.guard([this, done = std::move(waiting.handler)](OptionalResponse response) {
+      std::move(queued.request), kTimeout,
+      lifetime_.guard([this, done = std::move(queued.handler)](OptionalResponse response) {
         if (response && response->status == net::kStatusTooManyRequests)
           resume_at_ = Clock::now() + kPauseAfterTooManyRequests;
         done(std::move(response));
@@ -76,29 +76,29 @@
 }
 
 void CloudClient::catalog(CatalogHandler done) {
-  send({encode_catalog_request(), [done = std::move(done)](const OptionalResponse& response) {
-          std::optional<Catalog> catalog;
-          if (!is_ok(response)) return done(std::nullopt);
-          try {
-            catalog = Catalog{parse_catalog(response->body), response->body};
-          } catch (const DecodeError& problem) {
-            spdlog::warn("the cloud's catalog is malformed, taken as no answer: {}",
-                         problem.what());
-          }
-          done(std::move(catalog));
-        }});
+  enqueue({encode_catalog_request(), [done = std::move(done)](const OptionalResponse& response) {
+             std::optional<Catalog> catalog;
+             if (!is_ok(response)) return done(std::nullopt);
+             try {
+               catalog = Catalog{parse_catalog(response->body), response->body};
+             } catch (const DecodeError& problem) {
+               spdlog::warn("the cloud's catalog is malformed, taken as no answer: {}",
+                            problem.what());
+             }
+             done(std::move(catalog));
+           }});
 }
 
 void CloudClient::request_machines(const core::ScaleOut& request, ScaleOutHandler done) {
-  send({encode_scale_out(request), [done = std::move(done)](const OptionalResponse& response) {
-          done(decode_scale_out(response));
-        }});
+  enqueue({encode_scale_out(request), [done = std::move(done)](const OptionalResponse& response) {
+             done(decode_scale_out(response));
+           }});
 }
 
 void CloudClient::release(const std::vector<core::MachineId>& machines, ReleaseHandler done) {
-  send_first({encode_release(machines), [done = std::move(done)](const OptionalResponse& response) {
-                done(is_ok(response));
-              }});
+  enqueue_first(
+      {encode_release(machines),
+       [done = std::move(done)](const OptionalResponse& response) { done(is_ok(response)); }});
 }
 
 void CloudClient::list(const ListHandler& done) {
@@ -106,21 +106,22 @@
 }
 
 void CloudClient::list_page(const core::MachineId& since,
-                            const std::shared_ptr<std::vector<core::ListedMachine>>& gathered,
+                            const std::shared_ptr<std::vector<core::ListedMachine>>& listed,
                             const ListHandler& done) {
-  send({encode_list_page(since), [=, this](const OptionalResponse& response) {
-          if (!is_ok(response)) return done(std::nullopt);
-          MachinePage page;
-          try {
-            page = decode_machine_page(response->body);
-          } catch (const DecodeError& problem) {
-            spdlog::warn("the cloud's list is malformed, taken as no answer: {}", problem.what());
-            return done(std::nullopt);
-          }
-          std::move(page.machines.begin(), page.machines.end(), std::back_inserter(*gathered));
-          if (page.truncated) return list_page(gathered->back().id, gathered, done);
-          done(std::move(*gathered));
-        }});
+  enqueue({encode_list_page(since), [=, this](const OptionalResponse& response) {
+             if (!is_ok(response)) return done(std::nullopt);
+             MachinePage page;
+             try {
+               page = decode_machine_page(response->body);
+             } catch (const DecodeError& problem) {
+               spdlog::warn("the cloud's list is malformed, taken as no answer: {}",
+                            problem.what());
+               return done(std::nullopt);
+             }
+             std::move(page.machines.begin(), page.machines.end(), std::back_inserter(*listed));
+             if (page.truncated) return list_page(listed->back().id, listed, done);
+             done(std::move(*listed));
+           }});
 }
 
 }  // namespace violetpulley::cloud
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -21,7 +21,7 @@
   using ReleaseHandler = std::function<void(bool released)>;
   using ListHandler = std::function<void(std::optional<std::vector<core::ListedMachine>>)>;
 
-  CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& peer, double requests_per_s);
+  CloudClient(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, double requests_per_s);
   CloudClient(const CloudClient&) = delete;
   CloudClient& operator=(const CloudClient&) = delete;
 
@@ -35,23 +35,23 @@
   void list(const ListHandler& done);
 
  private:
-  struct Waiting {
+  struct QueuedRequest {
     net::Request request;
     net::ResponseHandler handler;
   };
-  void send(Waiting waiting);
-  void send_first(Waiting waiting);
-  void send_waiting();
-  void send_waiting_after(core::Duration wait);
-  void launch(Waiting waiting);
+  void enqueue(QueuedRequest queued);
+  void enqueue_first(QueuedRequest queued);
+  void send_queued();
+  void send_queued_after(core::Duration wait);
+  void start_request(QueuedRequest queued);
   void list_page(const core::MachineId& since,
-                 const std::shared_ptr<std::vector<core::ListedMachine>>& gathered,
+                 const std::shared_ptr<std::vector<core::ListedMachine>>& listed,
                  const ListHandler& done);
 
   asio::steady_timer timer_;
   net::HttpClient client_;
-  core::RateLimiter rate_;
-  std::deque<Waiting> queue_;
+  core::RateLimiter rate_limiter_;
+  std::deque<QueuedRequest> queue_;
   core::TimePoint resume_at_{};
   bool timer_running_ = false;
   async::Lifetime lifetime_;  // last member: ends before the others
--- a/src/cloud/cloud_codec.cpp
+++ b/src/cloud/cloud_codec.cpp
@@ -44,7 +44,7 @@
 constexpr const char* kNoCapacity = "no capacity";
 
 // A finite number that is not negative.
-double amount(const Json& item, const char* name) {
+double amount_field(const Json& item, const char* name) {
   const auto value = item.at(name).get<double>();
   if (!std::isfinite(value) || value < 0) throw DecodeError(std::string(name) + " is out of range");
   return value;
@@ -57,14 +57,14 @@
 core::MachineType decode_machine_type(const Json& item) {
   core::MachineType type;
   type.name = item.at(field::kTypeName).get<std::string>();
-  type.capacity.cpus = amount(item, field::kCpus);
-  if (present(item, field::kGpus)) type.capacity.gpus = amount(item, field::kGpus);
-  type.capacity.memory_gb = amount(item, field::kMemory);
-  type.cache_gb = amount(item, field::kCache);
-  type.fetch_gb_per_s = amount(item, field::kFetchRate);
-  type.price = amount(item, field::kPrice);
-  if (present(item, field::kSpotPrice)) type.spot_price = amount(item, field::kSpotPrice);
-  type.boot = Seconds(amount(item, field::kBootTime));
+  type.capacity.cpus = amount_field(item, field::kCpus);
+  if (present(item, field::kGpus)) type.capacity.gpus = amount_field(item, field::kGpus);
+  type.capacity.memory_gb = amount_field(item, field::kMemory);
+  type.cache_gb = amount_field(item, field::kCache);
+  type.fetch_gb_per_s = amount_field(item, field::kFetchRate);
+  type.price = amount_field(item, field::kPrice);
+  if (present(item, field::kSpotPrice)) type.spot_price = amount_field(item, field::kSpotPrice);
+  type.boot = Seconds(amount_field(item, field::kBootTime));
   type.zones = item.at(field::kZones).get<std::vector<std::string>>();
   return type;
 }
@@ -76,7 +76,7 @@
   machine.zone = item.at(field::kZone).get<std::string>();
   machine.spot = item.value(field::kSpot, false);
   machine.failed = item.at(field::kStatus).get<std::string>() == kFailed;
-  machine.age = Seconds(amount(item, field::kAge));
+  machine.age = Seconds(amount_field(item, field::kAge));
   return machine;
 }
 
--- a/src/codec/job_codec.cpp
+++ b/src/codec/job_codec.cpp
@@ -43,16 +43,16 @@
 constexpr std::size_t kMaxTypes = 100;
 
 template <typename Value>
-struct Label {
-  const char* text;
+struct WireName {
+  const char* name;
   Value value;
 };
-constexpr Label<Shape> kShapes[] = {
+constexpr WireName<Shape> kShapes[] = {
     {"array", Shape::array}, {"gang", Shape::gang}, {"service", Shape::service}};
-constexpr Label<Priority> kPriorities[] = {{"prod", Priority::production},
-                                           {"high", Priority::high},
-                                           {"normal", Priority::normal},
-                                           {"idle", Priority::idle}};
+constexpr WireName<Priority> kPriorities[] = {{"prod", Priority::production},
+                                              {"high", Priority::high},
+                                              {"normal", Priority::normal},
+                                              {"idle", Priority::idle}};
 
 const Json& required(const Json& body, const char* name) {
   const auto found = body.find(name);
@@ -65,7 +65,7 @@
   return found == body.end() || found->is_null();
 }
 
-std::string text_of(const Json& value, const char* name) {
+std::string parse_text(const Json& value, const char* name) {
   if (!value.is_string()) throw MalformedJob(std::string(name) + " must be a string");
   auto out = value.get<std::string>();
   if (out.empty() || out.size() > kMaxNameBytes)
@@ -73,10 +73,12 @@
   return out;
 }
 
-std::string text(const Json& body, const char* name) { return text_of(required(body, name), name); }
+std::string text_field(const Json& body, const char* name) {
+  return parse_text(required(body, name), name);
+}
 
 // A number that is not negative.
-double amount(const Json& body, const char* name) {
+double amount_field(const Json& body, const char* name) {
   const auto& value = required(body, name);
   if (!value.is_number()) throw MalformedJob(std::string(name) + " must be a number");
   const auto out = value.get<double>();
@@ -85,25 +87,25 @@
   return out;
 }
 
-bool flag(const Json& body, const char* name) {
+bool flag_field(const Json& body, const char* name) {
   const auto& value = required(body, name);
   if (!value.is_boolean()) throw MalformedJob(std::string(name) + " must be true or false");
   return value.get<bool>();
 }
 
 template <typename Value, std::size_t N>
-Value choice(const Json& body, const char* name, const Label<Value> (&labels)[N]) {
-  const auto given = text(body, name);
-  for (const auto& label : labels)
-    if (given == label.text) return label.value;
+Value parse_enum(const Json& body, const char* name, const WireName<Value> (&names)[N]) {
+  const auto given = text_field(body, name);
+  for (const auto& entry : names)
+    if (given == entry.name) return entry.value;
   throw MalformedJob(std::string(name) + " is not known: " + given);
 }
 
 template <typename Value, std::size_t N>
-const char* label_of(Value value, const Label<Value> (&labels)[N]) {
-  for (const auto& label : labels)
-    if (label.value == value) return label.text;
-  return labels[0].text;
+const char* wire_name(Value value, const WireName<Value> (&names)[N]) {
+  for (const auto& entry : names)
+    if (entry.value == value) return entry.name;
+  return names[0].name;
 }
 
 core::TaskIndex parse_task_count(const Json& body) {
@@ -116,9 +118,9 @@
 
 core::Resources parse_resources(const Json& body) {
   core::Resources per_task;
-  per_task.cpus = amount(body, field::kCpus);
-  per_task.gpus = amount(body, field::kGpus);
-  per_task.memory_gb = amount(body, field::kMemory);
+  per_task.cpus = amount_field(body, field::kCpus);
+  per_task.gpus = amount_field(body, field::kGpus);
+  per_task.memory_gb = amount_field(body, field::kMemory);
   if (per_task.cpus <= 0 && per_task.gpus <= 0) throw MalformedJob("cores must be greater than 0");
   return per_task;
 }
@@ -128,7 +130,7 @@
   if (absent(body, field::kTypes)) return types;
   const auto& names = body.at(field::kTypes);
   if (!names.is_array()) throw MalformedJob("benches must be a list");
-  for (const auto& name : names) types.push_back(text_of(name, field::kTypes));
+  for (const auto& name : names) types.push_back(parse_text(name, field::kTypes));
   if (types.empty() || types.size() > kMaxTypes)
     throw MalformedJob("benches must name 1 to 100 types");
   return types;
@@ -147,25 +149,26 @@
 core::JobSpec parse_job(const Json& body) {
   if (!body.is_object()) throw MalformedJob("the body must be a JSON object");
   core::JobSpec spec;
-  spec.id = text(body, field::kId);
+  spec.id = text_field(body, field::kId);
   if (!valid_job_id(spec.id)) throw MalformedJob("id must have the form req-000412");
-  spec.job_class = text(body, field::kJobClass);
-  spec.team = text(body, field::kTeam);
-  spec.shape = choice(body, field::kShape, kShapes);
-  spec.priority = choice(body, field::kPriority, kPriorities);
+  spec.job_class = text_field(body, field::kJobClass);
+  spec.team = text_field(body, field::kTeam);
+  spec.shape = parse_enum(body, field::kShape, kShapes);
+  spec.priority = parse_enum(body, field::kPriority, kPriorities);
   spec.tasks = parse_task_count(body);
   spec.per_task = parse_resources(body);
-  spec.image = text(body, field::kImage);
-  spec.image_gb = amount(body, field::kImageSize);
+  spec.image = text_field(body, field::kImage);
+  spec.image_gb = amount_field(body, field::kImageSize);
   spec.types = parse_types(body);
-  if (!absent(body, field::kZone)) spec.zone = text(body, field::kZone);
-  spec.same_zone = flag(body, field::kSameZone);
-  spec.spread = flag(body, field::kSpread);
-  spec.spot_allowed = flag(body, field::kSpotAllowed);
-  spec.estimate = Seconds(amount(body, field::kEstimate));
-  spec.checkpoint_every = Seconds(amount(body, field::kCheckpointEvery));
-  spec.checkpoint_time = Seconds(amount(body, field::kCheckpointTime));
-  if (!absent(body, field::kDeadline)) spec.deadline = Seconds(amount(body, field::kDeadline));
+  if (!absent(body, field::kZone)) spec.zone = text_field(body, field::kZone);
+  spec.same_zone = flag_field(body, field::kSameZone);
+  spec.spread = flag_field(body, field::kSpread);
+  spec.spot_allowed = flag_field(body, field::kSpotAllowed);
+  spec.estimate = Seconds(amount_field(body, field::kEstimate));
+  spec.checkpoint_every = Seconds(amount_field(body, field::kCheckpointEvery));
+  spec.checkpoint_time = Seconds(amount_field(body, field::kCheckpointTime));
+  if (!absent(body, field::kDeadline))
+    spec.deadline = Seconds(amount_field(body, field::kDeadline));
   return spec;
 }
 
@@ -173,8 +176,8 @@
   Json out{{field::kId, spec.id},
            {field::kJobClass, spec.job_class},
            {field::kTeam, spec.team},
-           {field::kShape, label_of(spec.shape, kShapes)},
-           {field::kPriority, label_of(spec.priority, kPriorities)},
+           {field::kShape, wire_name(spec.shape, kShapes)},
+           {field::kPriority, wire_name(spec.priority, kPriorities)},
            {field::kTasks, spec.tasks},
            {field::kCpus, spec.per_task.cpus},
            {field::kGpus, spec.per_task.gpus},
--- a/src/leader/action_executor.cpp
+++ b/src/leader/action_executor.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::chrono::seconds kMarkRetry{2};
-constexpr std::chrono::milliseconds kFinishRetry{700};
+constexpr std::chrono::seconds kPlacementsMarkRetryDelay{2};
+constexpr std::chrono::milliseconds kFinishRetryDelay{700};
 constexpr std::chrono::seconds kCampaignPauseAfterResigning{8};
 
 }  // namespace
@@ -25,7 +25,7 @@
       token_(token),
       page_bytes_(page_bytes),
       events_(std::move(events)),
-      mark_timer_(services.io) {}
+      placements_mark_timer_(services.io) {}
 
 void ActionExecutor::dispatch(const core::Action& action) {
   std::visit([this](const auto& typed_action) { execute(typed_action); }, action);
@@ -50,7 +50,7 @@
               // shows that the machine exists.
               if (registered) services_.writer.provisioning().erase(id, Clock::now());
               events_.result(core::MachineSaved{id, registered, true});
-              events_.run_core();
+              events_.schedule_core_run();
             });
 }
 
@@ -91,7 +91,7 @@
   }
   // The job has ended otherwise, or the outcome is unknown: the job replica will show it, and until
   // then the core tries again.
-  events_.result(core::FinishAnswered{action.job, Clock::now() + kFinishRetry});
+  events_.result(core::FinishAnswered{action.job, Clock::now() + kFinishRetryDelay});
 }
 
 void ActionExecutor::execute(const core::DeleteProgress& action) {
@@ -112,7 +112,7 @@
       spdlog::info("scale-out {} brought {} of {} machines", request.name, answer.machines.size(),
                    request.count);
     events_.result(core::ScaleOutAnswered{request.name, answer});
-    events_.run_core();
+    events_.schedule_core_run();
   };
   services_.cloud.request_machines(action, lifetime_.guard(answered));
 }
@@ -123,7 +123,7 @@
   const auto answered = [this, machines = action.machines](bool ok) {
     if (!ok) spdlog::warn("machines could not be returned; will try again");
     events_.result(core::ScaleInAnswered{machines, ok});
-    events_.run_core();
+    events_.schedule_core_run();
   };
   services_.cloud.release(action.machines, lifetime_.guard(answered));
 }
@@ -143,7 +143,7 @@
                                     store::placements_bytes(record), WritePriority::urgent,
                                     Clock::now(), [this, job, version = action.version] {
                                       events_.result(core::PlacementsSaved{job, version});
-                                      events_.run_core();
+                                      events_.schedule_core_run();
                                     });
 }
 
@@ -157,8 +157,8 @@
       spdlog::info("starts of gangs and services are recorded from here on");
       return;
     }
-    mark_timer_.expires_after(kMarkRetry);
-    mark_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
+    placements_mark_timer_.expires_after(kPlacementsMarkRetryDelay);
+    placements_mark_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
       if (!error) write_placements_mark();
     }));
   });
--- a/src/leader/action_executor.hpp
+++ b/src/leader/action_executor.hpp
@@ -29,7 +29,7 @@
     /// The result of an action, for the core.
     std::function<void(core::Event)> result;
     /// The core should be run soon, since results may allow new decisions.
-    std::function<void()> run_core;
+    std::function<void()> schedule_core_run;
     /// Commands are about to be sent.
     std::function<void(const core::SendCommands&)> sending_commands;
     /// The core resigns because no machine sends heartbeats to this controller.
@@ -69,7 +69,7 @@
   core::FencingToken token_;
   std::size_t page_bytes_;
   Events events_;
-  asio::steady_timer mark_timer_;
+  asio::steady_timer placements_mark_timer_;
   async::Lifetime lifetime_;
 };
 
--- a/src/leader/failover_log.cpp
+++ b/src/leader/failover_log.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr std::chrono::seconds kWaitForOlderTask{5};
+constexpr std::chrono::seconds kMaxOlderTaskWait{5};
 
 }  // namespace
 
-void FailoverLog::note_commands(const core::SendCommands& batch,
-                                const core::Controller& controller) {
+void FailoverLog::record_first_commands(const core::SendCommands& batch,
+                                        const core::Controller& controller) {
   if (timeline_logged_) return;
   const auto now = core::Clock::now();
   timeline_.note(Step::first_command, now);
@@ -36,7 +36,7 @@
 void FailoverLog::check_timeline(core::TimePoint now) {
   if (timeline_logged_ || !reconciled_at_) return;
   if (!timeline_.reached(Step::first_start_of_older_task) &&
-      now - *reconciled_at_ < kWaitForOlderTask)
+      now - *reconciled_at_ < kMaxOlderTaskWait)
     return;
   timeline_logged_ = true;
   spdlog::info("failover steps, seconds after the election: {}", timeline_.text());
--- a/src/leader/failover_log.hpp
+++ b/src/leader/failover_log.hpp
@@ -17,7 +17,7 @@
   failover::FailoverTimeline& timeline() { return timeline_; }
 
   /// Notes the first commands of this leader, before they are sent.
-  void note_commands(const core::SendCommands& batch, const core::Controller& controller);
+  void record_first_commands(const core::SendCommands& batch, const core::Controller& controller);
   /// Logs the result of the reconciliation, once, as soon as the core has ended it.
   void check_reconciled(const core::Controller& controller, core::TimePoint now);
   /// Logs the timeline, once: after the reconciliation, when a task accepted before the election
--- a/src/leader/job_verifier.cpp
+++ b/src/leader/job_verifier.cpp
@@ -8,8 +8,8 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kPauseAfterProof{30};
-constexpr milliseconds kPauseAfterFailure{300};
+constexpr milliseconds kProofInterval{30};
+constexpr milliseconds kProofRetryDelay{300};
 
 }  // namespace
 
@@ -39,7 +39,7 @@
 }
 
 void JobVerifier::schedule_next(bool proof_succeeded) {
-  timer_.expires_after(proof_succeeded ? kPauseAfterProof : kPauseAfterFailure);
+  timer_.expires_after(proof_succeeded ? kProofInterval : kProofRetryDelay);
   timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
     if (error) return;
     verifying_ = false;
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -20,8 +20,8 @@
 constexpr std::chrono::seconds kListInterval{10};
 /// How long after a resignation as isolated the next leader of this process does not resign for
 /// the same cause.
-constexpr std::chrono::minutes kIsolationMemory{3};
-constexpr std::chrono::seconds kHeartbeatRetry{1};
+constexpr std::chrono::minutes kMinIsolationResignInterval{3};
+constexpr std::chrono::seconds kHeartbeatRetryAfter{1};
 
 /// Connections for commands as long as the number of machines is unknown.
 std::size_t initial_command_connections(const config::Settings& settings) {
@@ -62,17 +62,18 @@
 }
 
 ActionExecutor::Events Leader::executor_events() {
-  return {
-      [this](const core::Event& event) { feed(event); }, [this] { schedule_pump(); },
-      [this](const core::SendCommands& batch) { failover_log_.note_commands(batch, *controller_); },
-      [this] { services_.isolated_at = Clock::now(); }};
+  return {[this](const core::Event& event) { feed(event); }, [this] { schedule_core_run(); },
+          [this](const core::SendCommands& batch) {
+            failover_log_.record_first_commands(batch, *controller_);
+          },
+          [this] { services_.isolated_at = Clock::now(); }};
 }
 
 JobVerifier::Events Leader::verifier_events() {
   return {[this](const core::JobRecord& record, core::TimePoint now) {
             feed(core::JobOpened{record}, now);
           },
-          [this] { schedule_pump(); }};
+          [this] { schedule_core_run(); }};
 }
 
 std::unique_ptr<store::LearnedStateStore> Leader::make_learned_state_store() {
@@ -110,13 +111,13 @@
   feed_catalog();
   catch_up_with_replica(recovered_jobs, now);
   read_barriers_.keep();
-  pump();
+  run_core();
   schedule_tick();
 }
 
 core::ControllerSettings Leader::controller_settings() const {
   const auto& isolated_at = services_.isolated_at;
-  const bool resigns = !isolated_at || Clock::now() - *isolated_at > kIsolationMemory;
+  const bool resigns = !isolated_at || Clock::now() - *isolated_at > kMinIsolationResignInterval;
   return failover::controller_settings(services_.settings, services_.tuning, wall_now(), resigns);
 }
 
@@ -178,19 +179,19 @@
     event.heartbeat = *heartbeat;
   }
   feed(event);
-  schedule_pump();
+  schedule_core_run();
 }
 
-void Leader::schedule_pump() {
-  if (pump_posted_) return;
-  pump_posted_ = true;
+void Leader::schedule_core_run() {
+  if (core_run_posted_) return;
+  core_run_posted_ = true;
   asio::post(services_.io, lifetime_.guard([this] {
-    pump_posted_ = false;
-    pump();
+    core_run_posted_ = false;
+    run_core();
   }));
 }
 
-void Leader::pump() {
+void Leader::run_core() {
   if (!controller_) return;
   const auto now = Clock::now();
   const auto& leadership = services_.leadership;
@@ -213,7 +214,7 @@
 }
 
 void Leader::tick() {
-  pump();
+  run_core();
   const auto now = Clock::now();
   failover_log_.check_timeline(now);
   if (!listing_ && now - last_list_ > kListInterval) list_machines();
@@ -235,7 +236,7 @@
     last_list_ = Clock::now();
     if (!machines) return;
     feed(core::CloudListed{std::move(*machines)});
-    schedule_pump();
+    schedule_core_run();
   }));
 }
 
@@ -243,8 +244,8 @@
 // that does not lead answers no heartbeat, and if it leads again it has a higher fencing token
 // (docs/safety.md, "Older leaders that are known to be gone"). A peer that runs an older program
 // names no key, and then the longer wait remains.
-void Leader::note_follower(const std::string& member, core::FencingToken follows) {
-  if (follows != token_ || !controller_ || !controller_->recovering()) return;
+void Leader::note_follower(const std::string& member, core::FencingToken followed_token) {
+  if (followed_token != token_ || !controller_ || !controller_->recovering()) return;
   const auto& peers = services_.settings.peers;
   const auto known = std::any_of(peers.begin(), peers.end(),
                                  [&](const auto& peer) { return peer.member == member; });
@@ -269,19 +270,19 @@
   if (!controller_) return;
   if (services_.tuning.commit_starts) writer_.placements().erase(id, Clock::now());
   feed(core::JobClosed{id});
-  schedule_pump();
+  schedule_core_run();
 }
 
 void Leader::set_catalog(const std::vector<core::MachineType>& types) {
   types_ = types;
   catalog_due_ = true;
-  if (controller_) schedule_pump();
+  if (controller_) schedule_core_run();
 }
 
 void Leader::handle_heartbeat(const net::Request& request, const net::Responder& respond) {
   const auto now = Clock::now();
   const net::Response may_not_serve{503, R"({"error":"not entitled to lead now"})",
-                                    kHeartbeatRetry};
+                                    kHeartbeatRetryAfter};
   if (!controller_ || !services_.leadership.may_serve(now)) return respond(may_not_serve);
   core::Heartbeat heartbeat;
   try {
@@ -292,10 +293,10 @@
   }
   const core::HeartbeatReceived event{std::move(heartbeat)};
   feed(event, now);
-  schedule_pump();
+  schedule_core_run();
   // The agent would drop a 200 with a lower token and stay here while its lease runs out.
   if (event.heartbeat.token > token_)
-    return respond({503, R"({"error":"another controller leads"})", kHeartbeatRetry});
+    return respond({503, R"({"error":"another controller leads"})", kHeartbeatRetryAfter});
   auto body = agent::response_body(token_, controller_->response_commands(event.heartbeat));
   // Decided now and not when the heartbeat was read: the process may have been suspended since.
   if (!services_.leadership.may_serve(Clock::now())) return respond(may_not_serve);
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -49,9 +49,9 @@
   /// Answers one heartbeat of an agent: 200 with commands, 400 if malformed, 503 if this node may
   /// not renew leases now.
   void handle_heartbeat(const net::Request& request, const net::Responder& respond);
-  /// A peer has sent that it does not lead, and `follows`: the fencing token of the leader key that
-  /// the peer has seen.
-  void note_follower(const std::string& member, core::FencingToken follows);
+  /// A peer has sent that it does not lead, and `followed_token`: the fencing token of the leader
+  /// key that the peer has seen.
+  void note_follower(const std::string& member, core::FencingToken followed_token);
   /// Agents send heartbeats to a peer.
   void note_peer_receives_heartbeats(core::TimePoint now);
   /// The job replica holds a new job.
@@ -87,9 +87,9 @@
   void feed_catalog();
   void commands_answered(const core::MachineId& machine, const core::Heartbeat* heartbeat);
 
-  void schedule_pump();
+  void schedule_core_run();
   /// Runs the core once and carries out its actions.
-  void pump();
+  void run_core();
   void schedule_tick();
   void tick();
   /// Writes history and learned state that are due. Call it between events, when the actions of
@@ -114,7 +114,7 @@
   std::unique_ptr<core::Controller> controller_;
   std::vector<core::MachineType> types_;
   core::LearnedState learned_state_;  ///< Of the former leader, until the core is made.
-  bool pump_posted_ = false;
+  bool core_run_posted_ = false;
   bool catalog_due_ = false;  ///< `types_` has changed and the core does not know yet.
   bool listing_ = false;      ///< A list of the machines is under way.
   core::TimePoint last_list_{};
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -20,8 +20,8 @@
 bool set_log_level() {
   spdlog::set_default_logger(spdlog::stderr_logger_st("violetpulley"));
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
-  const char* given = std::getenv("LOG_LEVEL");
-  const std::string level = given == nullptr ? "info" : given;
+  const char* level_name = std::getenv("LOG_LEVEL");
+  const std::string level = level_name == nullptr ? "info" : level_name;
   if (level == "error")
     spdlog::set_level(spdlog::level::err);
   else if (level == "info" || level.empty())
@@ -52,10 +52,11 @@
   add_serve_options(app, options, false);
   app.add_flag("--check", only_check, "check the settings and exit");
   app.require_subcommand(0, 1);
-  auto* serving = app.add_subcommand("serve", "start a controller; the same as without a command");
-  add_serve_options(*serving, options, true);
-  auto* checking = app.add_subcommand("check", "check the settings and exit");
-  add_serve_options(*checking, options, true);
+  auto* serve_command =
+      app.add_subcommand("serve", "start a controller; the same as without a command");
+  add_serve_options(*serve_command, options, true);
+  auto* check_command = app.add_subcommand("check", "check the settings and exit");
+  add_serve_options(*check_command, options, true);
   if (!set_log_level()) {
     std::cerr << "violetpulley: LOG_LEVEL must be error, info or debug\n";
     return kBadSettings;
@@ -64,11 +65,12 @@
   add_pack(app, result);
   try {
     app.parse(argc, argv);
-    const bool other = !app.get_subcommands().empty() && !serving->parsed() && !checking->parsed();
+    const bool other =
+        !app.get_subcommands().empty() && !serve_command->parsed() && !check_command->parsed();
     if (other) return result;
     if (options.config.empty()) throw CLI::RequiredError("--config");
   } catch (const CLI::ParseError& problem) {
     return app.exit(problem) == 0 ? kFine : kBadSettings;
   }
-  return only_check || checking->parsed() ? check(options) : serve(options);
+  return only_check || check_command->parsed() ? check(options) : serve(options);
 }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -42,16 +42,16 @@
       : client_(&client), socket_(client.io_), timer_(client.io_) {}
 
   // Sends a request and calls its handler with the response.
-  void run(HttpClient::PendingRequest&& work) {
-    work_ = std::move(work);
+  void run(HttpClient::PendingRequest&& pending) {
+    pending_ = std::move(pending);
     response_ = Response{};
     http_parser_init(&parser_, HTTP_RESPONSE);
     parser_.data = this;
     complete_ = false;
     encode_request();
-    working_ = true;
+    request_active_ = true;
     written_ = false;
-    wait_until(work_.deadline);
+    arm_deadline_timer(pending_.deadline);
     if (socket_.is_open()) return write();
     connect();
   }
@@ -75,7 +75,7 @@
 
  private:
   void encode_request() {
-    const auto& request = work_.request;
+    const auto& request = pending_.request;
     output_ =
         request.method + " " + request.target + " HTTP/1.1\r\nHost: " + client_->host_ + "\r\n";
     if (!request.body.empty() || request.method != "GET")
@@ -86,7 +86,7 @@
 
   void connect() {
     auto self = shared_from_this();
-    socket_.async_connect(client_->peer_, [self](const asio::error_code& error) {
+    socket_.async_connect(client_->endpoint_, [self](const asio::error_code& error) {
       if (self->detached()) return;
       if (error) return self->finish(std::nullopt, false);
       asio::error_code ignored;
@@ -95,7 +95,7 @@
     });
   }
 
-  bool detached() const { return client_ == nullptr || !working_; }
+  bool detached() const { return client_ == nullptr || !request_active_; }
 
   // A process that is behind with its work finds the deadline passed although the response has
   // arrived unread: that is no reason to take the peer for dead.
@@ -108,15 +108,15 @@
     return socket_.available(error) > 0 && !error;
   }
 
-  void wait_until(steady_clock::time_point deadline) {
+  void arm_deadline_timer(steady_clock::time_point deadline) {
     auto self = shared_from_this();
     timer_.expires_at(deadline);
     timer_.async_wait([self](const asio::error_code& error) {
       if (error || self->detached()) return;
       if (!self->delayed_locally()) return self->finish(std::nullopt, false);
-      if (steady_clock::now() - self->work_.deadline > kMaxDeadlineExtension)
+      if (steady_clock::now() - self->pending_.deadline > kMaxDeadlineExtension)
         return self->finish(std::nullopt, false);
-      self->wait_until(steady_clock::now() + kDeadlineExtension);
+      self->arm_deadline_timer(steady_clock::now() + kDeadlineExtension);
     });
   }
 
@@ -151,20 +151,20 @@
     read();
   }
 
-  void finish(std::optional<Response> response, bool keep) {
-    working_ = false;
+  void finish(std::optional<Response> response, bool keep_alive) {
+    request_active_ = false;
     timer_.cancel();
     auto self = shared_from_this();
     client_->busy_.erase(self);
-    if (keep) {
+    if (keep_alive) {
       client_->idle_.push_back(self);
     } else {
       asio::error_code ignored;
       socket_.close(ignored);
     }
-    auto handler = std::exchange(work_.handler, nullptr);
+    auto handler = std::exchange(pending_.handler, nullptr);
     auto* client = client_;
-    if (!keep) client_ = nullptr;
+    if (!keep_alive) client_ = nullptr;
     // The handler may destroy the client.
     auto dispatch_next = client->lifetime_.guard([client] { client->dispatch(); });
     handler(std::move(response));
@@ -178,7 +178,7 @@
       s.on_body = [](http_parser* p, const char* at, std::size_t n) {
         auto& self = *static_cast<ClientConnection*>(p->data);
         self.response_.body.append(at, n);
-        return self.response_.body.size() > self.client_->max_response_ ? 1 : 0;
+        return self.response_.body.size() > self.client_->max_response_bytes_ ? 1 : 0;
       };
       s.on_message_complete = [](http_parser* p) {
         static_cast<ClientConnection*>(p->data)->complete_ = true;
@@ -196,20 +196,20 @@
   http_parser parser_{};
   std::array<char, 8192> input_{};
   std::string output_;
-  HttpClient::PendingRequest work_;
+  HttpClient::PendingRequest pending_;
   Response response_;
-  bool working_ = false;
+  bool request_active_ = false;
   bool written_ = false;  // the request is on its way
   bool complete_ = false;
 };
 
-HttpClient::HttpClient(asio::io_context& io, tcp::endpoint peer, std::size_t max_connections,
-                       std::size_t max_response)
+HttpClient::HttpClient(asio::io_context& io, tcp::endpoint endpoint, std::size_t max_connections,
+                       std::size_t max_response_bytes)
     : io_(io),
-      peer_(std::move(peer)),
-      host_(text_of(peer_)),
+      endpoint_(std::move(endpoint)),
+      host_(text_of(endpoint_)),
       max_connections_(max_connections),
-      max_response_(max_response) {}
+      max_response_bytes_(max_response_bytes) {}
 
 HttpClient::~HttpClient() {
   lifetime_.end();
@@ -236,11 +236,11 @@
 
 void HttpClient::dispatch() {
   while (!queue_.empty() && busy_.size() < max_connections_) {
-    auto work = std::move(queue_.front());
+    auto pending = std::move(queue_.front());
     queue_.pop_front();
     auto connection = take_connection();
     busy_.insert(connection);
-    connection->run(std::move(work));
+    connection->run(std::move(pending));
   }
 }
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -20,9 +20,9 @@
 /// Owns the queue of requests and the connections to the endpoint.
 class HttpClient {
  public:
-  /// `max_response`: largest response body in bytes; a larger one counts as no response.
-  HttpClient(asio::io_context& io, asio::ip::tcp::endpoint peer, std::size_t max_connections,
-             std::size_t max_response = kMaxResponse);
+  /// `max_response_bytes`: largest response body in bytes; a larger one counts as no response.
+  HttpClient(asio::io_context& io, asio::ip::tcp::endpoint endpoint, std::size_t max_connections,
+             std::size_t max_response_bytes = kMaxResponseBytes);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
@@ -36,7 +36,7 @@
 
  private:
   friend class ClientConnection;
-  static constexpr std::size_t kMaxResponse = std::size_t{16} * 1024 * 1024;
+  static constexpr std::size_t kMaxResponseBytes = std::size_t{16} * 1024 * 1024;
   struct PendingRequest {
     Request request;
     std::chrono::steady_clock::time_point deadline;
@@ -46,10 +46,10 @@
   std::shared_ptr<ClientConnection> take_connection();
 
   asio::io_context& io_;
-  asio::ip::tcp::endpoint peer_;
+  asio::ip::tcp::endpoint endpoint_;
   std::string host_;
   std::size_t max_connections_;
-  std::size_t max_response_;
+  std::size_t max_response_bytes_;
   std::deque<PendingRequest> queue_;
   std::unordered_set<std::shared_ptr<ClientConnection>> busy_;
   std::vector<std::shared_ptr<ClientConnection>> idle_;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 // Connections accepted in one go, before other handlers run.
-constexpr int kMaxAccepted = 64;
-constexpr std::size_t kMaxTarget = 4096;
+constexpr int kMaxAcceptsPerBatch = 64;
+constexpr std::size_t kMaxTargetBytes = 4096;
 // Header lines are not kept, but an endless header is refused.
 constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
 constexpr std::chrono::milliseconds kAcceptRetry{50};
 constexpr std::chrono::seconds kSweepInterval{2};
 constexpr std::chrono::seconds kRefusalLogInterval{1};
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -68,7 +68,7 @@
     asio::error_code ignored;
     socket_.close(ignored);
     if (server_ != nullptr) {
-      --server_->open_[static_cast<std::size_t>(peer_)];
+      --server_->open_by_kind_[static_cast<std::size_t>(client_kind_)];
       server_->connections_.erase(shared_from_this());
     }
     server_ = nullptr;
@@ -80,20 +80,21 @@
   }
 
   void respond(std::uint64_t request, Response&& response) {
-    if (closed_ || request != request_ || !awaiting_answer_) return;
-    awaiting_answer_ = false;
+    if (closed_ || request != request_ || !awaiting_response_) return;
+    awaiting_response_ = false;
     send(std::move(response));
   }
 
-  bool overdue(std::chrono::steady_clock::time_point now, const ServerLimits& limits) const {
-    if (awaiting_answer_) return false;
-    const auto silence = now - touched_;
-    if (receiving_ || writing_) return silence > limits.receive;
-    return silence > (peer_ == Peer::worker ? limits.idle_worker : limits.idle);
+  bool timed_out(std::chrono::steady_clock::time_point now, const ServerLimits& limits) const {
+    if (awaiting_response_) return false;
+    const auto silence = now - last_activity_;
+    if (receiving_ || writing_) return silence > limits.transfer_timeout;
+    return silence >
+           (client_kind_ == ClientKind::agent ? limits.agent_idle_timeout : limits.idle_timeout);
   }
 
  private:
-  void touch() { touched_ = std::chrono::steady_clock::now(); }
+  void touch() { last_activity_ = std::chrono::steady_clock::now(); }
 
   void read() {
     auto self = shared_from_this();
@@ -111,14 +112,14 @@
     receiving_ = true;
     const std::size_t used =
         http_parser_execute(&parser_, &settings(), pending_.data(), pending_.size());
-    const auto problem = HTTP_PARSER_ERRNO(&parser_);
-    if (problem == HPE_PAUSED) {
+    const auto parse_error = HTTP_PARSER_ERRNO(&parser_);
+    if (parse_error == HPE_PAUSED) {
       pending_.erase(0, used);
       http_parser_pause(&parser_, 0);
       receiving_ = false;
       return dispatch();
     }
-    if (problem != HPE_OK || parser_.upgrade != 0U) {
+    if (parse_error != HPE_OK || parser_.upgrade != 0U) {
       keep_alive_ = false;
       receiving_ = false;
       return send(too_large_ ? Response{413, R"({"error":"body too large"})", {}}
@@ -130,30 +131,30 @@
 
   void dispatch() {
     ++request_;
-    awaiting_answer_ = true;
+    awaiting_response_ = true;
     keep_alive_ = http_should_keep_alive(&parser_) != 0;
     current_.method = http_method_str(static_cast<http_method>(parser_.method));
     Request request = std::exchange(current_, Request{});
     header_bytes_ = 0;
     if (server_ == nullptr) return;
-    if (peer_ == Peer::unknown) {
-      --server_->open_[static_cast<std::size_t>(peer_)];
-      peer_ = server_->peer_of_(request.target);
-      ++server_->open_[static_cast<std::size_t>(peer_)];
+    if (client_kind_ == ClientKind::unknown) {
+      --server_->open_by_kind_[static_cast<std::size_t>(client_kind_)];
+      client_kind_ = server_->classify_client_(request.target);
+      ++server_->open_by_kind_[static_cast<std::size_t>(client_kind_)];
     }
     server_->handler_(std::move(request), Responder(weak_from_this(), request_));
   }
 
   // Clients that came first shut out no later ones: a connection of the kind that has too many is
   // closed once its request is answered.
-  bool beyond_share() const {
-    const auto kind = static_cast<std::size_t>(peer_);
-    return server_ != nullptr && server_->open_[kind] > server_->limits_.kept[kind];
+  bool exceeds_keep_alive_share() const {
+    const auto kind = static_cast<std::size_t>(client_kind_);
+    return server_ != nullptr && server_->open_by_kind_[kind] > server_->limits_.keep_alive[kind];
   }
 
   void send(Response&& response) {
-    if (beyond_share()) keep_alive_ = false;
-    output_ = "HTTP/1.1 " + std::to_string(response.status) + " " + reason(response.status) +
+    if (exceeds_keep_alive_share()) keep_alive_ = false;
+    output_ = "HTTP/1.1 " + std::to_string(response.status) + " " + reason_phrase(response.status) +
               "\r\nContent-Type: application/json\r\nContent-Length: " +
               std::to_string(response.body.size()) + "\r\n";
     if (response.retry_after)
@@ -184,7 +185,7 @@
       s.on_url = [](http_parser* p, const char* at, std::size_t n) {
         auto& self = *static_cast<ServerConnection*>(p->data);
         self.current_.target.append(at, n);
-        return self.current_.target.size() > kMaxTarget ? 1 : 0;
+        return self.current_.target.size() > kMaxTargetBytes ? 1 : 0;
       };
       auto count_header = [](http_parser* p, const char*, std::size_t n) {
         auto& self = *static_cast<ServerConnection*>(p->data);
@@ -196,15 +197,15 @@
       s.on_headers_complete = [](http_parser* p) {
         auto& self = *static_cast<ServerConnection*>(p->data);
         const bool known = p->content_length != static_cast<std::uint64_t>(-1);
-        self.too_large_ =
-            known && self.server_ != nullptr && p->content_length > self.server_->limits_.max_body;
+        self.too_large_ = known && self.server_ != nullptr &&
+                          p->content_length > self.server_->limits_.max_body_bytes;
         return self.too_large_ ? -1 : 0;
       };
       s.on_body = [](http_parser* p, const char* at, std::size_t n) {
         auto& self = *static_cast<ServerConnection*>(p->data);
         self.current_.body.append(at, n);
-        self.too_large_ =
-            self.server_ != nullptr && self.current_.body.size() > self.server_->limits_.max_body;
+        self.too_large_ = self.server_ != nullptr &&
+                          self.current_.body.size() > self.server_->limits_.max_body_bytes;
         return self.too_large_ ? 1 : 0;
       };
       s.on_message_complete = [](http_parser* p) {
@@ -218,7 +219,7 @@
 
   tcp::socket socket_;
   HttpServer* server_;
-  Peer peer_ = Peer::unknown;
+  ClientKind client_kind_ = ClientKind::unknown;
   http_parser parser_{};
   std::array<char, 4096> input_{};
   std::string pending_;
@@ -226,8 +227,8 @@
   Request current_;
   std::size_t header_bytes_ = 0;
   std::uint64_t request_ = 0;
-  std::chrono::steady_clock::time_point touched_;
-  bool awaiting_answer_ = false;
+  std::chrono::steady_clock::time_point last_activity_;
+  bool awaiting_response_ = false;
   bool receiving_ = false;
   bool writing_ = false;
   bool keep_alive_ = true;
@@ -239,14 +240,14 @@
   if (auto connection = connection_.lock()) connection->respond(request_, std::move(response));
 }
 
-HttpServer::HttpServer(asio::io_context& io, const tcp::endpoint& at, ServerLimits limits,
-                       RequestHandler handler, PeerOf peer_of)
-    : acceptor_(io, at),
+HttpServer::HttpServer(asio::io_context& io, const tcp::endpoint& listen_endpoint,
+                       ServerLimits limits, RequestHandler handler, ClassifyClient client_kind)
+    : acceptor_(io, listen_endpoint),
       sweep_timer_(io),
       accept_retry_(io),
       limits_(limits),
       handler_(std::move(handler)),
-      peer_of_(std::move(peer_of)) {
+      classify_client_(std::move(client_kind)) {
   acceptor_.non_blocking(true);
   accept();
   sweep();
@@ -284,7 +285,7 @@
 // All connections that wait, up to a bound: if each were accepted behind every other handler that
 // is ready, thousands of agents that look for their leader would wait longer than their timeout.
 void HttpServer::accept_pending() {
-  for (int accepted = 0; accepted < kMaxAccepted; ++accepted) {
+  for (int accepted = 0; accepted < kMaxAcceptsPerBatch; ++accepted) {
     asio::error_code none;
     tcp::socket next(acceptor_.get_executor());
     acceptor_.accept(next, none);
@@ -299,25 +300,26 @@
   socket.set_option(tcp::no_delay(true), ignored);
   auto connection = std::make_shared<ServerConnection>(std::move(socket), *this);
   connections_.insert(connection);
-  ++open_[static_cast<std::size_t>(Peer::unknown)];
+  ++open_by_kind_[static_cast<std::size_t>(ClientKind::unknown)];
   connection->start();
 }
 
-void HttpServer::set_limits(std::size_t max_connections, std::size_t kept_workers,
-                            std::size_t kept_users) {
+void HttpServer::set_limits(std::size_t max_connections, std::size_t keep_alive_agents,
+                            std::size_t keep_alive_users) {
   limits_.max_connections = max_connections;
-  limits_.kept[static_cast<std::size_t>(Peer::worker)] = kept_workers;
-  limits_.kept[static_cast<std::size_t>(Peer::user)] = kept_users;
+  limits_.keep_alive[static_cast<std::size_t>(ClientKind::agent)] = keep_alive_agents;
+  limits_.keep_alive[static_cast<std::size_t>(ClientKind::user)] = keep_alive_users;
 }
 
 // At most one log line a second: refusals come by the thousand.
 void HttpServer::refuse() {
-  ++refused_;
+  ++unlogged_refusals_;
   const auto now = std::chrono::steady_clock::now();
-  if (now - refusals_logged_ < kRefusalLogInterval) return;
-  refusals_logged_ = now;
+  if (now - last_refusal_log_ < kRefusalLogInterval) return;
+  last_refusal_log_ = now;
   spdlog::warn("{} connections refused: {} are open, of workers {}, of users {}",
-               std::exchange(refused_, 0), open(), open(Peer::worker), open(Peer::user));
+               std::exchange(unlogged_refusals_, 0), open_connections(),
+               open_connections(ClientKind::agent), open_connections(ClientKind::user));
 }
 
 void HttpServer::sweep() {
@@ -325,10 +327,10 @@
   sweep_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
     if (error) return;
     const auto now = std::chrono::steady_clock::now();
-    std::vector<std::shared_ptr<ServerConnection>> overdue;
+    std::vector<std::shared_ptr<ServerConnection>> timed_out;
     for (const auto& connection : connections_)
-      if (connection->overdue(now, limits_)) overdue.push_back(connection);
-    for (const auto& connection : overdue) connection->close();
+      if (connection->timed_out(now, limits_)) timed_out.push_back(connection);
+    for (const auto& connection : timed_out) connection->close();
     sweep();
   }));
 }
--- a/src/net/http_types.hpp
+++ b/src/net/http_types.hpp
@@ -25,6 +25,6 @@
 };
 
 /// Largest request body that is accepted, in bytes (PROTOCOL).
-inline constexpr std::size_t kMaxBody = std::size_t{64} * 1024;
+inline constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
 
 }  // namespace violetpulley::net
--- a/src/node/catalog_source.cpp
+++ b/src/node/catalog_source.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::chrono::seconds kInterval{30};
-constexpr milliseconds kCloudRetry{1500};
+constexpr std::chrono::seconds kRefreshInterval{30};
+constexpr milliseconds kCloudRetryDelay{1500};
 /// Key of the leader in the state service; its revision is the fencing token.
 
 }  // namespace
@@ -73,11 +73,11 @@
 }
 
 void CatalogSource::cloud_answered(std::optional<cloud::CloudClient::Catalog> catalog) {
-  if (!catalog) return fetch_later(kCloudRetry);
+  if (!catalog) return fetch_later(kCloudRetryDelay);
   set_types(std::move(catalog->types));
   if (!leadership_.leading()) return;
   if (!saved_) save(catalog->body);
-  fetch_later(kInterval);
+  fetch_later(kRefreshInterval);
 }
 
 void CatalogSource::save(const std::string& body) {
--- a/src/node/heartbeat_endpoint.cpp
+++ b/src/node/heartbeat_endpoint.cpp
@@ -6,7 +6,7 @@
 
 /// Wire name: the member that leads, in the answer of a node that does not.
 constexpr const char* kLeaderField = "foreman";
-constexpr std::chrono::seconds kRetry{1};
+constexpr std::chrono::seconds kRetryAfter{1};
 
 }  // namespace
 
@@ -16,7 +16,7 @@
   const auto leader_member = election_.current_member();
   if (!leader_member.empty() && leader_member != member_)
     return respond({421, store::Json{{kLeaderField, leader_member}}.dump(), {}});
-  respond({503, R"({"error":"no leader is known"})", kRetry});
+  respond({503, R"({"error":"no leader is known"})", kRetryAfter});
 }
 
 }  // namespace violetpulley
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-constexpr std::chrono::seconds kStatusInterval{1};
+constexpr std::chrono::seconds kTickInterval{1};
 /// Agents that came to a peer within this time show that the peer receives heartbeats.
 constexpr std::uint64_t kRecentHeartbeatMs = 3000;
 /// Longer reported silences of the state service are taken as this long.
 constexpr std::uint64_t kMaxSilenceMs = 1'000'000;
-constexpr std::size_t kMaxJobCounts = 2000;  // in one status
+constexpr std::size_t kMaxReportedJobs = 2000;  // in one status
 constexpr milliseconds kLeaderWatchGap{50};
 constexpr milliseconds kFollowerWatchGap{400};
 constexpr milliseconds kCatalogWaitAfterElection{500};
-constexpr double kCloudPace = 0.9;  // of the cloud's request limit
+constexpr double kCloudRateFraction = 0.9;  // of the cloud's request limit
 
 std::uint64_t seed_of(const std::string& member) {
   return std::hash<std::string>{}(member) ^ 0x9E3779B97F4A7C15ULL;
@@ -33,7 +33,7 @@
 net::ServerLimits server_limits(const config::Settings& settings) {
   net::ServerLimits limits;
   // A machine that was silent for longer than its lease has no use for the connection.
-  limits.idle_worker =
+  limits.agent_idle_timeout =
       std::chrono::ceil<milliseconds>(settings.workers.lease + settings.workers.heartbeat_interval);
   return limits;
 }
@@ -57,28 +57,28 @@
       election_(io, store_, leadership_, settings_.member, settings_.peer_address,
                 election_events(), seed_of(settings_.member) + 1),
       cloud_(io, net::parse_endpoint(settings_.cloud_address),
-             settings_.cloud_requests_per_s * kCloudPace),
+             settings_.cloud_requests_per_s * kCloudRateFraction),
       catalog_(io, store_, cloud_, leadership_,
                [this](const MachineTypes& types) {
                  if (leader_) leader_->set_catalog(types);
                }),
-      users_(io, store_, job_replica_, user_environment()),
-      heartbeats_(settings_.member, election_, [this] { return ready_leader(); }),
+      user_api_(io, store_, job_replica_, user_environment()),
+      heartbeat_endpoint_(settings_.member, election_, [this] { return ready_leader(); }),
       health_(!settings_.peers.empty(), Clock::now()),
       router_(endpoints()),
-      second_timer_(io),
+      tick_timer_(io),
       peer_network_(io, net::parse_endpoint(settings_.peer_address), settings_.peers,
                     peer_events()),
       server_(io, net::parse_endpoint(settings_.public_address), server_limits(settings_),
-              request_handler(), RequestRouter::peer_of) {
+              request_handler(), RequestRouter::client_kind) {
   recorder_ = make_recorder();
   if (!operators.why_address.empty())
-    operators_ = make_operator_api(net::parse_endpoint(operators.why_address));
-  share_sockets();
+    operator_api_ = make_operator_api(net::parse_endpoint(operators.why_address));
+  update_connection_limits();
   job_replica_.start();
   election_.start();
   catalog_.fetch();
-  schedule_second();
+  schedule_tick();
   spdlog::info("{} serves on {}, peer network on {}, {} peers", settings_.member,
                settings_.public_address, settings_.peer_address, settings_.peers.size());
 }
@@ -96,7 +96,8 @@
 }
 
 store::Election::Events Node::election_events() {
-  return {[this] { won(); }, [this](const std::string& /*cause*/) { lost(); }, [] {}};
+  return {[this] { leadership_won(); }, [this](const std::string& /*cause*/) { leadership_lost(); },
+          [] {}};
 }
 
 api::UserApi::Environment Node::user_environment() {
@@ -116,12 +117,12 @@
 
 RequestRouter::Endpoints Node::endpoints() {
   return {[this](const net::Request& request, const net::Responder& respond) {
-            heartbeats_.handle(request, respond);
+            heartbeat_endpoint_.handle(request, respond);
           },
           [this](const net::Responder& respond) {
             respond(health_response(health_.healthy(job_replica_.synced(), Clock::now())));
           },
-          users_};
+          user_api_};
 }
 
 net::RequestHandler Node::request_handler() {
@@ -153,7 +154,7 @@
   return operators;
 }
 
-void Node::won() {
+void Node::leadership_won() {
   store_.set_share(store_share(settings_, true));
   job_replica_.set_watch_gap(kLeaderWatchGap);
   leader_ = std::make_unique<Leader>(Leader::Services{io_, settings_, tuning_, leadership_,
@@ -163,13 +164,13 @@
   catalog_.fetch_later(kCatalogWaitAfterElection);
 }
 
-void Node::lost() {
+void Node::leadership_lost() {
   store_.set_share(store_share(settings_, false));
   job_replica_.set_watch_gap(kFollowerWatchGap);
   // The leader may be in the middle of a callback and is destroyed when that has returned. The
   // leader must not outlive the node, whose parts it uses until its end.
-  if (leader_) ended_.push_back(std::move(leader_));
-  asio::post(io_, lifetime_.guard([this] { ended_.clear(); }));
+  if (leader_) former_leaders_.push_back(std::move(leader_));
+  asio::post(io_, lifetime_.guard([this] { former_leaders_.clear(); }));
 }
 
 Leader* Node::ready_leader() const { return leader_ && leader_->ready() ? leader_.get() : nullptr; }
@@ -184,18 +185,18 @@
   return std::nullopt;
 }
 
-void Node::schedule_second() {
-  second_timer_.expires_after(kStatusInterval);
-  second_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
-    if (!error) run_second();
+void Node::schedule_tick() {
+  tick_timer_.expires_after(kTickInterval);
+  tick_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
+    if (!error) tick();
   }));
 }
 
-void Node::run_second() {
+void Node::tick() {
   check_store();
   broadcast_status();
-  share_sockets();
-  schedule_second();
+  update_connection_limits();
+  schedule_tick();
 }
 
 // Any key would do: the answer alone shows that the state service is in reach.
@@ -212,10 +213,10 @@
   peers::Status status;
   status.member = settings_.member;
   status.store_silence_ms = ms_between(health_.store_answered(), now);
-  if (const auto& last = heartbeats_.last_request())
-    status.workers_silence_ms = ms_between(*last, now);
+  if (const auto& last = heartbeat_endpoint_.last_request())
+    status.agents_silence_ms = ms_between(*last, now);
   status.token = leadership_.token();
-  status.follows = election_.leader() ? election_.leader()->revision : 0;
+  status.followed_token = election_.leader() ? election_.leader()->revision : 0;
   add_job_counts(status);
   peer_network_.broadcast(status);
 }
@@ -226,7 +227,7 @@
   const auto& controller = *leader->controller();
   for (const auto& [id, job] : controller.jobs()) {
     const auto known = controller.counts(id);
-    if (known && (known->done > 0 || known->running > 0) && status.counts.size() < kMaxJobCounts)
+    if (known && (known->done > 0 || known->running > 0) && status.counts.size() < kMaxReportedJobs)
       status.counts.push_back({id, known->done, known->running});
   }
 }
@@ -234,7 +235,7 @@
 // Only the leader knows the machines. The other nodes get requests of agents that search for the
 // leader and of users that the leader served before, each for a moment: they keep as many
 // connections as they may.
-void Node::share_sockets() {
+void Node::update_connection_limits() {
   const core::SocketBudget budget{settings_.max_sockets, settings_.nodes()};
   const auto* leader = ready_leader();
   const auto shares = leader != nullptr ? leader->controller()->commands().shares()
@@ -246,8 +247,8 @@
   const auto now = Clock::now();
   const milliseconds store_silence(std::min<std::uint64_t>(status.store_silence_ms, kMaxSilenceMs));
   health_.note_peer_status(status.member, now, store_silence);
-  if (leader_ && status.token == 0) leader_->note_follower(status.member, status.follows);
-  if (leader_ && status.workers_silence_ms < kRecentHeartbeatMs)
+  if (leader_ && status.token == 0) leader_->note_follower(status.member, status.followed_token);
+  if (leader_ && status.agents_silence_ms < kRecentHeartbeatMs)
     leader_->note_peer_receives_heartbeats(now);
   for (const auto& count : status.counts)
     if (job_replica_.find(count.id) != nullptr)
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -39,8 +39,8 @@
   std::unique_ptr<api::OperatorApi> make_operator_api(const asio::ip::tcp::endpoint& address);
 
   // Leadership.
-  void won();
-  void lost();
+  void leadership_won();
+  void leadership_lost();
   /// The leader once it has recovered the state; null otherwise.
   Leader* ready_leader() const;
   /// Where the operators of the leading peer are served; null: this node leads, or no leader is
@@ -48,12 +48,12 @@
   std::optional<asio::ip::tcp::endpoint> leader_operator_address(asio::ip::port_type port) const;
 
   // Once a second.
-  void schedule_second();
-  void run_second();
+  void schedule_tick();
+  void tick();
   void check_store();
   void broadcast_status();
   void add_job_counts(peers::Status& status) const;
-  void share_sockets();
+  void update_connection_limits();
 
   void handle_peer_status(const peers::Status& status);
   core::JobCounts counts(const core::JobId& id) const;
@@ -69,16 +69,17 @@
   store::Election election_;
   cloud::CloudClient cloud_;
   CatalogSource catalog_;
-  api::UserApi users_;
-  HeartbeatEndpoint heartbeats_;
+  api::UserApi user_api_;
+  HeartbeatEndpoint heartbeat_endpoint_;
   HealthMonitor health_;
   RequestRouter router_;
   /// When a leader of this process last resigned as isolated; before the leader, which refers to
   /// it.
   std::optional<core::TimePoint> isolated_at_;
-  std::unique_ptr<Leader> leader_;              ///< Null: this node does not lead.
-  std::vector<std::unique_ptr<Leader>> ended_;  ///< Kept until their last callback has returned.
-  asio::steady_timer second_timer_;
+  std::unique_ptr<Leader> leader_;  ///< Null: this node does not lead.
+  std::vector<std::unique_ptr<Leader>>
+      former_leaders_;  ///< Kept until their last callback has returned.
+  asio::steady_timer tick_timer_;
   /// By peer: the leader key under which the peer led when our connection to it last ended; 0: the
   /// peer did not lead.
   std::map<std::string, store::Revision> led_at_disconnect_;
@@ -86,8 +87,8 @@
   std::unordered_map<core::JobId, core::JobCounts> reported_counts_;
   peers::PeerNetwork peer_network_;
   net::HttpServer server_;
-  std::unique_ptr<api::OperatorApi> operators_;  ///< Null: not configured.
-  async::Lifetime lifetime_;                     ///< Last, so that it ends before all members.
+  std::unique_ptr<api::OperatorApi> operator_api_;  ///< Null: not configured.
+  async::Lifetime lifetime_;                        ///< Last, so that it ends before all members.
 };
 
 }  // namespace violetpulley
--- a/src/node/request_router.cpp
+++ b/src/node/request_router.cpp
@@ -36,7 +36,7 @@
     return serve_method(request, kGet, respond, [&] { endpoints_.health(respond); });
   if (path == kJobsPath)
     return serve_method(request, kPost, respond,
-                        [&] { endpoints_.users.submit(request, respond); });
+                        [&] { endpoints_.user_api.submit(request, respond); });
   if (path.starts_with(kJobPrefix))
     return route_job(request, path.substr(kJobPrefix.size()), respond);
   respond_not_found(respond);
@@ -44,17 +44,17 @@
 
 void RequestRouter::route_job(const net::Request& request, const std::string& name,
                               const net::Responder& respond) const {
-  auto& users = endpoints_.users;
+  auto& user_api = endpoints_.user_api;
   if (name.ends_with(kCancelSuffix)) {
     const core::JobId id = name.substr(0, name.size() - kCancelSuffix.size());
-    return serve_method(request, kPost, respond, [&] { users.cancel(id, respond); });
+    return serve_method(request, kPost, respond, [&] { user_api.cancel(id, respond); });
   }
   if (name.find('/') != std::string::npos) return respond_not_found(respond);
-  serve_method(request, kGet, respond, [&] { users.poll(name, respond); });
+  serve_method(request, kGet, respond, [&] { user_api.poll(name, respond); });
 }
 
-net::Peer RequestRouter::peer_of(const std::string& target) {
-  return target.starts_with(kHeartbeatPath) ? net::Peer::worker : net::Peer::user;
+net::ClientKind RequestRouter::client_kind(const std::string& target) {
+  return target.starts_with(kHeartbeatPath) ? net::ClientKind::agent : net::ClientKind::user;
 }
 
 }  // namespace violetpulley
--- a/src/node/request_router.hpp
+++ b/src/node/request_router.hpp
@@ -12,7 +12,7 @@
   struct Endpoints {
     std::function<void(const net::Request&, const net::Responder&)> heartbeat;
     std::function<void(const net::Responder&)> health;
-    api::UserApi& users;
+    api::UserApi& user_api;
   };
 
   explicit RequestRouter(Endpoints endpoints) : endpoints_(std::move(endpoints)) {}
@@ -21,7 +21,7 @@
   void route(const net::Request& request, const net::Responder& respond) const;
 
   /// The kind of peer that requests `target`: an agent sends nothing but heartbeats.
-  static net::Peer peer_of(const std::string& target);
+  static net::ClientKind client_kind(const std::string& target);
 
  private:
   void route_job(const net::Request& request, const std::string& name,
--- a/src/node/store_share.cpp
+++ b/src/node/store_share.cpp
@@ -8,21 +8,21 @@
 
 // Parts of the platform's limits. Submissions come in bursts that rarely coincide, so the shares
 // may add up to more than the limit: a request that is refused with 429 is tried again.
-constexpr double kSingleNode = 0.9;
-constexpr double kLeaderReads = 0.5;
-constexpr double kLeaderWrites = 0.6;
-constexpr double kFollowersReads = 0.8;   // of all followers together
-constexpr double kFollowersWrites = 0.9;  // of all followers together
-constexpr double kMaxFollower = 0.45;     // of one follower
+constexpr double kSingleNodeShare = 0.9;
+constexpr double kLeaderReadShare = 0.5;
+constexpr double kLeaderWriteShare = 0.6;
+constexpr double kFollowersReadShare = 0.8;   // of all followers together
+constexpr double kFollowersWriteShare = 0.9;  // of all followers together
+constexpr double kMaxFollowerShare = 0.45;    // of one follower
 
 store::StoreShare leader_share(bool single_node) {
-  if (single_node) return {kSingleNode, kSingleNode};
-  return {kLeaderReads, kLeaderWrites};
+  if (single_node) return {kSingleNodeShare, kSingleNodeShare};
+  return {kLeaderReadShare, kLeaderWriteShare};
 }
 
 store::StoreShare follower_share(double followers) {
-  return {std::min(kMaxFollower, kFollowersReads / followers),
-          std::min(kMaxFollower, kFollowersWrites / followers)};
+  return {std::min(kMaxFollowerShare, kFollowersReadShare / followers),
+          std::min(kMaxFollowerShare, kFollowersWriteShare / followers)};
 }
 
 }  // namespace
--- a/src/peers/peer_link.cpp
+++ b/src/peers/peer_link.cpp
@@ -25,11 +25,11 @@
 void PeerLink::connect() {
   socket_ = tcp::socket(network_->io_);
   connected_ = false;
-  limit_connect_time();
+  start_connect_timeout();
   socket_.async_connect(endpoint_, [self = shared_from_this()](const asio::error_code& error) {
     if (self->network_ == nullptr) return;
     if (error) return self->connection_failed(error);
-    self->connected_to_peer();
+    self->connection_established();
   });
 }
 
@@ -41,13 +41,13 @@
   reconnect_later();
 }
 
-void PeerLink::connected_to_peer() {
+void PeerLink::connection_established() {
   timer_.cancel();
   connected_ = true;
   closed_by_peer_ = false;
   asio::error_code ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
-  wait_for_end();
+  wait_for_disconnect();
 }
 
 void PeerLink::send(const std::string& frame) {
@@ -75,11 +75,11 @@
 }
 
 // A peer sends nothing back on this connection, so a read ends only when the connection does.
-void PeerLink::wait_for_end() {
+void PeerLink::wait_for_disconnect() {
   socket_.async_read_some(asio::buffer(&byte_, 1),
                           [self = shared_from_this()](const asio::error_code& error, std::size_t) {
                             if (self->network_ == nullptr) return;
-                            if (!error) return self->wait_for_end();
+                            if (!error) return self->wait_for_disconnect();
                             if (!self->connected_) return;
                             self->connected_ = false;
                             self->closed_by_peer_ = true;
@@ -88,7 +88,7 @@
                           });
 }
 
-void PeerLink::limit_connect_time() {
+void PeerLink::start_connect_timeout() {
   timer_.expires_after(kConnectTimeout);
   timer_.async_wait([self = shared_from_this()](const asio::error_code& error) {
     if (error || self->network_ == nullptr || self->connected_) return;
--- a/src/peers/peer_link.hpp
+++ b/src/peers/peer_link.hpp
@@ -27,10 +27,10 @@
   void detach();
 
  private:
-  void connected_to_peer();
+  void connection_established();
   void connection_failed(const asio::error_code& error);
-  void wait_for_end();
-  void limit_connect_time();
+  void wait_for_disconnect();
+  void start_connect_timeout();
   void reconnect_later();
 
   PeerNetwork* network_;  // null: detached
--- a/src/peers/peer_network.cpp
+++ b/src/peers/peer_network.cpp
@@ -20,9 +20,9 @@
 constexpr std::size_t kMaxSessionsPerPeer = 8;
 }  // namespace
 
-PeerNetwork::PeerNetwork(asio::io_context& io, const tcp::endpoint& at,
+PeerNetwork::PeerNetwork(asio::io_context& io, const tcp::endpoint& listen_endpoint,
                          const std::vector<config::Peer>& peers, Events events)
-    : io_(io), acceptor_(io, at), suspicion_timer_(io), events_(std::move(events)) {
+    : io_(io), acceptor_(io, listen_endpoint), suspicion_timer_(io), events_(std::move(events)) {
   for (const auto& peer : peers) {
     links_.push_back(std::make_shared<PeerLink>(*this, peer));
     links_.back()->connect();
@@ -56,11 +56,11 @@
   suspected_.insert(member);
   suspicion_timer_.expires_after(kSuspicionDelay);
   suspicion_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
-    if (!error) judge_suspicions();
+    if (!error) resolve_suspicions();
   }));
 }
 
-void PeerNetwork::judge_suspicions() {
+void PeerNetwork::resolve_suspicions() {
   const auto suspected = std::exchange(suspected_, {});
   const bool any_connected =
       std::any_of(links_.begin(), links_.end(), [](const auto& link) { return link->connected(); });
--- a/src/peers/peer_network.hpp
+++ b/src/peers/peer_network.hpp
@@ -33,9 +33,9 @@
     std::function<void(const std::string& member)> process_ended;
   };
 
-  /// Listens at `at` and connects to all `peers`. Throws std::system_error if the address cannot be
-  /// used.
-  PeerNetwork(asio::io_context& io, const asio::ip::tcp::endpoint& at,
+  /// Listens at `listen_endpoint` and connects to all `peers`. Throws std::system_error if the
+  /// address cannot be used.
+  PeerNetwork(asio::io_context& io, const asio::ip::tcp::endpoint& listen_endpoint,
               const std::vector<config::Peer>& peers, Events events);
   ~PeerNetwork();
   PeerNetwork(const PeerNetwork&) = delete;
@@ -49,7 +49,7 @@
   friend class PeerSession;
   void accept();
   void suspect(const std::string& member);
-  void judge_suspicions();
+  void resolve_suspicions();
 
   asio::io_context& io_;
   asio::ip::tcp::acceptor acceptor_;
--- a/src/peers/peer_session.cpp
+++ b/src/peers/peer_session.cpp
@@ -18,7 +18,7 @@
                      if (error) return self->end();
                      std::size_t size = 0;
                      for (const unsigned char byte : self->length_) size = (size << 8U) | byte;
-                     if (size == 0 || size > kMaxFrame) return self->end();
+                     if (size == 0 || size > kMaxFrameBodyBytes) return self->end();
                      self->body_.resize(size);
                      self->receive_body();
                    });
--- a/src/peers/status.cpp
+++ b/src/peers/status.cpp
@@ -19,7 +19,7 @@
   const auto handle = msgpack::unpack(data, size);
   const auto& object = handle.get();
   if (object.type != msgpack::type::ARRAY || object.via.array.size < 1 ||
-      object.via.array.ptr[0].as<std::uint32_t>() != kVersion)
+      object.via.array.ptr[0].as<std::uint32_t>() != kStatusVersion)
     throw std::runtime_error("peer message of another version");
   return object.as<Status>();
 }
--- a/src/peers/status.hpp
+++ b/src/peers/status.hpp
@@ -21,17 +21,17 @@
 };
 
 /// Value of a silence that never began because nothing was heard yet.
-inline constexpr std::uint64_t kNever = std::numeric_limits<std::uint64_t>::max();
+inline constexpr std::uint64_t kNeverHeard = std::numeric_limits<std::uint64_t>::max();
 
 /// Version of the message; messages of another version are refused.
-inline constexpr std::uint32_t kVersion = 1;
+inline constexpr std::uint32_t kStatusVersion = 1;
 
 /// Largest body that is accepted, in bytes.
-inline constexpr std::size_t kMaxFrame = 1 << 20;
+inline constexpr std::size_t kMaxFrameBodyBytes = 1 << 20;
 
 /// State of one controller, sent to its peers every second. Only hints: no rule depends on them.
 struct Status {
-  std::uint32_t version = kVersion;
+  std::uint32_t version = kStatusVersion;
   std::string member;
   /// Milliseconds since the state service last answered the sender.
   std::uint64_t store_silence_ms = 0;
@@ -40,10 +40,11 @@
   std::vector<JobCount> counts;
   /// Fencing token of the newest leader key that the sender has seen; 0: none, or the sender is of
   /// a version that does not report the token.
-  std::uint64_t follows = 0;
+  std::uint64_t followed_token = 0;
   /// Milliseconds since an agent last sent a request to the sender, whatever the response was.
-  std::uint64_t workers_silence_ms = kNever;
-  MSGPACK_DEFINE(version, member, store_silence_ms, token, counts, follows, workers_silence_ms)
+  std::uint64_t agents_silence_ms = kNeverHeard;
+  MSGPACK_DEFINE(version, member, store_silence_ms, token, counts, followed_token,
+                 agents_silence_ms)
 };
 
 /// Encodes a status with its length prefix.
--- a/tests/agent/command_sender_test.cpp
+++ b/tests/agent/command_sender_test.cpp
@@ -60,7 +60,7 @@
 
 // Found with half as many machines again as the users' files show: after a failover each machine
 // had a connection for ever, and no socket was left for the agents' heartbeats.
-TEST(CommandSender, ABurstLeavesNoMoreConnectionsThanTheBound) {
+TEST(CommandSender, ABurstLeavesNoMoreConnectionsThanTheLimit) {
   asio::io_context io;
   AnsweringAgents agents(io);
   auto& answered = agents.answered;
@@ -76,7 +76,7 @@
 
 // An endpoint may belong to another machine by now: its answer says nothing of the machine that was
 // asked, which was then taken for reached and confirmed. Nor does an answer that breaks off.
-TEST(CommandSender, AnAnswerOfAnotherMachineOrATruncatedAnswerCountsAsNone) {
+TEST(CommandSender, AnAnswerOfAnotherMachineOrATruncatedAnswerCountsAsNoAnswer) {
   for (
       const std::string body :
       {R"({"rig":"m-2","endpoint":"127.0.0.1:1","bench":"small","district":"a","shift":1,"tally":1})",
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -21,17 +21,17 @@
     "loaners":true,"expect_s":240.0,"mark_s":30.0,"stow_s":4.0,"due_s":900.0})");
 }
 
-TEST(JobCodec, KeepsWhatAUserWrote) {
+TEST(JobCodec, AnEncodedJobDecodesToTheSameJob) {
   const auto spec = codec::parse_job(good_job());
   EXPECT_EQ(spec.tasks, 16U);
   EXPECT_EQ(spec.priority, core::Priority::high);
   EXPECT_FALSE(spec.zone);
-  const auto again = codec::parse_job(codec::job_to_json(spec));
-  EXPECT_EQ(codec::job_to_json(again), codec::job_to_json(spec));
+  const auto decoded = codec::parse_job(codec::job_to_json(spec));
+  EXPECT_EQ(codec::job_to_json(decoded), codec::job_to_json(spec));
 }
 
-TEST(JobCodec, RefusesWhatIsMalformed) {
-  const std::pair<const char*, Json> bad[] = {
+TEST(JobCodec, RefusesMalformedFields) {
+  const std::pair<const char*, Json> malformed[] = {
       {"id", "412"},        {"id", "req-"},        {"id", 5},
       {"id", "req-1/2"},    {"lot", ""},           {"owner", Json::array()},
       {"shape", "ring"},    {"urgency", nullptr},  {"cuts", 0},
@@ -41,7 +41,7 @@
       {"benches", "g8"},    {"benches", {1}},      {"district", 3},
       {"loaners", "yes"},   {"expect_s", nullptr}, {"due_s", -1},
       {"gpus", -1},         {"mark_s", -0.1},      {"stow_s", 1e300}};
-  for (const auto& [field, value] : bad) {
+  for (const auto& [field, value] : malformed) {
     auto job = good_job();
     job[field] = value;
     EXPECT_THROW(codec::parse_job(job), codec::MalformedJob) << field << " = " << value;
@@ -53,7 +53,7 @@
 // were accepted with defaults. Each field of PROTOCOL's table, missing, null and of another type.
 TEST(JobCodec, NamesTheFieldThatIsMissingNullOrOfAnotherType) {
   const std::set<std::string> nullable{"benches", "district", "due_s"};
-  const auto complaint = [](const Json& job) -> std::string {
+  const auto error_text = [](const Json& job) -> std::string {
     try {
       codec::parse_job(job);
     } catch (const codec::MalformedJob& problem) {
@@ -70,17 +70,17 @@
     null[field] = nullptr;
     for (const auto& job : {missing, null}) {
       if (nullable.contains(field))
-        EXPECT_EQ(complaint(job), "") << field;
+        EXPECT_EQ(error_text(job), "") << field;
       else
-        EXPECT_TRUE(complaint(job).starts_with(field)) << field << ": " << complaint(job);
+        EXPECT_TRUE(error_text(job).starts_with(field)) << field << ": " << error_text(job);
     }
     auto other = fields;
     other[field] = Json::object();
-    EXPECT_TRUE(complaint(other).starts_with(field)) << field << ": " << complaint(other);
+    EXPECT_TRUE(error_text(other).starts_with(field)) << field << ": " << error_text(other);
   }
 }
 
-TEST(JobCodec, ReadsRecordsOfJobsThatWereAcceptedWithoutAField) {
+TEST(JobCodec, DecodesRecordsOfJobsThatWereAcceptedWithoutAField) {
   auto job = good_job();
   for (const auto* field : {"gpus", "mark_s", "stow_s", "same_place", "spread", "loaners"})
     job.erase(field);
@@ -94,27 +94,27 @@
       core::Seconds(30));
 }
 
-TEST(JobCodec, TellsWhatCanNeverRun) {
+TEST(JobCodec, RefusesJobsThatCanNeverRun) {
   core::MachineType type{"g8", {96, 8, 768}, 200, 1, 12, 4.5, core::Seconds(45), {"a"}};
   const std::vector<core::Team> teams{{"vision", 0, 64, 0, 0}};
-  const auto check = [&](const char* field, const Json& value) {
+  const auto refused = [&](const char* field, const Json& value) {
     auto job = good_job();
     job["same_place"] = false;
     if (field != nullptr) job[field] = value;
-    return api::never_runs(codec::parse_job(job), teams, {type}, {"a", "b"}).has_value();
+    return api::refusal_reason(codec::parse_job(job), teams, {type}, {"a", "b"}).has_value();
   };
-  EXPECT_FALSE(check(nullptr, {}));
-  EXPECT_TRUE(check("owner", "nobody"));
-  EXPECT_FALSE(check("cores", 64.0));  // the team's limit
-  EXPECT_TRUE(check("cores", 64.01));
-  EXPECT_FALSE(check("memory_gb", 768.0));  // the type's
-  EXPECT_TRUE(check("memory_gb", 768.01));
-  EXPECT_FALSE(check("gpus", 8.0));
-  EXPECT_TRUE(check("gpus", 8.01));
-  EXPECT_FALSE(check("benches", Json{"x1", "g8"}));
-  EXPECT_TRUE(check("benches", Json{"x1"}));
-  EXPECT_TRUE(check("district", "b"));  // the type is not there
-  EXPECT_TRUE(check("district", "c"));
+  EXPECT_FALSE(refused(nullptr, {}));
+  EXPECT_TRUE(refused("owner", "nobody"));
+  EXPECT_FALSE(refused("cores", 64.0));  // the team's limit
+  EXPECT_TRUE(refused("cores", 64.01));
+  EXPECT_FALSE(refused("memory_gb", 768.0));  // the type's
+  EXPECT_TRUE(refused("memory_gb", 768.01));
+  EXPECT_FALSE(refused("gpus", 8.0));
+  EXPECT_TRUE(refused("gpus", 8.01));
+  EXPECT_FALSE(refused("benches", Json{"x1", "g8"}));
+  EXPECT_TRUE(refused("benches", Json{"x1"}));
+  EXPECT_TRUE(refused("district", "b"));  // the type is not there
+  EXPECT_TRUE(refused("district", "c"));
   // The tasks of gangs and services run together: all of them must fit into the team's limit.
   for (const char* shape : {"array", "gang", "service"}) {
     auto job = good_job();
@@ -123,33 +123,33 @@
     job["cores"] = 8.0;
     job["gpus"] = 0.0;
     job["cuts"] = 8;
-    EXPECT_FALSE(api::never_runs(codec::parse_job(job), teams, {type}, {"a"})) << shape;
+    EXPECT_FALSE(api::refusal_reason(codec::parse_job(job), teams, {type}, {"a"})) << shape;
     job["cuts"] = 9;
-    EXPECT_EQ(api::never_runs(codec::parse_job(job), teams, {type}, {"a"}).has_value(),
+    EXPECT_EQ(api::refusal_reason(codec::parse_job(job), teams, {type}, {"a"}).has_value(),
               std::string(shape) != "array")
         << shape;
   }
 }
 
-TEST(AgentCodec, ReadsReportsAndRefusesNonsense) {
-  const std::string good = R"({"rig":"m-000231","endpoint":"10.1.0.232:9000","bench":"g8",
+TEST(AgentCodec, DecodesHeartbeatsAndRefusesMalformedOnes) {
+  const std::string valid = R"({"rig":"m-000231","endpoint":"10.1.0.232:9000","bench":"g8",
     "district":"a","loaners":true,"shift":1,"tally":88,"baton":41,"recall_s":null,
     "cuts":[{"cut":"req-000412/3","try":2,"status":"running"},
             {"cut":"req-000398/0","try":1,"status":"exited","cause":"done"}]})";
-  const auto heartbeat = agent::parse_heartbeat(good);
+  const auto heartbeat = agent::parse_heartbeat(valid);
   EXPECT_EQ(heartbeat.tasks.size(), 2U);
   EXPECT_EQ(heartbeat.tasks[0].task.index, 3U);
   EXPECT_EQ(heartbeat.tasks[1].cause, core::ExitCause::done);
   EXPECT_FALSE(heartbeat.notice);
-  const std::pair<const char*, Json> bad[] = {{"shift", -1},     {"tally", "x"}, {"rig", 5},
-                                              {"recall_s", "x"}, {"cuts", 3},    {"baton", 1.5}};
-  for (const auto& [field, value] : bad) {
-    auto json = Json::parse(good);
+  const std::pair<const char*, Json> malformed[] = {
+      {"shift", -1}, {"tally", "x"}, {"rig", 5}, {"recall_s", "x"}, {"cuts", 3}, {"baton", 1.5}};
+  for (const auto& [field, value] : malformed) {
+    auto json = Json::parse(valid);
     json[field] = value;
     EXPECT_ANY_THROW(agent::parse_heartbeat(json.dump())) << field;
   }
   for (const auto* task : {"req-1", "/3", "req-1/x", "req-1/-1", "req-1/99999999999"}) {
-    auto json = Json::parse(good);
+    auto json = Json::parse(valid);
     json["cuts"][0]["cut"] = task;
     EXPECT_ANY_THROW(agent::parse_heartbeat(json.dump())) << task;
   }
@@ -157,7 +157,7 @@
   EXPECT_ANY_THROW(agent::parse_heartbeat("{"));
 }
 
-TEST(AgentCodec, WritesCommands) {
+TEST(AgentCodec, EncodesCommands) {
   const auto body = Json::parse(
       agent::commands_body(41, 2,
                            {{core::CommandType::start, {"req-7", 3}, 9, core::Seconds(0)},
@@ -167,22 +167,22 @@
     {"verb":"kill","cut":"req-7/4","try":8,"leeway_s":10.0}]})"));
 }
 
-TEST(MeshCodec, IsVersionedAndRefusesNonsense) {
+TEST(PeerStatusCodec, RefusesOtherVersionsAndMalformedMessages) {
   peers::Status status;
   status.member = "a";
   status.token = 5;
   status.counts = {{"req-1", 2, 3}};
   const auto frame = peers::encode(status);
-  const auto again = peers::decode(frame.data() + 4, frame.size() - 4);
-  EXPECT_EQ(again.counts.at(0).running, 3U);
-  EXPECT_EQ(again.token, 5U);
+  const auto decoded = peers::decode(frame.data() + 4, frame.size() - 4);
+  EXPECT_EQ(decoded.counts.at(0).running, 3U);
+  EXPECT_EQ(decoded.token, 5U);
   status.version = 99;
   const auto newer = peers::encode(status);
   EXPECT_ANY_THROW(peers::decode(newer.data() + 4, newer.size() - 4));
   EXPECT_ANY_THROW(peers::decode("garbage", 7));
 }
 
-TEST(CloudCodec, RefusesANonsenseCatalog) {
+TEST(CloudCodec, RefusesMalformedCatalogs) {
   EXPECT_ANY_THROW(cloud::parse_catalog("{}"));
   EXPECT_ANY_THROW(cloud::parse_catalog(R"({"benches":[]})"));
   EXPECT_ANY_THROW(cloud::parse_catalog(
--- a/tests/end_to_end/loopback_test.cpp
+++ b/tests/end_to_end/loopback_test.cpp
@@ -53,11 +53,11 @@
                                                    history_of(name) + "\n");
     const auto operators = path + "-operators.yaml";
     std::ofstream(operators) << "why_address: " + why_.at(name) + "\n";
-    std::vector<std::string> words{
+    std::vector<std::string> arguments{
         VIOLETPULLEY_PROGRAM, "--history", history, "--operator-settings", operators,
         "--config",           path};
     std::vector<char*> args;
-    for (auto& message : words) args.push_back(message.data());
+    for (auto& argument : arguments) args.push_back(argument.data());
     args.push_back(nullptr);
     setenv("LOG_LEVEL", "error", 1);
     pid_t pid = 0;
@@ -70,8 +70,8 @@
   }
 
   // Runs `violetpulley history ...` and returns its exit code and what it printed.
-  static std::pair<int, std::string> history(const std::string& words) {
-    const auto command = std::string(VIOLETPULLEY_PROGRAM) + " history " + words + " 2>/dev/null";
+  static std::pair<int, std::string> history(const std::string& arguments) {
+    const auto command = std::string(VIOLETPULLEY_PROGRAM) + " history " + arguments + " 2>/dev/null";
     FILE* pipe = popen(command.c_str(), "r");
     std::string out;
     char buffer[4096];
@@ -142,12 +142,12 @@
 
   // Asks again until the answer has the status, and returns its body.
   Json until(const std::string& node, const std::string& method, const std::string& target,
-             const std::string& body, const std::function<bool(int, const Json&)>& good) {
+             const std::string& body, const std::function<bool(int, const Json&)>& matches) {
     const auto bound = steady_clock::now() + std::chrono::seconds(60);
     while (steady_clock::now() < bound) {
       const auto response = ask(node, method, target, body);
       auto json = Json::parse(response.body, nullptr, false);
-      if (good(response.status, json)) return json;
+      if (matches(response.status, json)) return json;
       asio::steady_timer pause(io_, std::chrono::milliseconds(50));
       bool over = false;
       pause.async_wait([&](const asio::error_code&) { over = true; });
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -291,8 +291,8 @@
   for (const auto& count : item.at("counts"))
     status.counts.push_back({text_at(count, "job"), count.at("done").get<std::uint32_t>(),
                              count.at("running").get<std::uint32_t>()});
-  status.follows = item.at("follows").get<std::uint64_t>();
-  status.workers_silence_ms = item.at("agents_silence_ms").get<std::uint64_t>();
+  status.followed_token = item.at("follows").get<std::uint64_t>();
+  status.agents_silence_ms = item.at("agents_silence_ms").get<std::uint64_t>();
   return status;
 }
 
@@ -313,8 +313,8 @@
     const auto message = from_hex(text_at(item, "message"));
     const auto read = peers::decode(message.data(), message.size());
     EXPECT_EQ(to_hex(peers::encode(read)), text_at(item, "read_and_written_again"));
-    EXPECT_EQ(read.follows, item.at("fields").get<int>() > 5 ? 8U : 0U);
-    EXPECT_EQ(read.workers_silence_ms, peers::kNever);
+    EXPECT_EQ(read.followed_token, item.at("fields").get<int>() > 5 ? 8U : 0U);
+    EXPECT_EQ(read.agents_silence_ms, peers::kNeverHeard);
   }
 }
 
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -47,7 +47,7 @@
   HttpServer server_;
 };
 
-TEST_F(HttpTest, BrokenHttpIsAnsweredAndClosed) {
+TEST_F(HttpTest, MalformedHttpIsAnsweredAndClosed) {
   EXPECT_EQ(raw("NONSENSE\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
 }
 
@@ -79,37 +79,37 @@
   io_.restart();
   while (answers < 3) io_.run_one();
 
-  tcp::acceptor silent(io_, {asio::ip::make_address("127.0.0.1"), 0});
-  HttpClient waits(io_, silent.local_endpoint(), 1);
-  bool gave_up = false;
-  waits.request({"GET", "/", ""}, std::chrono::milliseconds(50),
-                [&](const std::optional<Response>& r) {
-                  EXPECT_FALSE(r);
-                  gave_up = true;
-                });
-  while (!gave_up) io_.run_one();
+  tcp::acceptor unresponsive(io_, {asio::ip::make_address("127.0.0.1"), 0});
+  HttpClient timing_out(io_, unresponsive.local_endpoint(), 1);
+  bool timed_out = false;
+  timing_out.request({"GET", "/", ""}, std::chrono::milliseconds(50),
+                     [&](const std::optional<Response>& r) {
+                       EXPECT_FALSE(r);
+                       timed_out = true;
+                     });
+  while (!timed_out) io_.run_one();
 }
 
 // Found on the bench: a leader that was behind with its work took machines for dead whose answers
 // lay unread in its own sockets, since many of them and their deadlines came up together.
-TEST(HttpClientThatIsBehind, DoesNotTakeAnUnreadAnswerForNone) {
-  constexpr std::size_t kPeers = 300;  // more than one look at the sockets brings
+TEST(HttpClientDeadline, AResponseThatArrivedUnreadIsNoTimeout) {
+  constexpr std::size_t kServers = 300;  // more than one look at the sockets brings
   asio::io_context io;
   tcp::acceptor acceptor(io);
   acceptor.open(tcp::v4());
   acceptor.bind({asio::ip::make_address("127.0.0.1"), 0});
-  acceptor.listen(kPeers);
+  acceptor.listen(kServers);
   std::vector<std::unique_ptr<HttpClient>> clients;
   std::size_t answered = 0;
   std::size_t unanswered = 0;
-  for (std::size_t i = 0; i < kPeers; ++i) {
+  for (std::size_t i = 0; i < kServers; ++i) {
     clients.push_back(std::make_unique<HttpClient>(io, acceptor.local_endpoint(), 1));
     clients.back()->request(
         {"GET", "/", ""}, std::chrono::milliseconds(300),
         [&](const std::optional<Response>& r) { ++(r ? answered : unanswered); });
   }
   std::vector<tcp::socket> peers;
-  for (std::size_t i = 0; i < kPeers; ++i) {
+  for (std::size_t i = 0; i < kServers; ++i) {
     io.poll();
     peers.push_back(acceptor.accept());
   }
@@ -118,12 +118,12 @@
   for (auto& peer : peers)
     asio::write(peer, asio::buffer(std::string("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")));
   io.run_for(std::chrono::milliseconds(500));
-  EXPECT_EQ(answered, kPeers);
+  EXPECT_EQ(answered, kServers);
   EXPECT_EQ(unanswered, 0U);
 }
 
 // More peers than connections may be kept open: each is answered, and those beyond connect anew.
-TEST(HttpServerWithShares, AnswersEveryPeerAndClosesThoseBeyondTheShare) {
+TEST(HttpServerKeepAlive, AnswersEveryClientAndClosesConnectionsBeyondTheShare) {
   asio::io_context io;
   ServerLimits limits;
   limits.max_connections = 100;
@@ -132,7 +132,9 @@
       [](Request&&, const Responder& respond) {
         respond({200, "{}", {}});
       },
-      [](const std::string& target) { return target == "/w" ? Peer::worker : Peer::user; });
+      [](const std::string& target) {
+        return target == "/w" ? ClientKind::agent : ClientKind::user;
+      });
   server.set_limits(100, 3, 5);
   std::vector<std::unique_ptr<HttpClient>> clients;
   for (int i = 0; i < 16; ++i)
@@ -146,9 +148,9 @@
       io.run_for(std::chrono::milliseconds(10));
     EXPECT_EQ(answered, clients.size());
     io.run_for(std::chrono::milliseconds(20));
-    EXPECT_EQ(server.open(Peer::worker), 3U);
-    EXPECT_EQ(server.open(Peer::user), 5U);
-    EXPECT_EQ(server.open(), 8U);
+    EXPECT_EQ(server.open_connections(ClientKind::agent), 3U);
+    EXPECT_EQ(server.open_connections(ClientKind::user), 5U);
+    EXPECT_EQ(server.open_connections(), 8U);
   }
 }
 
--- a/tests/peers/peer_network_test.cpp
+++ b/tests/peers/peer_network_test.cpp
@@ -47,7 +47,7 @@
   }
 };
 
-TEST(PeerNetwork, APeerThatEndsAloneIsReportedAsEnded) {
+TEST(PeerNetwork, APeerThatEndsWhileAnotherIsConnectedIsReportedAsEnded) {
   ThreeNodes peers;
   peers.nodes[1].reset();
   for (int i = 0; i < 100 && peers.process_ended.empty(); ++i)
@@ -57,7 +57,7 @@
 
 // Found in an incident: a filter between the controllers reset and refused all their connections,
 // both followers took the leader for dead and revoked its lease, and the whole fleet failed over.
-TEST(PeerNetwork, PeersThatAllRefuseAreNotReportedAsEnded) {
+TEST(PeerNetwork, PeersThatAllRefuseConnectionsAreNotReportedAsEnded) {
   ThreeNodes peers;
   peers.nodes[1].reset();
   peers.nodes[2].reset();
