--- a/src/leader/action_executor.cpp
+++ b/src/leader/action_executor.cpp
@@ -46,8 +46,8 @@
   table.put(record.id, store::machine_to_json(record), store::kMachineBytes,
             urgent ? WritePriority::urgent : WritePriority::deferred, now,
             [this, id = record.id, registered] {
-              // Not earlier: until the registration is committed, only the record of the scale-out
-              // shows that the machine exists.
+              // The provisioning record is erased only now: until the registration is committed,
+              // no other record shows that the machine exists.
               if (registered) services_.writer.provisioning().erase(id, Clock::now());
               events_.result(core::MachineSaved{id, registered, true});
               events_.schedule_core_run();
@@ -89,8 +89,8 @@
     services_.job_replica.note_closed(action.job, result.revision);
     return;
   }
-  // The job has ended otherwise, or the outcome is unknown: the job replica will show it, and until
-  // then the core tries again.
+  // Either the job has ended in another way or the outcome is unknown. The job replica will show
+  // which; until then the core repeats the write.
   events_.result(core::FinishAnswered{action.job, Clock::now() + kFinishRetryDelay});
 }
 
@@ -109,7 +109,7 @@
                action.type, action.zone, action.name);
   const auto answered = [this, request = action](const core::ScaleOutResult& answer) {
     if (answer.machines.size() < static_cast<std::size_t>(request.count))
-      spdlog::info("scale-out {} brought {} of {} machines", request.name, answer.machines.size(),
+      spdlog::info("scale-out {} got only {} of {} machines", request.name, answer.machines.size(),
                    request.count);
     events_.result(core::ScaleOutAnswered{request.name, answer});
     events_.schedule_core_run();
@@ -121,7 +121,8 @@
   spdlog::info("scaling in: {} machines ({}), first {}", action.machines.size(), action.cause,
                action.machines.front());
   const auto answered = [this, machines = action.machines](bool ok) {
-    if (!ok) spdlog::warn("machines could not be returned; will try again");
+    if (!ok)
+      spdlog::warn("the cloud did not confirm the return of machines; the return will be repeated");
     events_.result(core::ScaleInAnswered{machines, ok});
     events_.schedule_core_run();
   };
@@ -154,7 +155,8 @@
                                  {{store::kPlacementsMark, Json{{"token", token_}}, std::nullopt}}};
   services_.writer.commit(std::move(transaction), [this](const store::TransactionResult& result) {
     if (result.outcome == Outcome::ok) {
-      spdlog::info("starts of gangs and services are recorded from here on");
+      spdlog::info(
+          "placement records are complete from now on: every start of a gang or a service has one");
       return;
     }
     placements_mark_timer_.expires_after(kPlacementsMarkRetryDelay);
@@ -171,14 +173,14 @@
 
 void ActionExecutor::execute(const core::TaskHeld& action) {
   spdlog::info(
-      "task {}/{} is held: attempt {} has ended on machine {}, where a delayed start may run it "
-      "again; the return of the machine is requested within {:.0f} s",
+      "task {}/{} is not restarted yet: attempt {} ended on machine {}, where a delayed start "
+      "command may run it again; the return of the machine is requested within {:.0f} s",
       action.task.job, action.task.index, action.attempt, action.machine, action.at_most.count());
 }
 
 void ActionExecutor::execute(const core::MachineLostTasks& action) {
-  spdlog::warn("machine {} has lost {} running tasks in epoch {}: it was restarted", action.machine,
-               action.tasks, action.epoch);
+  spdlog::warn("machine {} lost {} running tasks: it restarted within agent epoch {}",
+               action.machine, action.tasks, action.epoch);
 }
 
 }  // namespace violetpulley
--- a/src/leader/action_executor.hpp
+++ b/src/leader/action_executor.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Carries out the actions of a leader's core: commands to agents, writes to the state service and
-/// requests to the cloud. Results return to the core as events. Owns no state but the pause before
-/// a repeated write.
+/// Executes the actions that the leader's core decides on: commands to agents, writes to the state
+/// service and requests to the cloud. Reports each result to the core as an event. Owns only the
+/// timer that delays a repeated write.
 #pragma once
 
 #include "agent/command_sender.hpp"
@@ -16,7 +16,7 @@
 
 class ActionExecutor {
  public:
-  /// The objects that the actions are carried out with; all must outlive the executor.
+  /// The objects that execute the actions; all must outlive the executor.
   struct Services {
     asio::io_context& io;
     store::Election& election;
@@ -26,23 +26,24 @@
     cloud::CloudClient& cloud;
   };
   struct Events {
-    /// The result of an action, for the core.
+    /// Hands the result of an action to the core.
     std::function<void(core::Event)> result;
-    /// The core should be run soon, since results may allow new decisions.
+    /// Requests a run of the core, since a result may allow new decisions.
     std::function<void()> schedule_core_run;
-    /// Commands are about to be sent.
+    /// Called before commands are sent.
     std::function<void(const core::SendCommands&)> sending_commands;
-    /// The core resigns because no machine sends heartbeats to this controller.
+    /// Called before the leader resigns because no machine sends heartbeats to this controller.
     std::function<void()> resigning_isolated;
   };
 
-  /// `page_bytes`: a placement record that is larger is stored as unknown.
+  /// `page_bytes`: size limit of a page in the state service. A placement record above the limit is
+  /// stored without machines, marked as unknown.
   ActionExecutor(const Services& services, core::FencingToken token, std::size_t page_bytes,
                  Events events);
   ActionExecutor(const ActionExecutor&) = delete;
   ActionExecutor& operator=(const ActionExecutor&) = delete;
 
-  /// Starts to carry out one action; does not wait for its result.
+  /// Starts one action and returns without waiting for its result.
   void dispatch(const core::Action& action);
 
  private:
--- a/src/leader/failover_log.cpp
+++ b/src/leader/failover_log.cpp
@@ -47,8 +47,9 @@
                                      core::TimePoint now) const {
   const auto& cost = reconciler.cost();
   spdlog::info(
-      "reconciled {:.1f} s after the election; blocked beside free capacity: {:.0f} task-seconds "
-      "of arrays, {:.0f} of gangs, {:.0f} of services ({:.0f} of jobs that were seen nowhere)",
+      "reconciled {:.1f} s after the election; tasks blocked although capacity was free: {:.0f} "
+      "task-seconds of arrays, {:.0f} of gangs, {:.0f} of services ({:.0f} of jobs without any "
+      "known task)",
       core::Seconds(now - elected_at_).count(), cost.arrays.count(), cost.gangs.count(),
       cost.replicas.count(), cost.unseen.count());
   const auto& stats = reconciler.stats();
--- a/src/leader/failover_log.hpp
+++ b/src/leader/failover_log.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Log lines of one failover: when it came to each of its steps, what the reconciliation found and
-/// what it cost (docs/operations.md, "After a failover"). Owns the timeline and what was already
-/// logged; decides nothing.
+/// Log lines of one failover: when it reached each step, what the reconciliation found and how much
+/// capacity stayed unused meanwhile (docs/operations.md, "After a failover"). Owns the timeline and
+/// which lines were logged; takes no decisions.
 #pragma once
 
 #include "core/controller.hpp"
@@ -16,12 +16,12 @@
 
   failover::FailoverTimeline& timeline() { return timeline_; }
 
-  /// Notes the first commands of this leader, before they are sent.
+  /// Records in the timeline the first commands of this leader; call it before they are sent.
   void record_first_commands(const core::SendCommands& batch, const core::Controller& controller);
-  /// Logs the result of the reconciliation, once, as soon as the core has ended it.
+  /// Logs the result of the reconciliation once, after the core has completed it.
   void check_reconciled(const core::Controller& controller, core::TimePoint now);
-  /// Logs the timeline, once: after the reconciliation, when a task accepted before the election
-  /// was started, or some seconds later if no such task waits.
+  /// Logs the timeline once, after the reconciliation: as soon as a task accepted before the
+  /// election was started, or a few seconds after the reconciliation if none was.
   void check_timeline(core::TimePoint now);
 
  private:
--- a/src/leader/job_verifier.hpp
+++ b/src/leader/job_verifier.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Holds back new jobs until a proof of leadership allows them to be placed. A job may be placed
-/// only if it was read while this node verifiably led; a proof that was requested after the read
-/// shows that (docs/safety.md, "One copy of a task", 3). Owns the jobs that wait for a proof.
+/// Withholds new jobs from the core until a proof of leadership allows their placement. A job may
+/// be placed only if it was read while this node provably led, which a proof requested after the
+/// read shows (docs/safety.md, "One copy of a task", 3). Owns the jobs that wait for a proof.
 #pragma once
 
 #include <map>
@@ -15,9 +15,9 @@
 class JobVerifier {
  public:
   struct Events {
-    /// A job that is still open may be placed. The time is that of the proof's answer.
+    /// The job is still open and may be placed. The time is when the proof was answered.
     std::function<void(const core::JobRecord&, core::TimePoint)> verified;
-    /// A proof was answered, whatever the answer, and all jobs of its batch were handled.
+    /// A proof has succeeded or failed, and all jobs of its batch were handled.
     std::function<void()> batch_answered;
   };
 
@@ -28,10 +28,11 @@
 
   /// Adds a job to the next batch; `verify` requests the proof.
   void add(const core::JobRecord& record) { unverified_[record.spec.id] = record; }
-  /// Removes a job that has closed from the next batch.
+  /// Removes a closed job from the next batch.
   void remove(const core::JobId& id) { unverified_.erase(id); }
-  /// Requests a proof for all added jobs, unless none was added or a proof is under way. Jobs added
-  /// meanwhile are verified by the next proof, which follows by itself.
+  /// Requests a proof for all added jobs. Does nothing if there are none, or while a proof or the
+  /// pause after it is under way: the next proof, which is requested automatically, covers the jobs
+  /// added meanwhile.
   void verify();
 
  private:
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -18,12 +18,12 @@
 
 constexpr std::chrono::milliseconds kTickInterval{100};
 constexpr std::chrono::seconds kListInterval{10};
-/// How long after a resignation as isolated the next leader of this process does not resign for
-/// the same cause.
+/// After a resignation because of isolation, the next leader of this process does not resign for
+/// the same cause within this time.
 constexpr std::chrono::minutes kMinIsolationResignInterval{3};
 constexpr std::chrono::seconds kHeartbeatRetryAfter{1};
 
-/// Connections for commands as long as the number of machines is unknown.
+/// Limit of the connections for commands until the number of machines is known.
 std::size_t initial_command_connections(const config::Settings& settings) {
   return core::share_sockets({settings.max_sockets, settings.nodes()}, 0).commands;
 }
@@ -84,7 +84,8 @@
                                   store::page_bytes(services_.settings)});
 }
 
-// Nothing waits for the answer: a failover that is faster goes without the learned state.
+// The failover does not wait for the read: if it completes first, the core starts without the
+// learned state.
 void Leader::load_learned_state() {
   learned_state_store_->load(wall_now(), [this](std::optional<core::LearnedState> found) {
     if (found) learned_state_ = std::move(*found);
@@ -147,7 +148,7 @@
   failover_log_.timeline().note(Step::core_built, Clock::now());
 }
 
-// Jobs that have opened or closed between the read barrier and now.
+// Handles the jobs that were opened or closed since the read barrier of the recovery.
 void Leader::catch_up_with_replica(const JobIds& recovered, core::TimePoint now) {
   const auto& replica = services_.job_replica;
   for (const auto& id : recovered)
@@ -162,8 +163,8 @@
   core::apply(*controller_, event, now);
 }
 
-// Prices change every machine, so a snapshot in progress would have to write all of them at once
-// (history/state_capture.hpp): the catalog waits until the snapshot is complete.
+// New prices change every machine, and a snapshot in progress would have to write all machines at
+// once (history/state_capture.hpp). The catalog is therefore fed after the snapshot is complete.
 void Leader::feed_catalog() {
   if (!catalog_due_) return;
   if (services_.recorder != nullptr && services_.recorder->snapshotting()) return;
@@ -240,10 +241,11 @@
   }));
 }
 
-// The peer has sent its status after our key was created, since the status names the key. A node
-// that does not lead answers no heartbeat, and if it leads again it has a higher fencing token
-// (docs/safety.md, "Older leaders that are known to be gone"). A peer that runs an older program
-// names no key, and then the longer wait remains.
+// A status that names this leader's key was sent after the key was created. A node that does not
+// lead answers no heartbeat, and if it leads again it has a higher fencing token. So once all peers
+// have sent such a status, no former leader is left (docs/safety.md, "Older leaders that are known
+// to be gone"). A peer of an older program version names no key; then the leader waits until the
+// leases of former leaders have expired.
 void Leader::note_follower(const std::string& member, core::FencingToken followed_token) {
   if (followed_token != token_ || !controller_ || !controller_->recovering()) return;
   const auto& peers = services_.settings.peers;
@@ -251,7 +253,8 @@
                                  [&](const auto& peer) { return peer.member == member; });
   if (!known || !followers_.insert(member).second) return;
   if (followers_.size() < peers.size()) return;
-  spdlog::info("no former leader is left: all {} other controllers follow", followers_.size());
+  spdlog::info("all {} other controllers follow this leader, so no former leader is left",
+               followers_.size());
   feed(core::FormerLeadersGone{});
 }
 
@@ -288,17 +291,19 @@
   try {
     heartbeat = agent::parse_heartbeat(request.body);
   } catch (const agent::DecodeError& problem) {
-    spdlog::warn("malformed heartbeat: {}", problem.what());
+    spdlog::warn("malformed heartbeat refused: {}", problem.what());
     return respond({400, R"({"error":"malformed report"})", {}});
   }
   const core::HeartbeatReceived event{std::move(heartbeat)};
   feed(event, now);
   schedule_core_run();
-  // The agent would drop a 200 with a lower token and stay here while its lease runs out.
+  // The agent ignores a 200 with a lower token: it would keep sending heartbeats to this node while
+  // its lease expires.
   if (event.heartbeat.token > token_)
     return respond({503, R"({"error":"another controller leads"})", kHeartbeatRetryAfter});
   auto body = agent::response_body(token_, controller_->response_commands(event.heartbeat));
-  // Decided now and not when the heartbeat was read: the process may have been suspended since.
+  // Checked again just before the response: the process may have been suspended since the first
+  // check.
   if (!services_.leadership.may_serve(Clock::now())) return respond(may_not_serve);
   respond({200, std::move(body), {}});
 }
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// A leading controller: recovers the stored state, makes the core from it, feeds events into the
-/// core and has its actions carried out. Exists only while this node leads. Owns the core and what
-/// belongs to one term of leadership.
+/// A controller during one term of leadership: recovers the stored state, creates the core from it,
+/// feeds events to the core and executes the core's actions. Exists only while this node leads.
+/// Owns the core and all other state of the term.
 #pragma once
 
 #include "async/lifetime.hpp"
@@ -20,7 +20,7 @@
 
 class Leader {
  public:
-  /// What a leader uses of its node; everything must outlive the leader.
+  /// The parts of the node that the leader uses; all must outlive the leader.
   struct Services {
     asio::io_context& io;
     const config::Settings& settings;
@@ -31,8 +31,8 @@
     store::JobReplica& job_replica;
     cloud::CloudClient& cloud;
     const config::HistorySettings& history;
-    history::Recorder* recorder;  ///< Null: no directory keeps the history.
-    /// When a leader of this process last resigned as isolated; null: none has.
+    history::Recorder* recorder;  ///< Null: the history is not kept in a directory.
+    /// When a leader of this process last resigned because it was isolated; null: never.
     std::optional<core::TimePoint>& isolated_at;
   };
 
@@ -41,24 +41,24 @@
   Leader(const Leader&) = delete;
   Leader& operator=(const Leader&) = delete;
 
-  /// Whether the stored state was recovered, so that the core exists.
+  /// Whether the stored state was recovered and the core exists.
   bool ready() const { return controller_ != nullptr; }
-  /// The core; null until `ready`.
+  /// The core; null until `ready()`.
   const core::Controller* controller() const { return controller_.get(); }
 
-  /// Answers one heartbeat of an agent: 200 with commands, 400 if malformed, 503 if this node may
-  /// not renew leases now.
+  /// Answers one heartbeat of an agent: 200 with commands, 400 if the heartbeat is malformed, 503
+  /// if this node may not renew leases now or the agent knows a newer leader.
   void handle_heartbeat(const net::Request& request, const net::Responder& respond);
-  /// A peer has sent that it does not lead, and `followed_token`: the fencing token of the leader
-  /// key that the peer has seen.
+  /// A peer has reported that it does not lead. `followed_token`: fencing token of the newest
+  /// leader key that the peer has seen.
   void note_follower(const std::string& member, core::FencingToken followed_token);
-  /// Agents send heartbeats to a peer.
+  /// A peer has reported that agents send heartbeats to it.
   void note_peer_receives_heartbeats(core::TimePoint now);
-  /// The job replica holds a new job.
+  /// The job replica has received a new job.
   void job_opened(const core::JobRecord& record);
-  /// The job replica has dropped a job that has ended.
+  /// The job replica has removed a job that has ended.
   void job_closed(const core::JobId& id);
-  /// The machine types, at first and whenever prices were read again.
+  /// Sets the machine types. Called first with the known types, then after each read of the prices.
   void set_catalog(const std::vector<core::MachineType>& types);
 
  private:
@@ -81,30 +81,33 @@
                  core::TimePoint now);
   void catch_up_with_replica(const JobIds& recovered, core::TimePoint now);
 
-  /// Hands an event to the core. All events pass through here, so that the history holds each.
+  /// Records an event in the history and hands it to the core. Every event takes this path, so the
+  /// history is complete.
   void feed(const core::Event& event, core::TimePoint now);
   void feed(const core::Event& event) { feed(event, core::Clock::now()); }
+  /// Feeds the machine types to the core if they have changed and no snapshot is in progress.
   void feed_catalog();
   void commands_answered(const core::MachineId& machine, const core::Heartbeat* heartbeat);
 
+  /// Schedules one run of the core, which handles all events fed until then.
   void schedule_core_run();
-  /// Runs the core once and carries out its actions.
+  /// Runs the core once and dispatches its actions.
   void run_core();
   void schedule_tick();
   void tick();
-  /// Writes history and learned state that are due. Call it between events, when the actions of
-  /// all earlier events were taken.
+  /// Writes the history and the learned state when they are due. May only be called after the
+  /// actions of all earlier events were taken from the core.
   void save_history(core::TimePoint now);
   void list_machines();
 
-  // First: callbacks of the members below are guarded by it. Ended by the destructor.
+  // First member, because it guards callbacks of the members below. Ended by the destructor.
   async::Lifetime lifetime_;
   Services services_;
   core::FencingToken token_;
   FailoverLog failover_log_;
   store::LeaderWriter writer_;
   store::ReadBarrierLoop read_barriers_;
-  /// Null: the state service keeps no learned state.
+  /// Null: learned state is not kept in the state service.
   std::unique_ptr<store::LearnedStateStore> learned_state_store_;
   agent::CommandSender command_sender_;
   ActionExecutor executor_;
@@ -113,12 +116,12 @@
   std::unique_ptr<failover::RecoveredStateReader> reader_;
   std::unique_ptr<core::Controller> controller_;
   std::vector<core::MachineType> types_;
-  core::LearnedState learned_state_;  ///< Of the former leader, until the core is made.
+  core::LearnedState learned_state_;  ///< From the former leader; moved into the core.
   bool core_run_posted_ = false;
-  bool catalog_due_ = false;  ///< `types_` has changed and the core does not know yet.
-  bool listing_ = false;      ///< A list of the machines is under way.
+  bool catalog_due_ = false;  ///< `types_` has changed since it was last fed to the core.
+  bool listing_ = false;      ///< A listing of the machines is in progress.
   core::TimePoint last_list_{};
-  std::set<std::string> followers_;  ///< Peers that have seen our leader key and do not lead.
+  std::set<std::string> followers_;  ///< Peers that follow this leader's key and do not lead.
   SummaryLog summary_log_;
 };
 
--- a/src/leader/summary_log.hpp
+++ b/src/leader/summary_log.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Periodic log lines of a leader: the summary of the core and, less often, what the rented
-/// machines are paid for. Owns the cost samples and the pace of the lines.
+/// Periodic log lines of a leader: the summary of the core and, less often, how the cost of the
+/// rented machines is divided among their uses. Owns the cost samples and the times of the last
+/// lines.
 #pragma once
 
 #include "diagnostics/cost_breakdown.hpp"
@@ -9,7 +10,7 @@
 
 class SummaryLog {
  public:
-  /// Logs the lines that are due at `now`, and samples the cost with each summary.
+  /// Logs the lines that are due at `now`. Each summary also takes a cost sample.
   void log_due(const core::Controller& controller, core::TimePoint now);
 
  private:
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -16,7 +16,8 @@
 
 using namespace violetpulley::commands;
 
-/// Sets up the log on standard error, with the level of LOG_LEVEL; false if that is unknown.
+/// Sets up logging to standard error at the level that LOG_LEVEL names (default: info). Returns
+/// false if the level is unknown.
 bool set_log_level() {
   spdlog::set_default_logger(spdlog::stderr_logger_st("violetpulley"));
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
@@ -33,7 +34,7 @@
   return true;
 }
 
-/// Adds the options that serving and checking share.
+/// Adds the options that the commands `serve` and `check` share.
 void add_serve_options(CLI::App& app, ServeOptions& options, bool required) {
   auto* config = app.add_option("--config", options.config, "the platform's settings file (TOML)");
   if (required) config->required();
--- a/src/node/catalog_source.cpp
+++ b/src/node/catalog_source.cpp
@@ -15,7 +15,6 @@
 
 constexpr std::chrono::seconds kRefreshInterval{30};
 constexpr milliseconds kCloudRetryDelay{1500};
-/// Key of the leader in the state service; its revision is the fencing token.
 
 }  // namespace
 
@@ -40,7 +39,7 @@
   }));
 }
 
-// Only the leader reads prices again.
+// Only the leader refreshes the prices.
 void CatalogSource::fetch() {
   if (leadership_.leading()) return fetch_from_cloud();
   if (types_.empty()) fetch_from_store();
@@ -59,7 +58,8 @@
   try {
     types = cloud::parse_catalog(stored.dump());
   } catch (const std::exception& problem) {
-    spdlog::error("the stored catalog cannot be read: {}", problem.what());
+    spdlog::error("the stored catalog is malformed, reading it from the cloud instead: {}",
+                  problem.what());
     return false;
   }
   set_types(std::move(types));
@@ -80,6 +80,8 @@
   fetch_later(kRefreshInterval);
 }
 
+// The revision of the leader key is the fencing token: the condition on it makes the write of a
+// former leader fail.
 void CatalogSource::save(const std::string& body) {
   const store::Transaction transaction{{{store::kLeaderKey, leadership_.token()}},
                                        {{store::kCatalogKey, Json::parse(body), std::nullopt}}};
--- a/src/node/catalog_source.hpp
+++ b/src/node/catalog_source.hpp
@@ -1,8 +1,7 @@
 /// @file
-/// Where a node has the machine types from: the leader reads them from the cloud again and again
-/// and stores the catalog once, so that a node that starts during an outage of the cloud still
-/// knows the machine types; other nodes read the stored catalog. Owns the types and the pace of the
-/// reads.
+/// Provides the machine types of a node. The leader reads the catalog from the cloud periodically
+/// and stores it once, so that a node that starts during an outage of the cloud still knows the
+/// machine types; other nodes read the stored catalog. Owns the types and the timer of the reads.
 #pragma once
 
 #include "async/lifetime.hpp"
@@ -17,16 +16,18 @@
   using Types = std::vector<core::MachineType>;
   using Changed = std::function<void(const Types&)>;
 
-  /// `changed` is called with the types each time they were read.
+  /// `changed` is called with the types after each successful read.
   CatalogSource(asio::io_context& io, store::StoreClient& store, cloud::CloudClient& cloud,
                 const core::Leadership& leadership, Changed changed);
   CatalogSource(const CatalogSource&) = delete;
   CatalogSource& operator=(const CatalogSource&) = delete;
 
-  /// The machine types; empty until they were read for the first time.
+  /// The machine types; empty until the first successful read.
   const Types& types() const { return types_; }
-  /// Reads the catalog now. A node that does not lead and knows the types reads nothing.
+  /// Reads the catalog now: the leader from the cloud, another node from the state service, and
+  /// that only as long as it knows no types.
   void fetch();
+  /// Calls `fetch` after `wait`; replaces an earlier call that is still pending.
   void fetch_later(std::chrono::milliseconds wait);
 
  private:
--- a/src/node/health.cpp
+++ b/src/node/health.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Without an answer for longer, contact with the state service or with a peer counts as lost.
+/// Contact with the state service or with a peer counts as lost if no answer came for this long.
 constexpr std::chrono::seconds kContactTimeout{3};
 constexpr std::chrono::seconds kRetryAfter{1};
 
@@ -15,10 +15,10 @@
   peers_[member] = {now, now - store_silence};
 }
 
-// A node that has lost the state service while a peer has contact is unhealthy, and so is a node
-// that has lost the state service and all peers: users must not wait for such a node. In an outage
-// of the state service that all nodes share a node stays healthy: each removal from service would
-// double the time for which the node stays removed afterwards.
+// A node that has lost the state service is unhealthy if a peer still has contact with the service,
+// or if the node has lost all peers too: users must not wait for such a node. If the peers have
+// lost the state service as well, the outage is shared and the node stays healthy, because each
+// removal from service would double the time for which the node stays removed the next time.
 bool HealthMonitor::healthy(bool replica_synced, core::TimePoint now) const {
   if (!replica_synced) return false;
   if (now - store_answered_ < kContactTimeout) return true;
--- a/src/node/health.hpp
+++ b/src/node/health.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Whether this node should get requests of users, from its own contact with the state service and
-/// from what its peers report about theirs. Owns when each node last had an answer of the state
-/// service.
+/// Decides whether this node should receive user requests, from its own contact with the state
+/// service and from the contact that its peers report. Owns the time of each node's last answer
+/// from the state service.
 #pragma once
 
 #include <map>
@@ -14,13 +14,14 @@
 
 class HealthMonitor {
  public:
-  /// Counts as if the state service had answered at `now`.
+  /// Starts as if the state service had answered this node at `now`.
   HealthMonitor(bool has_peers, core::TimePoint now)
       : has_peers_(has_peers), store_answered_(now) {}
 
   /// The state service has answered this node.
   void note_store_answer(core::TimePoint now) { store_answered_ = now; }
-  /// A peer has sent its status; `store_silence`: since the state service last answered the peer.
+  /// A peer has sent its status. `store_silence`: time since the state service last answered the
+  /// peer.
   void note_peer_status(const std::string& member, core::TimePoint now,
                         std::chrono::milliseconds store_silence);
   /// When the state service last answered this node.
@@ -40,7 +41,7 @@
   std::map<std::string, PeerView> peers_;
 };
 
-/// The answer to a health check.
+/// Returns the response to a health check.
 net::Response health_response(bool healthy);
 
 }  // namespace violetpulley
--- a/src/node/heartbeat_endpoint.cpp
+++ b/src/node/heartbeat_endpoint.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// Wire name: the member that leads, in the answer of a node that does not.
+/// Wire name of the field that holds the leading member, in the response of a node that does not
+/// lead.
 constexpr const char* kLeaderField = "foreman";
 constexpr std::chrono::seconds kRetryAfter{1};
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -16,9 +16,10 @@
 namespace {
 
 constexpr std::chrono::seconds kTickInterval{1};
-/// Agents that came to a peer within this time show that the peer receives heartbeats.
+/// A peer receives heartbeats if an agent sent it a request within this time.
 constexpr std::uint64_t kRecentHeartbeatMs = 3000;
-/// Longer reported silences of the state service are taken as this long.
+/// Upper bound for a silence of the state service that a peer reports: keeps the time arithmetic
+/// from overflowing.
 constexpr std::uint64_t kMaxSilenceMs = 1'000'000;
 constexpr std::size_t kMaxReportedJobs = 2000;  // in one status
 constexpr milliseconds kLeaderWatchGap{50};
@@ -32,7 +33,7 @@
 
 net::ServerLimits server_limits(const config::Settings& settings) {
   net::ServerLimits limits;
-  // A machine that was silent for longer than its lease has no use for the connection.
+  // A machine that sent nothing for longer than its lease does not need its connection any more.
   limits.agent_idle_timeout =
       std::chrono::ceil<milliseconds>(settings.workers.lease + settings.workers.heartbeat_interval);
   return limits;
@@ -150,7 +151,7 @@
       api::OperatorApi::Environment{settings_.teams,
                                     [this]() -> const MachineTypes& { return catalog_.types(); },
                                     leading_core, leader_address});
-  spdlog::info("operators may ask at {} why a job waits", net::text_of(address));
+  spdlog::info("operator API listens on {}", net::text_of(address));
   return operators;
 }
 
@@ -167,8 +168,8 @@
 void Node::leadership_lost() {
   store_.set_share(store_share(settings_, false));
   job_replica_.set_watch_gap(kFollowerWatchGap);
-  // The leader may be in the middle of a callback and is destroyed when that has returned. The
-  // leader must not outlive the node, whose parts it uses until its end.
+  // A callback of the leader may be running, so the leader is destroyed only after the callback has
+  // returned. The node owns the leader until then, because the leader uses components of the node.
   if (leader_) former_leaders_.push_back(std::move(leader_));
   asio::post(io_, lifetime_.guard([this] { former_leaders_.clear(); }));
 }
@@ -199,7 +200,7 @@
   schedule_tick();
 }
 
-// Any key would do: the answer alone shows that the state service is in reach.
+// The value does not matter: any answer shows that the state service can be reached.
 void Node::check_store() {
   store_.get(store::kCatalogKey, RequestPriority::background,
              lifetime_.guard([this](const store::GetResult& result) {
@@ -232,9 +233,9 @@
   }
 }
 
-// Only the leader knows the machines. The other nodes get requests of agents that search for the
-// leader and of users that the leader served before, each for a moment: they keep as many
-// connections as they may.
+// Only the leader knows the number of machines and divides its connections accordingly. Other nodes
+// receive short requests from agents that search for the leader and from users of the former
+// leader, and accept as many connections as the socket budget allows.
 void Node::update_connection_limits() {
   const core::SocketBudget budget{settings_.max_sockets, settings_.nodes()};
   const auto* leader = ready_leader();
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// One controller process: creates its parts, connects them and owns them. Owns the leader while
-/// this node leads.
+/// One controller process: creates its components, connects them and owns them, including the
+/// leader while this node leads.
 #pragma once
 
 #include "api/operator_api.hpp"
@@ -17,8 +17,8 @@
 
 class Node {
  public:
-  /// Starts the node. Throws std::system_error if an address cannot be listened at, and
-  /// std::invalid_argument if one cannot be parsed.
+  /// Starts the node. Throws std::system_error if it cannot listen on an address, and
+  /// std::invalid_argument if an address cannot be parsed.
   Node(asio::io_context& io, config::Settings settings, const config::Operators& operators,
        config::HistorySettings history);
   ~Node();
@@ -28,7 +28,7 @@
  private:
   using MachineTypes = std::vector<core::MachineType>;
 
-  // Construction: what the parts call.
+  // Construction of the components and of their callbacks.
   store::JobReplica::Events replica_events();
   store::Election::Events election_events();
   api::UserApi::Environment user_environment();
@@ -41,15 +41,15 @@
   // Leadership.
   void leadership_won();
   void leadership_lost();
-  /// The leader once it has recovered the state; null otherwise.
+  /// Returns the leader of this node if it has recovered the state, otherwise null.
   Leader* ready_leader() const;
-  /// Where the operators of the leading peer are served; null: this node leads, or no leader is
-  /// known.
+  /// Address of the leading peer's operator API; null: this node leads, or no leader is known.
   std::optional<asio::ip::tcp::endpoint> leader_operator_address(asio::ip::port_type port) const;
 
-  // Once a second.
+  // Every second.
   void schedule_tick();
   void tick();
+  /// Reads a key to find out whether the state service answers.
   void check_store();
   void broadcast_status();
   void add_job_counts(peers::Status& status) const;
@@ -62,7 +62,8 @@
   config::Settings settings_;
   core::Tuning tuning_;
   config::HistorySettings history_;
-  std::unique_ptr<history::Recorder> recorder_;  ///< Before the leader, which writes to it.
+  std::unique_ptr<history::Recorder>
+      recorder_;  ///< Declared before the leader, which writes to it.
   core::Leadership leadership_;
   store::StoreClient store_;
   store::JobReplica job_replica_;
@@ -73,22 +74,22 @@
   HeartbeatEndpoint heartbeat_endpoint_;
   HealthMonitor health_;
   RequestRouter router_;
-  /// When a leader of this process last resigned as isolated; before the leader, which refers to
-  /// it.
+  /// When a leader of this process last resigned because it was isolated; null: never. Declared
+  /// before the leader, which refers to it.
   std::optional<core::TimePoint> isolated_at_;
   std::unique_ptr<Leader> leader_;  ///< Null: this node does not lead.
   std::vector<std::unique_ptr<Leader>>
       former_leaders_;  ///< Kept until their last callback has returned.
   asio::steady_timer tick_timer_;
-  /// By peer: the leader key under which the peer led when our connection to it last ended; 0: the
-  /// peer did not lead.
+  /// By peer: revision of the leader key under which the peer led when the connection to it last
+  /// ended; 0: the peer did not lead.
   std::map<std::string, store::Revision> led_at_disconnect_;
-  /// Task counts of jobs as the leader has last reported them.
+  /// Task counts of jobs, as the leader last reported them.
   std::unordered_map<core::JobId, core::JobCounts> reported_counts_;
   peers::PeerNetwork peer_network_;
   net::HttpServer server_;
   std::unique_ptr<api::OperatorApi> operator_api_;  ///< Null: not configured.
-  async::Lifetime lifetime_;                        ///< Last, so that it ends before all members.
+  async::Lifetime lifetime_;  ///< Last member, so that it ends before the others.
 };
 
 }  // namespace violetpulley
--- a/src/node/request_router.cpp
+++ b/src/node/request_router.cpp
@@ -18,7 +18,7 @@
   respond({404, R"({"error":"no such path"})", {}});
 }
 
-/// Calls `serve` if the request has the path's method, and answers 405 otherwise.
+/// Calls `serve` if the request has the method, otherwise responds with 405.
 template <class Serve>
 void serve_method(const net::Request& request, const char* method, const net::Responder& respond,
                   const Serve& serve) {
--- a/src/node/request_router.hpp
+++ b/src/node/request_router.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The paths and methods of the public address and what serves each of them.
+/// Maps the paths and methods of the public address to the components that serve them. Owns no
+/// state.
 #pragma once
 
 #include "api/user_api.hpp"
@@ -17,10 +18,11 @@
 
   explicit RequestRouter(Endpoints endpoints) : endpoints_(std::move(endpoints)) {}
 
-  /// Hands the request to its endpoint; 404 for an unknown path, 405 for another method.
+  /// Hands the request to its endpoint. Responds with 404 to an unknown path and with 405 to a
+  /// method that the path does not support.
   void route(const net::Request& request, const net::Responder& respond) const;
 
-  /// The kind of peer that requests `target`: an agent sends nothing but heartbeats.
+  /// Returns the kind of client that requests `target`: agents request only the heartbeat path.
   static net::ClientKind client_kind(const std::string& target);
 
  private:
--- a/src/node/store_share.cpp
+++ b/src/node/store_share.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-// Parts of the platform's limits. Submissions come in bursts that rarely coincide, so the shares
-// may add up to more than the limit: a request that is refused with 429 is tried again.
+// Shares of the request limits that the platform sets. The nodes rarely receive bursts of
+// submissions at the same time, so the shares may add up to more than the limit: a request that the
+// state service refuses with 429 is repeated.
 constexpr double kSingleNodeShare = 0.9;
 constexpr double kLeaderReadShare = 0.5;
 constexpr double kLeaderWriteShare = 0.6;
--- a/src/node/store_share.hpp
+++ b/src/node/store_share.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How the controllers divide the request limits of the state service among themselves.
+/// Divides the request limits of the state service among the controllers. Stateless.
 #pragma once
 
 #include "config/settings.hpp"
@@ -7,8 +7,8 @@
 
 namespace violetpulley {
 
-/// Returns the pace of this node's requests. The leader writes for all; the other nodes accept,
-/// cancel and read.
+/// Returns the request rates of this node. The leader writes the state of the whole cluster; the
+/// other nodes accept, cancel and look up jobs.
 store::StoreShare store_share(const config::Settings& settings, bool leading);
 
 }  // namespace violetpulley
--- a/src/wall_clock.hpp
+++ b/src/wall_clock.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The time of day for the input and output layers. The core takes no clock: every event carries
-/// its time.
+/// Wall-clock time for the layers that do input and output. The core reads no clock: every event
+/// carries its time.
 #pragma once
 
 #include "core/model/types.hpp"
