--- a/src/agent/agent_codec.cpp
+++ b/src/agent/agent_codec.cpp
@@ -54,7 +54,8 @@
                                                {"no_such", ExitCause::unknown}};
 
 constexpr std::size_t kMaxNameBytes = 200;
-/// Bounds of a reclaim notice in seconds; a negative one has passed.
+/// Range of a reclaim notice, the time until the cloud takes a spot machine back. Negative: the
+/// time has passed.
 constexpr double kMinNoticeSeconds = -3600;
 constexpr double kMaxNoticeSeconds = 1e7;
 
@@ -77,7 +78,7 @@
   return "";
 }
 
-/// A field that may be missing or null, which is the same: null pointer.
+/// Returns an optional field; null pointer if the field is missing or null.
 const Json* optional_field(const Json& object, const char* name) {
   const auto found = object.find(name);
   return found == object.end() || found->is_null() ? nullptr : &*found;
@@ -106,7 +107,7 @@
   return Seconds(notice);
 }
 
-/// Decodes a task's name on the wire, "req-000412/3": job and index of the task.
+/// Decodes the wire name of a task, job id and task index: "req-000412/3".
 core::TaskKey parse_task(const std::string& name) {
   const auto slash = name.rfind('/');
   if (slash == std::string::npos || slash == 0) throw DecodeError("task name " + name);
--- a/src/agent/command_sender.cpp
+++ b/src/agent/command_sender.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Wire name: the path of an agent that takes commands.
+/// Wire name: the path at which an agent accepts commands.
 const std::string kCommandsPath = "/orders";
 constexpr std::chrono::milliseconds kTimeout{2500};
-/// An empty batch only asks for a heartbeat: a batch that arrives after this does nothing, so the
-/// question may be repeated soon.
+/// Timeout of an empty batch, which only asks for a heartbeat. It may be short, because a late
+/// empty batch has no effect on the agent.
 constexpr std::chrono::milliseconds kEmptyBatchTimeout{700};
-/// A request holds at most 64 KiB; commands that do not fit go with the next request.
+/// Keeps a request below the agents' limit of 64 KiB; further commands go into a later request.
 constexpr std::size_t kMaxCommandsPerRequest = 500;
 constexpr std::size_t kMaxResponseBytes = 1 << 20;
 
@@ -28,10 +28,10 @@
   connections_.erase(found);
 }
 
-// Closing one connection for each new one is not enough: after a failover all machines get commands
-// at once, all connections are busy, and connections opened by a burst remained for ever. With as
-// many connections as machines the agents' own connections were refused for longer than a lease
-// (docs/incidents/lines.md).
+// Closing one idle connection for each new one is not enough: after a failover all machines get
+// commands at once, so no connection is idle, and the connections of the burst would stay open.
+// With one such connection per machine, the agents' own connections were refused for longer than a
+// lease (docs/incidents/lines.md).
 void CommandSender::close_idle_beyond(std::size_t max_open) {
   while (connections_.size() > max_open && !idle_.empty())
     erase(core::MachineId(idle_.begin()->machine));
@@ -45,7 +45,8 @@
     connection.endpoint = batch.endpoint;
     return true;
   } catch (const std::invalid_argument& problem) {
-    spdlog::warn("machine {}: {}", batch.machine, problem.what());
+    spdlog::warn("machine {}: no commands sent, invalid endpoint: {}", batch.machine,
+                 problem.what());
     return false;
   }
 }
@@ -82,19 +83,19 @@
 
 std::optional<core::Heartbeat> CommandSender::decode_answer(
     const core::MachineId& machine, const std::optional<net::Response>& response) const {
-  // With a conflict the agent refuses the commands, and answers with its heartbeat.
+  // 409: the agent refuses the commands and responds with its heartbeat.
   if (!response ||
       (response->status != net::kStatusOk && response->status != net::kStatusConflict)) {
-    spdlog::debug("machine {}: commands not answered", machine);
+    spdlog::debug("machine {}: no usable response to commands", machine);
     return std::nullopt;
   }
   try {
     auto heartbeat = parse_heartbeat(response->body);
     if (heartbeat.machine == machine) return heartbeat;
-    spdlog::warn("machine {}: {} answers at its endpoint, which proves nothing of it", machine,
+    spdlog::warn("machine {}: answer ignored, machine {} now uses the endpoint", machine,
                  heartbeat.machine);
   } catch (const DecodeError& problem) {
-    spdlog::warn("machine {}: malformed answer: {}", machine, problem.what());
+    spdlog::warn("machine {}: malformed answer to commands ignored: {}", machine, problem.what());
   }
   return std::nullopt;
 }
--- a/src/agent/command_sender.hpp
+++ b/src/agent/command_sender.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// Sends commands to the agents over one connection per machine. The sockets of a controller are
-/// limited, and the heartbeats of a large fleet already take one per machine: connections that a
-/// burst of commands has opened beyond the bound are closed as the answers come. Owns the
-/// connections.
+/// limited, and the heartbeats of a large fleet already take one per machine: when a burst of
+/// commands has opened more connections than the limit, the surplus is closed as the responses
+/// arrive. Owns the connections.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,8 @@
 
 class CommandSender {
  public:
-  /// Called with the agent's answer; null heartbeat: no answer, a refusal, or a malformed answer.
+  /// Receives the agent's answer. Null heartbeat: no answer, a refusal without a heartbeat, a
+  /// malformed answer, or an answer of another machine.
   using AnswerHandler = std::function<void(const core::MachineId&, const core::Heartbeat*)>;
 
   CommandSender(asio::io_context& io, core::FencingToken token, std::size_t max_connections,
@@ -26,22 +27,23 @@
         max_connections_(max_connections),
         on_answer_(std::move(on_answer)) {}
 
-  /// Sends a command batch. Commands beyond what one request holds are left out: the core sends
-  /// them again with a later batch.
+  /// Sends a command batch. Commands beyond the limit of one request are omitted; the core sends
+  /// them again in a later batch.
   void send(const core::SendCommands& batch);
-  /// Closes the connection to a machine that is gone; its answers are not awaited any more.
+  /// Closes the connection to a machine that no longer exists. Pending answers are discarded.
   void drop(const core::MachineId& machine) { erase(machine); }
-  /// Bounds the open connections; at least one is kept.
+  /// Sets the limit of open connections, at least one.
   void set_max_connections(std::size_t max_connections) {
     max_connections_ = std::max<std::size_t>(1, max_connections);
   }
+  /// Number of open connections.
   std::size_t connections() const { return connections_.size(); }
 
  private:
   struct Connection {
     std::string endpoint;
     std::unique_ptr<net::HttpClient> client;
-    std::uint64_t last_batch = 0;  ///< Number of the last batch sent over it.
+    std::uint64_t last_batch = 0;  ///< Number of the last batch sent over the connection.
   };
   struct IdleConnection {
     std::uint64_t last_batch = 0;
@@ -56,8 +58,8 @@
   /// Decodes the answer of `machine`; null if the answer is no proof of that machine's state.
   std::optional<core::Heartbeat> decode_answer(const core::MachineId& machine,
                                                const std::optional<net::Response>& response) const;
-  /// Closes the idle connections with the earliest last use until at most `max_open` connections
-  /// are left, busy ones counted.
+  /// Closes the least recently used idle connections until at most `max_open` connections are left,
+  /// including busy ones.
   void close_idle_beyond(std::size_t max_open);
   void erase(const core::MachineId& machine);
 
--- a/src/api/admission.cpp
+++ b/src/api/admission.cpp
@@ -11,7 +11,7 @@
   return std::find(values.begin(), values.end(), value) != values.end();
 }
 
-// The tasks of gangs and services run together; those of an array may run one by one.
+// The tasks of gangs and services run at the same time; those of an array may run one by one.
 bool runs_together(const core::JobSpec& spec) { return spec.shape != core::Shape::array; }
 
 bool exceeds_limit(const core::JobSpec& spec, const core::Team& team) {
@@ -42,7 +42,8 @@
   if (!std::any_of(types.begin(), types.end(),
                    [&](const core::MachineType& type) { return fits(spec, type); }))
     return "a task fits no machine type that the job allows";
-  // Half of one task, rounded up, is one: only several tasks can contradict themselves.
+  // `spread` allows at most half of the tasks, rounded up, in one zone. For one task that is the
+  // whole job, so it may also ask for the same zone.
   if (spec.same_zone && spec.spread && spec.tasks > 1)
     return "same_place and spread contradict each other";
   return std::nullopt;
--- a/src/api/admission.hpp
+++ b/src/api/admission.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whether a submitted job can ever run in this deployment. Stateless.
+/// Checks whether a submitted job can ever run in this deployment. Stateless.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,8 @@
 
 namespace violetpulley::api {
 
-/// Why the job can never run (HTTP 422); empty: it can. `zones`: all zones of the deployment.
+/// Returns why the job can never run (the text of an HTTP 422 response), or null if the job can
+/// run. `zones`: all zones of the deployment.
 std::optional<std::string> refusal_reason(const core::JobSpec& spec,
                                           const std::vector<core::Team>& teams,
                                           const std::vector<core::MachineType>& types,
--- a/src/api/answers.hpp
+++ b/src/api/answers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP responses that report an error.
+/// Builds HTTP responses that report an error. Stateless.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/api/operator_api.cpp
+++ b/src/api/operator_api.cpp
@@ -16,7 +16,7 @@
 
 constexpr double kRequestsPerSecond = 5;
 constexpr std::chrono::milliseconds kForwardTimeout{1500};
-constexpr std::size_t kMaxForwarded = 2;  // at once, to one leader
+constexpr std::size_t kMaxForwarded = 2;  // in flight to one leader
 constexpr std::chrono::seconds kRetryAfter{1};
 constexpr std::size_t kMaxConnections = 16;
 constexpr std::size_t kMaxBodyBytes = 1024;
@@ -79,7 +79,7 @@
     return respond(error_response(429, "too many questions at once", kRetryAfter));
   const auto* controller = environment_.leading_core();
   if (controller == nullptr) {
-    // A request is forwarded once only, whichever controller leads by then.
+    // A request is forwarded only once, even if another controller leads by now.
     if (forwarded)
       return respond(error_response(503, "this controller does not lead", kRetryAfter));
     return forward(id, respond);
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -20,19 +20,20 @@
 namespace {
 
 constexpr std::size_t kMaxCachedFinalStates = 20'000;
-/// A submission that would wait longer for this node's request budget is refused at once.
+/// A request that would wait longer than this for the node's share of the state service's request
+/// limits is refused at once.
 constexpr std::chrono::milliseconds kMaxQueueWait{1000};
 constexpr seconds kRetryAfter{1};
 constexpr seconds kMaxRetryAfter{25};
 constexpr int kCancelRetries = 3;
 
-/// Wire names of a job's status.
+/// Wire names of the status of a job.
 constexpr const char* kQueued = "queued";
 constexpr const char* kRunning = "running";
 constexpr const char* kDone = "done";
 constexpr const char* kCancelled = "withdrawn";
 
-/// How a job has ended, as the state service holds it below `end/`.
+/// Stored names of the final state of a job, below `end/` in the state service.
 constexpr const char* kEndedDone = "done";
 constexpr const char* kEndedCancelled = "withdrawn";
 
@@ -46,7 +47,7 @@
 
 net::Response no_such_job() { return error_response(404, "no such job"); }
 
-/// The id of a submission that may be malformed otherwise; empty if there is none.
+/// Returns the id of a submission whose other fields may be malformed; empty if there is no id.
 core::JobId id_of(const Json& body) {
   const auto found = body.find("id");
   return found != body.end() && found->is_string() ? found->get<std::string>() : core::JobId();
@@ -88,9 +89,9 @@
   return body;
 }
 
-// A known final state needs no read barrier. Otherwise the barrier brings the job replica to the
-// present; a job that the replica then lacks has ended or was never accepted, which the job's end
-// key, read afterwards, shows.
+// A cached final state needs no read barrier. Otherwise the barrier brings the job replica up to
+// date. A job that the replica then lacks has ended or was never accepted; the job's end key, which
+// is read afterwards, shows which.
 void UserApi::look_up(const core::JobId& id, LookupHandler done) {
   const auto ended = final_states_.find(id);
   if (ended != final_states_.end())
@@ -104,7 +105,8 @@
 }
 
 void UserApi::look_up_end(const core::JobId& id, const LookupHandler& done) {
-  // A user waits for two seconds: when too many reads are queued, the user is refused at once.
+  // A user times out after two seconds: if the read would wait too long in the queue,
+  // the request is refused at once.
   if (store_.expected_read_wait() > kMaxQueueWait) return done(Lookup::unavailable);
   store_.get(store::kEndPrefix + id, RequestPriority::user,
              lifetime_.guard([this, id, done](const store::GetResult& result) {
@@ -135,7 +137,7 @@
   if (body.is_discarded()) return respond(error_response(400, "the body is not JSON"));
   if (!body.is_object()) return respond(error_response(400, "the body must be a JSON object"));
   const auto id = id_of(body);
-  // A known id is recognised before the rest of the submission is examined.
+  // A known id is answered before the rest of the submission is validated.
   if (final_states_.contains(id) || job_replica_.find(id) != nullptr)
     return refuse_unless_known(id, {400, ""}, respond);
   if (shed_load(respond)) return;
@@ -160,7 +162,8 @@
   return true;
 }
 
-// Submissions that were refused earlier are to be repeated earlier.
+// Submissions that were refused earlier are repeated earlier: each refusal reserves one write
+// interval after the previous one.
 seconds UserApi::retry_after(core::Duration wait) {
   const auto now = core::Clock::now();
   next_retry_at_ = std::max(next_retry_at_ + store_.write_interval(), now + wait);
@@ -221,7 +224,8 @@
 void UserApi::try_cancel(const core::JobId& id, int tries_left, const net::Responder& respond) {
   const auto* record = job_replica_.find(id);
   if (record == nullptr) return look_up_and_cancel(id, tries_left, respond);
-  // One transaction replaces the job by its end, so a job cannot be both done and withdrawn.
+  // One transaction replaces the job record by the end record, so a job cannot be both done and
+  // cancelled.
   const store::Transaction transaction{
       {{store::kJobPrefix + id, record->revision}, {store::kEndPrefix + id, 0}},
       {{store::kJobPrefix + id, std::nullopt, std::nullopt},
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// Client of the cloud. Sends at most as many requests a second as the cloud allows; returns of
-/// machines go first. Owns the connections, the waiting requests and the pause after a 429. Each
-/// `done` is called once, never from within the call, and not after the client's end.
+/// Client of the cloud's machine API. Keeps to the cloud's request limit and sends returns of
+/// machines before other requests. Owns the connections, the queued requests and the pause after a
+/// 429 response. Each `done` is called exactly once, never from within the call, and not after the
+/// client was destroyed.
 #pragma once
 
 #include <deque>
@@ -25,13 +26,15 @@
   CloudClient(const CloudClient&) = delete;
   CloudClient& operator=(const CloudClient&) = delete;
 
-  /// Reads the machine types. `done` gets nothing if there is no usable answer.
+  /// Reads the machine types. `done` receives null if there is no usable response.
   void catalog(CatalogHandler done);
-  /// Requests machines.
+  /// Requests machines. Without a response the result is unknown, because the request may have been
+  /// executed.
   void request_machines(const core::ScaleOut& request, ScaleOutHandler done);
-  /// Returns machines. `done` gets false if the cloud has not confirmed the return.
+  /// Returns machines. `done` receives false if the cloud has not confirmed the return.
   void release(const std::vector<core::MachineId>& machines, ReleaseHandler done);
-  /// Reads all our machines, page by page. `done` gets nothing if a page has no usable answer.
+  /// Reads the list of all rented machines, page by page. `done` receives null if a page has no
+  /// usable response.
   void list(const ListHandler& done);
 
  private:
@@ -52,7 +55,7 @@
   net::HttpClient client_;
   core::RateLimiter rate_limiter_;
   std::deque<QueuedRequest> queue_;
-  core::TimePoint resume_at_{};
+  core::TimePoint resume_at_{};  ///< End of the pause after a 429 response.
   bool timer_running_ = false;
   async::Lifetime lifetime_;  // last member: ends before the others
 };
--- a/src/cloud/cloud_codec.cpp
+++ b/src/cloud/cloud_codec.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Field names of PROTOCOL.
+// Wire names of the fields (PROTOCOL).
 namespace field {
 constexpr const char* kTypes = "benches";
 constexpr const char* kTypeName = "label";
@@ -43,7 +43,7 @@
 constexpr const char* kFailed = "failed";
 constexpr const char* kNoCapacity = "no capacity";
 
-// A finite number that is not negative.
+// Reads a field that must be finite and not negative.
 double amount_field(const Json& item, const char* name) {
   const auto value = item.at(name).get<double>();
   if (!std::isfinite(value) || value < 0) throw DecodeError(std::string(name) + " is out of range");
@@ -128,7 +128,7 @@
       result.kind = Kind::no_capacity;
     }
   } catch (const Json::exception& problem) {
-    spdlog::warn("the cloud's answer to a request of machines is malformed: {}", problem.what());
+    spdlog::warn("malformed response from the cloud to a scale-out request: {}", problem.what());
     if (response->status == net::kStatusOk) result.kind = Kind::unknown;
   }
   return result;
--- a/src/codec/job_codec.cpp
+++ b/src/codec/job_codec.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Field names of PROTOCOL, which are stored names too.
+// Wire names of the fields (PROTOCOL), which are also the stored names.
 namespace field {
 constexpr const char* kId = "id";
 constexpr const char* kJobClass = "lot";
@@ -77,7 +77,7 @@
   return parse_text(required(body, name), name);
 }
 
-// A number that is not negative.
+// Reads a field that must be a number from 0 to kMaxAmount.
 double amount_field(const Json& body, const char* name) {
   const auto& value = required(body, name);
   if (!value.is_number()) throw MalformedJob(std::string(name) + " must be a number");
@@ -145,7 +145,7 @@
   return std::all_of(number.begin(), number.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-// The order of the fields decides which one of several malformed fields is named.
+// If several fields are malformed, the error names the first one in this order.
 core::JobSpec parse_job(const Json& body) {
   if (!body.is_object()) throw MalformedJob("the body must be a JSON object");
   core::JobSpec spec;
--- a/src/codec/job_codec.hpp
+++ b/src/codec/job_codec.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The JSON form of a job, as users submit it (PROTOCOL) and as the state service keeps it.
-/// Shared by the user API and the job replica. Stateless.
+/// Converts a job between the core's type and JSON, in which users submit the job (PROTOCOL) and
+/// the state service stores it. Used by the user API and the job replica. Stateless.
 #pragma once
 
 #include <nlohmann/json.hpp>
