--- a/src/async/lifetime.hpp
+++ b/src/async/lifetime.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Lifetime guard for objects whose asynchronous callbacks may outlive them.
+/// Lifetime guard for objects that may be destroyed while their asynchronous callbacks are pending.
 #pragma once
 
 #include <memory>
@@ -7,16 +7,16 @@
 
 namespace violetpulley::async {
 
-/// Owned by an object that starts asynchronous operations. A handler wrapped by `guard` is dropped
-/// instead of called once the owner has ended, so a handler may use `this` of the owner safely.
-/// Single-threaded: handlers run on the thread that destroys the owner.
+/// Member of an object that starts asynchronous operations. A handler wrapped by `guard` does
+/// nothing once the lifetime has ended, so it may safely use the `this` pointer of the owner. Not
+/// thread-safe: handlers must run on the thread that destroys the owner.
 class Lifetime {
  public:
   Lifetime() = default;
   Lifetime(const Lifetime&) = delete;
   Lifetime& operator=(const Lifetime&) = delete;
 
-  /// Returns a callable that forwards to `handler` while the owner lives and does nothing
+  /// Returns a callable that forwards to `handler` until the lifetime ends and does nothing
   /// afterwards.
   template <class Handler>
   auto guard(Handler handler) const {
@@ -27,7 +27,8 @@
     };
   }
 
-  /// Ends the lifetime before the destructor of the owner runs its member destructors.
+  /// Ends the lifetime now, for owners whose destructor must stop the handlers before members are
+  /// destroyed.
   void end() { owner_.reset(); }
 
  private:
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -11,9 +11,9 @@
 using std::chrono::steady_clock;
 
 namespace {
-// Extension of a deadline that passed while this process was behind with its work, and the longest
-// total extension.
+// Extension of a deadline that has passed while this process was too busy to read its sockets.
 constexpr std::chrono::milliseconds kDeadlineExtension{200};
+// Limit of the total extension of one deadline.
 constexpr std::chrono::seconds kMaxDeadlineExtension{3};
 constexpr std::size_t kMaxPortDigits = 5;
 constexpr int kMaxPort = 65535;
@@ -41,7 +41,7 @@
   explicit ClientConnection(HttpClient& client)
       : client_(&client), socket_(client.io_), timer_(client.io_) {}
 
-  // Sends a request and calls its handler with the response.
+  // Sends a request and calls the request's handler with the response.
   void run(HttpClient::PendingRequest&& pending) {
     pending_ = std::move(pending);
     response_ = Response{};
@@ -63,7 +63,7 @@
     socket_.close(ignored);
   }
 
-  // An idle connection must have nothing to read: bytes or an end mean that it is stale.
+  // Whether an idle connection can be reused: unread bytes or an end of stream make it stale.
   bool usable() {
     if (!socket_.is_open()) return false;
     char byte = 0;
@@ -97,8 +97,9 @@
 
   bool detached() const { return client_ == nullptr || !request_active_; }
 
-  // A process that is behind with its work finds the deadline passed although the response has
-  // arrived unread: that is no reason to take the peer for dead.
+  // Whether the deadline passed because this process was too busy: the connection is established
+  // but the request was not sent yet, or the response has arrived but was not read. The server must
+  // not be treated as unresponsive then.
   bool delayed_locally() {
     asio::error_code error;
     if (!written_) {
@@ -172,7 +173,7 @@
   }
 
   static const http_parser_settings& settings() {
-    static const http_parser_settings instance = [] {
+    static const http_parser_settings callbacks = [] {
       http_parser_settings s;
       http_parser_settings_init(&s);
       s.on_body = [](http_parser* p, const char* at, std::size_t n) {
@@ -187,7 +188,7 @@
       };
       return s;
     }();
-    return instance;
+    return callbacks;
   }
 
   HttpClient* client_;
@@ -199,7 +200,7 @@
   HttpClient::PendingRequest pending_;
   Response response_;
   bool request_active_ = false;
-  bool written_ = false;  // the request is on its way
+  bool written_ = false;  // The request was handed to the socket.
   bool complete_ = false;
 };
 
@@ -223,7 +224,7 @@
   asio::post(io_, lifetime_.guard([this] { dispatch(); }));
 }
 
-// The connection that became idle last, if it is still usable; otherwise a new one.
+// Returns the connection that became idle last and is still usable, or a new one.
 std::shared_ptr<ClientConnection> HttpClient::take_connection() {
   while (!idle_.empty()) {
     auto connection = std::move(idle_.back());
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// HTTP/1.1 client for one endpoint: keeps connections open, one request at a time on each.
+/// HTTP/1.1 client for one endpoint. Keeps connections open and sends one request at a time on
+/// each.
 #pragma once
 
 #include <asio.hpp>
@@ -12,7 +13,8 @@
 
 namespace violetpulley::net {
 
-/// Receives the response; without a response the request may or may not have been executed.
+/// Receives the response. Null: no response arrived, and the server may or may not have executed
+/// the request.
 using ResponseHandler = std::function<void(std::optional<Response>)>;
 
 class ClientConnection;
@@ -20,7 +22,7 @@
 /// Owns the queue of requests and the connections to the endpoint.
 class HttpClient {
  public:
-  /// `max_response_bytes`: largest response body in bytes; a larger one counts as no response.
+  /// `max_response_bytes`: largest response body; a larger one counts as no response.
   HttpClient(asio::io_context& io, asio::ip::tcp::endpoint endpoint, std::size_t max_connections,
              std::size_t max_response_bytes = kMaxResponseBytes);
   ~HttpClient();
@@ -28,10 +30,10 @@
   HttpClient& operator=(const HttpClient&) = delete;
 
   /// Queues a request. `timeout` counts from this call. The handler is called exactly once, never
-  /// from within this call, and not after the client has ended.
+  /// from within this call, and not after the client was destroyed.
   void request(Request request, std::chrono::milliseconds timeout, ResponseHandler handler);
 
-  /// No request is queued or in flight, so destroying the client loses no response.
+  /// Whether no request is queued or in flight, so that destroying the client loses no response.
   bool idle() const { return queue_.empty() && busy_.empty(); }
 
  private:
@@ -56,9 +58,10 @@
   async::Lifetime lifetime_;
 };
 
-/// Parses "127.0.0.1:7400" (IPv4). Throws std::invalid_argument that quotes the text.
+/// Parses an IPv4 address with port, such as "127.0.0.1:7400". Throws std::invalid_argument with
+/// the text.
 asio::ip::tcp::endpoint parse_endpoint(const std::string& text);
-/// The form that parse_endpoint reads.
+/// Formats an endpoint as parse_endpoint reads it.
 std::string text_of(const asio::ip::tcp::endpoint& at);
 
 }  // namespace violetpulley::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -10,10 +10,10 @@
 using asio::ip::tcp;
 
 namespace {
-// Connections accepted in one go, before other handlers run.
+// Connections accepted in a row before other handlers run.
 constexpr int kMaxAcceptsPerBatch = 64;
 constexpr std::size_t kMaxTargetBytes = 4096;
-// Header lines are not kept, but an endless header is refused.
+// Headers are not stored, but their total size is limited.
 constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
 constexpr std::chrono::milliseconds kAcceptRetry{50};
 constexpr std::chrono::seconds kSweepInterval{2};
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-// One connection of a client. Callbacks keep the connection alive until they have run.
+// One connection of a client. Pending callbacks keep the object alive until they have run.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
   ServerConnection(tcp::socket socket, HttpServer& server)
@@ -80,7 +80,7 @@
   }
 
   void respond(std::uint64_t request, Response&& response) {
-    if (closed_ || request != request_ || !awaiting_response_) return;
+    if (closed_ || request != request_number_ || !awaiting_response_) return;
     awaiting_response_ = false;
     send(std::move(response));
   }
@@ -102,7 +102,7 @@
                             [self](const asio::error_code& error, std::size_t size) {
                               if (self->closed_) return;
                               if (error) return self->close();
-                              self->pending_.append(self->input_.data(), size);
+                              self->unparsed_.append(self->input_.data(), size);
                               self->parse();
                             });
   }
@@ -110,11 +110,11 @@
   void parse() {
     if (!receiving_) touch();
     receiving_ = true;
-    const std::size_t used =
-        http_parser_execute(&parser_, &settings(), pending_.data(), pending_.size());
+    const std::size_t parsed_bytes =
+        http_parser_execute(&parser_, &settings(), unparsed_.data(), unparsed_.size());
     const auto parse_error = HTTP_PARSER_ERRNO(&parser_);
     if (parse_error == HPE_PAUSED) {
-      pending_.erase(0, used);
+      unparsed_.erase(0, parsed_bytes);
       http_parser_pause(&parser_, 0);
       receiving_ = false;
       return dispatch();
@@ -125,16 +125,16 @@
       return send(too_large_ ? Response{413, R"({"error":"body too large"})", {}}
                              : Response{400, R"({"error":"malformed HTTP"})", {}});
     }
-    pending_.clear();
+    unparsed_.clear();
     read();
   }
 
   void dispatch() {
-    ++request_;
+    ++request_number_;
     awaiting_response_ = true;
     keep_alive_ = http_should_keep_alive(&parser_) != 0;
-    current_.method = http_method_str(static_cast<http_method>(parser_.method));
-    Request request = std::exchange(current_, Request{});
+    parsed_request_.method = http_method_str(static_cast<http_method>(parser_.method));
+    Request request = std::exchange(parsed_request_, Request{});
     header_bytes_ = 0;
     if (server_ == nullptr) return;
     if (client_kind_ == ClientKind::unknown) {
@@ -142,11 +142,11 @@
       client_kind_ = server_->classify_client_(request.target);
       ++server_->open_by_kind_[static_cast<std::size_t>(client_kind_)];
     }
-    server_->handler_(std::move(request), Responder(weak_from_this(), request_));
+    server_->handler_(std::move(request), Responder(weak_from_this(), request_number_));
   }
 
-  // Clients that came first shut out no later ones: a connection of the kind that has too many is
-  // closed once its request is answered.
+  // Early clients must not lock out later ones: while one kind of client has more connections than
+  // its keep-alive share, each of its connections is closed after the response.
   bool exceeds_keep_alive_share() const {
     const auto kind = static_cast<std::size_t>(client_kind_);
     return server_ != nullptr && server_->open_by_kind_[kind] > server_->limits_.keep_alive[kind];
@@ -171,7 +171,7 @@
                         self->writing_ = false;
                         self->touch();
                         if (error || !self->keep_alive_) return self->close();
-                        if (self->pending_.empty())
+                        if (self->unparsed_.empty())
                           self->read();
                         else
                           self->parse();
@@ -179,13 +179,13 @@
   }
 
   static const http_parser_settings& settings() {
-    static const http_parser_settings instance = [] {
+    static const http_parser_settings callbacks = [] {
       http_parser_settings s;
       http_parser_settings_init(&s);
       s.on_url = [](http_parser* p, const char* at, std::size_t n) {
         auto& self = *static_cast<ServerConnection*>(p->data);
-        self.current_.target.append(at, n);
-        return self.current_.target.size() > kMaxTargetBytes ? 1 : 0;
+        self.parsed_request_.target.append(at, n);
+        return self.parsed_request_.target.size() > kMaxTargetBytes ? 1 : 0;
       };
       auto count_header = [](http_parser* p, const char*, std::size_t n) {
         auto& self = *static_cast<ServerConnection*>(p->data);
@@ -203,9 +203,9 @@
       };
       s.on_body = [](http_parser* p, const char* at, std::size_t n) {
         auto& self = *static_cast<ServerConnection*>(p->data);
-        self.current_.body.append(at, n);
+        self.parsed_request_.body.append(at, n);
         self.too_large_ = self.server_ != nullptr &&
-                          self.current_.body.size() > self.server_->limits_.max_body_bytes;
+                          self.parsed_request_.body.size() > self.server_->limits_.max_body_bytes;
         return self.too_large_ ? 1 : 0;
       };
       s.on_message_complete = [](http_parser* p) {
@@ -214,7 +214,7 @@
       };
       return s;
     }();
-    return instance;
+    return callbacks;
   }
 
   tcp::socket socket_;
@@ -222,11 +222,11 @@
   ClientKind client_kind_ = ClientKind::unknown;
   http_parser parser_{};
   std::array<char, 4096> input_{};
-  std::string pending_;
+  std::string unparsed_;
   std::string output_;
-  Request current_;
+  Request parsed_request_;
   std::size_t header_bytes_ = 0;
-  std::uint64_t request_ = 0;
+  std::uint64_t request_number_ = 0;
   std::chrono::steady_clock::time_point last_activity_;
   bool awaiting_response_ = false;
   bool receiving_ = false;
@@ -237,7 +237,8 @@
 };
 
 void Responder::operator()(Response response) const {
-  if (auto connection = connection_.lock()) connection->respond(request_, std::move(response));
+  if (auto connection = connection_.lock())
+    connection->respond(request_number_, std::move(response));
 }
 
 HttpServer::HttpServer(asio::io_context& io, const tcp::endpoint& listen_endpoint,
@@ -274,7 +275,7 @@
   }));
 }
 
-// Out of sockets: a short pause rather than a busy loop.
+// Accepting fails when the process is out of sockets; the pause avoids a busy loop.
 void HttpServer::retry_accept() {
   accept_retry_.expires_after(kAcceptRetry);
   accept_retry_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
@@ -282,8 +283,9 @@
   }));
 }
 
-// All connections that wait, up to a bound: if each were accepted behind every other handler that
-// is ready, thousands of agents that look for their leader would wait longer than their timeout.
+// Accepts the connections that wait in the backlog, up to kMaxAcceptsPerBatch. If only one
+// connection were accepted per turn of the event loop, thousands of agents that search for the
+// leader would wait longer than their timeout.
 void HttpServer::accept_pending() {
   for (int accepted = 0; accepted < kMaxAcceptsPerBatch; ++accepted) {
     asio::error_code none;
@@ -311,13 +313,13 @@
   limits_.keep_alive[static_cast<std::size_t>(ClientKind::user)] = keep_alive_users;
 }
 
-// At most one log line a second: refusals come by the thousand.
+// Logs at most one line per kRefusalLogInterval, since thousands of refusals may occur at once.
 void HttpServer::refuse() {
   ++unlogged_refusals_;
   const auto now = std::chrono::steady_clock::now();
   if (now - last_refusal_log_ < kRefusalLogInterval) return;
   last_refusal_log_ = now;
-  spdlog::warn("{} connections refused: {} are open, of workers {}, of users {}",
+  spdlog::warn("{} connections refused: limit reached with {} open, {} of agents and {} of users",
                std::exchange(unlogged_refusals_, 0), open_connections(),
                open_connections(ClientKind::agent), open_connections(ClientKind::user));
 }
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// HTTP/1.1 server: one object per connection owns its callback chain; one sweep timer closes slow
-/// and idle connections. A connection never outlives the server that owns it.
+/// HTTP/1.1 server. One object per connection runs the connection's chain of callbacks; a periodic
+/// sweep closes slow and idle connections. All connections are closed when the server stops.
 #pragma once
 
 #include <array>
@@ -16,48 +16,50 @@
 
 class ServerConnection;
 
-/// Answers one request, once; later calls and calls after the end of the connection do nothing.
+/// Sends the response to one request. Only the first call has an effect, and none after the end of
+/// the connection.
 class Responder {
  public:
   Responder(std::weak_ptr<ServerConnection> connection, std::uint64_t request)
-      : connection_(std::move(connection)), request_(request) {}
+      : connection_(std::move(connection)), request_number_(request) {}
   void operator()(Response response) const;
 
  private:
   std::weak_ptr<ServerConnection> connection_;
-  std::uint64_t request_;
+  std::uint64_t request_number_;
 };
 
-/// Receives each request with the means to answer it, at once or later.
+/// Receives each request with a responder, which may be called at once or later.
 using RequestHandler = std::function<void(Request&&, Responder)>;
 
-/// Kind of the client, decided by the first request of a connection.
+/// Kind of client, determined by the first request on a connection.
 enum class ClientKind : std::uint8_t { unknown, agent, user };
 /// Number of values of ClientKind.
 inline constexpr std::size_t kClientKinds = 3;
 
 struct ServerLimits {
-  /// Connections beyond this are refused: closed as soon as they were accepted.
+  /// Further connections are closed as soon as they are accepted.
   std::size_t max_connections = 2000;
-  /// Connections kept open for each kind of client. A connection beyond the share is answered and
-  /// then closed, so that the client connects anew for the next request: slower, but no client is
-  /// shut out.
+  /// Connections kept open, by kind of client. A connection beyond this share is closed after its
+  /// response, so the client must connect again for the next request. That is slower, but no client
+  /// is locked out.
   std::array<std::size_t, kClientKinds> keep_alive{2000, 2000, 2000};
   std::size_t max_body_bytes = kMaxBodyBytes;
+  /// Idle timeout of users, and of clients that have not sent a request yet.
   std::chrono::milliseconds idle_timeout{90'000};
-  /// For agents, which send heartbeats far more often than users send requests.
+  /// Idle timeout of agents, which send requests far more often than users.
   std::chrono::milliseconds agent_idle_timeout{90'000};
-  /// Longest time in which a request must arrive or a response be read.
+  /// Limit for receiving a request and for sending a response.
   std::chrono::seconds transfer_timeout{10};
 };
 
-/// Returns the kind of client that sends requests to a target.
+/// Returns the kind of client that requests a target.
 using ClassifyClient = std::function<ClientKind(const std::string& target)>;
 
 /// Owns the listening socket and all connections.
 class HttpServer {
  public:
-  /// Starts to listen. Throws std::system_error if the address cannot be used.
+  /// Starts to listen. Throws std::system_error if it cannot listen on the address.
   HttpServer(
       asio::io_context& io, const asio::ip::tcp::endpoint& listen_endpoint, ServerLimits limits,
       RequestHandler handler,
@@ -66,8 +68,9 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Closes everything; no handler is called afterwards.
+  /// Closes the listening socket and all connections; no handler is called afterwards.
   void stop();
+  /// Sets the limit of all connections and the keep-alive shares of agents and of users.
   void set_limits(std::size_t max_connections, std::size_t keep_alive_agents,
                   std::size_t keep_alive_users);
   std::size_t open_connections() const { return connections_.size(); }
@@ -91,7 +94,7 @@
   ServerLimits limits_;
   RequestHandler handler_;
   ClassifyClient classify_client_;
-  std::array<std::size_t, kClientKinds> open_by_kind_{};  // of connections_, by peer
+  std::array<std::size_t, kClientKinds> open_by_kind_{};  ///< Counts of connections_.
   std::uint64_t unlogged_refusals_ = 0;
   std::chrono::steady_clock::time_point last_refusal_log_{};
   std::unordered_set<std::shared_ptr<ServerConnection>> connections_;
--- a/src/net/http_status.hpp
+++ b/src/net/http_status.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The HTTP status codes that clients of this project distinguish.
+/// HTTP status codes that the clients in this program distinguish.
 #pragma once
 
 namespace violetpulley::net {
--- a/src/net/http_types.hpp
+++ b/src/net/http_types.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// HTTP messages as the client and the server hand them on: no headers but Retry-After.
+/// HTTP messages as the client and the server represent them. No header is represented except
+/// Retry-After.
 #pragma once
 
 #include <chrono>
@@ -24,7 +25,7 @@
   std::optional<std::chrono::seconds> retry_after;
 };
 
-/// Largest request body that is accepted, in bytes (PROTOCOL).
+/// Largest request body that is accepted (PROTOCOL).
 inline constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
 
 }  // namespace violetpulley::net
--- a/src/peers/peer_link.cpp
+++ b/src/peers/peer_link.cpp
@@ -74,7 +74,7 @@
   socket_.close(ignored);
 }
 
-// A peer sends nothing back on this connection, so a read ends only when the connection does.
+// A peer sends nothing on this connection, so a read completes only when the connection ends.
 void PeerLink::wait_for_disconnect() {
   socket_.async_read_some(asio::buffer(&byte_, 1),
                           [self = shared_from_this()](const asio::error_code& error, std::size_t) {
--- a/src/peers/peer_link.hpp
+++ b/src/peers/peer_link.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The outgoing connection to one peer: connects, sends the newest status, reconnects.
+/// The outgoing connection to one peer: connects, sends the newest status, reconnects. Owns the
+/// socket and the frame that waits to be sent.
 #pragma once
 
 #include <asio.hpp>
@@ -12,18 +13,19 @@
 
 class PeerNetwork;
 
-/// Owned by the network; callbacks keep the link alive until they have run. A detached link does
-/// nothing more.
+/// Shared by the network and the pending callbacks, which keep the link alive until they have run.
+/// A detached link does nothing.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
  public:
   PeerLink(PeerNetwork& network, const config::Peer& peer);
 
-  /// Opens the connection, and opens a new one whenever the connection ends.
+  /// Opens the connection, and reopens it whenever it ends.
   void connect();
-  /// Sends a frame. While another frame is being written, only the newest one is kept for later.
+  /// Sends a frame; discards it while there is no connection. While another frame is being written,
+  /// only the newest frame is kept to be sent next.
   void send(const std::string& frame);
   bool connected() const { return connected_; }
-  /// The network is ending.
+  /// Closes the connection; called when the network is destroyed.
   void detach();
 
  private:
@@ -33,16 +35,17 @@
   void start_connect_timeout();
   void reconnect_later();
 
-  PeerNetwork* network_;  // null: detached
+  PeerNetwork* network_;  ///< Null: detached.
   config::Peer peer_;
   asio::ip::tcp::endpoint endpoint_;
   asio::ip::tcp::socket socket_;
   asio::steady_timer timer_;
   std::string output_;
   std::string next_frame_;
-  char byte_ = 0;
+  char byte_ = 0;  ///< Buffer of the read that detects the end of the connection.
   bool connected_ = false;
-  bool closed_by_peer_ = false;
+  bool closed_by_peer_ = false;  ///< An established connection ended; reset by the next
+                                 ///< connection or refusal.
   bool writing_ = false;
 };
 
--- a/src/peers/peer_network.cpp
+++ b/src/peers/peer_network.cpp
@@ -14,9 +14,10 @@
 using asio::ip::tcp;
 
 namespace {
-// Between a refused connection and the judgement whether the peer's process has ended.
+// Time between a refused connection and the decision whether the peer's process has ended.
 constexpr std::chrono::milliseconds kSuspicionDelay{100};
-// A peer holds one session; sessions of broken connections are bounded by this many a peer.
+// A peer uses one session at a time; the others belong to broken connections that have not been
+// detected yet.
 constexpr std::size_t kMaxSessionsPerPeer = 8;
 }  // namespace
 
@@ -49,9 +50,9 @@
 }
 
 // A refused connection does not prove that a process has ended: a packet filter between the nodes
-// refuses all connections at once. So the suspicion counts only while another peer is still
-// connected a moment later. A wrong suspicion costs a failover of the whole fleet; waiting for the
-// lease to expire costs only the rest of the lease.
+// may refuse all connections at once. So the peer's process counts as ended only if another peer is
+// still connected after kSuspicionDelay, or if there is no other peer. A wrong decision costs a
+// failover of the whole fleet; waiting for the lease to expire costs only the rest of the lease.
 void PeerNetwork::suspect(const std::string& member) {
   suspected_.insert(member);
   suspicion_timer_.expires_after(kSuspicionDelay);
@@ -68,7 +69,10 @@
     if (any_connected || links_.size() == 1)
       events_.process_ended(member);
     else
-      spdlog::info("{} refuses connections, as all peers do: not taken as its end", member);
+      spdlog::info(
+          "peer {} refuses connections, but no peer is connected: not treated as the end of its "
+          "process",
+          member);
   }
 }
 
--- a/src/peers/peer_network.hpp
+++ b/src/peers/peer_network.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Connections between the controllers of one deployment. Each controller keeps one outgoing link
-/// to every peer and accepts one session from every peer. Carries hints only; no rule depends on
-/// what is received or lost here.
+/// to every peer and accepts one session from every peer. Carries hints only: the safety rules do
+/// not depend on which messages are received or lost.
 #pragma once
 
 #include <asio.hpp>
@@ -20,16 +20,16 @@
 class PeerLink;
 class PeerSession;
 
-/// Owns the links, the sessions and the suspicion that a peer's process has ended.
+/// Owns the links, the sessions and the set of peers whose process may have ended.
 class PeerNetwork {
  public:
   struct Events {
     std::function<void(const Status&)> status_received;
-    /// Our connection to the peer ended. What is concluded later about the peer's process concerns
-    /// the process that held this connection.
+    /// The outgoing connection to the peer ended. A later `process_ended` concerns the process that
+    /// held this connection.
     std::function<void(const std::string& member)> disconnected;
-    /// The peer closed its connection and refuses new ones while another peer is connected: its
-    /// process has most likely ended.
+    /// The connection to the peer ended and the peer refuses new ones, while another peer is
+    /// connected or there is no other peer: the peer's process has most likely ended.
     std::function<void(const std::string& member)> process_ended;
   };
 
--- a/src/peers/peer_session.cpp
+++ b/src/peers/peer_session.cpp
@@ -37,7 +37,7 @@
   try {
     network_->events_.status_received(decode(body_.data(), body_.size()));
   } catch (const std::exception& problem) {
-    spdlog::warn("malformed message of a peer: {}", problem.what());
+    spdlog::warn("malformed peer message, closing the connection: {}", problem.what());
     return end();
   }
   receive();
--- a/src/peers/peer_session.hpp
+++ b/src/peers/peer_session.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// An incoming connection that a peer opened: receives status frames.
+/// An incoming connection that a peer opened: receives status frames. Owns the socket and the frame
+/// that is being received.
 #pragma once
 
 #include <array>
@@ -11,15 +12,15 @@
 
 class PeerNetwork;
 
-/// Owned by the network; callbacks keep the session alive until they have run. A malformed frame
-/// ends the session.
+/// Shared by the network and the pending callbacks, which keep the session alive until they have
+/// run. A malformed frame ends the session.
 class PeerSession : public std::enable_shared_from_this<PeerSession> {
  public:
   PeerSession(PeerNetwork& network, asio::ip::tcp::socket socket);
 
   /// Receives frames until the connection ends.
   void receive();
-  /// The network is ending.
+  /// Closes the connection; called when the network is destroyed.
   void detach();
 
  private:
@@ -29,7 +30,7 @@
   void handle_body();
   void end();
 
-  PeerNetwork* network_;  // null: detached
+  PeerNetwork* network_;  ///< Null: detached.
   asio::ip::tcp::socket socket_;
   std::array<unsigned char, kLengthBytes> length_{};
   std::vector<char> body_;
--- a/src/peers/status.cpp
+++ b/src/peers/status.cpp
@@ -20,7 +20,7 @@
   const auto& object = handle.get();
   if (object.type != msgpack::type::ARRAY || object.via.array.size < 1 ||
       object.via.array.ptr[0].as<std::uint32_t>() != kStatusVersion)
-    throw std::runtime_error("peer message of another version");
+    throw std::runtime_error("peer message is not an array that begins with the supported version");
   return object.as<Status>();
 }
 
--- a/src/peers/status.hpp
+++ b/src/peers/status.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The message that controllers exchange, and its framing: a msgpack body preceded by its length as
-/// four bytes, big-endian. The order of the fields is the wire format; new fields go to the end.
+/// The status message that controllers exchange, and its framing: a msgpack body preceded by its
+/// length as four bytes, big-endian. The wire format is the order of the fields, so new fields are
+/// appended. Stateless.
 #pragma once
 
 #include <cstddef>
@@ -20,16 +21,17 @@
   MSGPACK_DEFINE(id, done, running)
 };
 
-/// Value of a silence that never began because nothing was heard yet.
+/// Value of a silence if nothing was ever received.
 inline constexpr std::uint64_t kNeverHeard = std::numeric_limits<std::uint64_t>::max();
 
-/// Version of the message; messages of another version are refused.
+/// Version of the status message; messages of another version are refused.
 inline constexpr std::uint32_t kStatusVersion = 1;
 
-/// Largest body that is accepted, in bytes.
+/// Largest body that is accepted.
 inline constexpr std::size_t kMaxFrameBodyBytes = 1 << 20;
 
-/// State of one controller, sent to its peers every second. Only hints: no rule depends on them.
+/// State of one controller, sent to its peers every second. Only a hint: the safety rules do not
+/// depend on it.
 struct Status {
   std::uint32_t version = kStatusVersion;
   std::string member;
@@ -38,8 +40,8 @@
   /// Fencing token of the sender; 0: the sender does not lead.
   std::uint64_t token = 0;
   std::vector<JobCount> counts;
-  /// Fencing token of the newest leader key that the sender has seen; 0: none, or the sender is of
-  /// a version that does not report the token.
+  /// Fencing token of the newest leader key that the sender has seen; 0: none, or the sender's
+  /// program version does not report the token.
   std::uint64_t followed_token = 0;
   /// Milliseconds since an agent last sent a request to the sender, whatever the response was.
   std::uint64_t agents_silence_ms = kNeverHeard;
