--- a/tests/agent/command_sender_test.cpp
+++ b/tests/agent/command_sender_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Command batches to many machines over a bounded number of connections.
+/// Command batches to many machines over a limited number of connections.
 #include "agent/command_sender.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace violetpulley::agent {
 namespace {
 
-// Agents that answer, a command batch for each of them, and the sender of the batches.
+// Agents that answer, one command batch for each agent, and the sender of the batches.
 struct AnsweringAgents {
   explicit AnsweringAgents(asio::io_context& io)
       : sender(io, 7, 2, [this](const core::MachineId& id, const core::Heartbeat* heartbeat) {
@@ -36,11 +36,11 @@
   std::vector<std::unique_ptr<net::HttpServer>> servers;
   std::vector<core::SendCommands> batches;
   std::multiset<core::MachineId> answered;
-  CommandSender sender;  // with at most two connections
+  CommandSender sender;  // Limited to two connections.
 };
 
-// Heartbeats take a socket for each machine already; without the bound, commands would take as many
-// again and a controller of a large fleet would have none left for users.
+// Heartbeats already take one socket per machine. Without the limit, commands would take as many
+// again, and a controller of a large fleet would have no sockets left for users.
 TEST(CommandSender, ReachesEveryMachineOverABoundedNumberOfConnections) {
   asio::io_context io;
   AnsweringAgents agents(io);
@@ -58,8 +58,9 @@
   for (const auto& batch : agents.batches) EXPECT_EQ(answered.count(batch.machine), 2U);
 }
 
-// Found with half as many machines again as the users' files show: after a failover each machine
-// had a connection for ever, and no socket was left for the agents' heartbeats.
+// On a fleet 1.5 times as large as the users specify, the burst of commands after a failover opened
+// a connection to each machine that was never closed, and no socket was left for the heartbeats of
+// the agents.
 TEST(CommandSender, ABurstLeavesNoMoreConnectionsThanTheLimit) {
   asio::io_context io;
   AnsweringAgents agents(io);
@@ -74,8 +75,9 @@
   }
 }
 
-// An endpoint may belong to another machine by now: its answer says nothing of the machine that was
-// asked, which was then taken for reached and confirmed. Nor does an answer that breaks off.
+// An endpoint may have passed to another machine. The answer of that machine was taken as an answer
+// of the addressed machine, which then counted as reachable and confirmed. A truncated answer
+// proves nothing either.
 TEST(CommandSender, AnAnswerOfAnotherMachineOrATruncatedAnswerCountsAsNoAnswer) {
   for (
       const std::string body :
--- a/tests/async/lifetime_test.cpp
+++ b/tests/async/lifetime_test.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// When guarded handlers run and when they are dropped.
 #include "async/lifetime.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,3 +1,6 @@
+/// @file
+/// The codecs of jobs, heartbeats, commands, peer messages and the cloud's catalog: what they
+/// accept, what they refuse, and which submissions can never run.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -49,8 +52,8 @@
   EXPECT_THROW(codec::parse_job(Json::array()), codec::MalformedJob);
 }
 
-// Found by reading: jobs without `gpus`, `mark_s`, `stow_s`, `same_place`, `spread` or `loaners`
-// were accepted with defaults. Each field of PROTOCOL's table, missing, null and of another type.
+// Jobs without `gpus`, `mark_s`, `stow_s`, `same_place`, `spread` or `loaners` were accepted with
+// defaults. Checks each field of PROTOCOL's table when it is missing, null or of another type.
 TEST(JobCodec, NamesTheFieldThatIsMissingNullOrOfAnotherType) {
   const std::set<std::string> nullable{"benches", "district", "due_s"};
   const auto error_text = [](const Json& job) -> std::string {
@@ -105,17 +108,18 @@
   };
   EXPECT_FALSE(refused(nullptr, {}));
   EXPECT_TRUE(refused("owner", "nobody"));
-  EXPECT_FALSE(refused("cores", 64.0));  // the team's limit
+  EXPECT_FALSE(refused("cores", 64.0));  // The limit of the team.
   EXPECT_TRUE(refused("cores", 64.01));
-  EXPECT_FALSE(refused("memory_gb", 768.0));  // the type's
+  EXPECT_FALSE(refused("memory_gb", 768.0));  // The capacity of the type.
   EXPECT_TRUE(refused("memory_gb", 768.01));
   EXPECT_FALSE(refused("gpus", 8.0));
   EXPECT_TRUE(refused("gpus", 8.01));
   EXPECT_FALSE(refused("benches", Json{"x1", "g8"}));
   EXPECT_TRUE(refused("benches", Json{"x1"}));
-  EXPECT_TRUE(refused("district", "b"));  // the type is not there
+  EXPECT_TRUE(refused("district", "b"));  // The type is not offered in this zone.
   EXPECT_TRUE(refused("district", "c"));
-  // The tasks of gangs and services run together: all of them must fit into the team's limit.
+  // The tasks of gangs and services run at the same time, so together they must fit into the team's
+  // limit.
   for (const char* shape : {"array", "gang", "service"}) {
     auto job = good_job();
     job["same_place"] = false;
--- a/tests/end_to_end/loopback_test.cpp
+++ b/tests/end_to_end/loopback_test.cpp
@@ -1,5 +1,7 @@
-// The real program, three processes on loopback, against in-process stand-ins. There are no
-// assertions about time: waits end when what is waited for has come, or fail after a long bound.
+/// @file
+/// Three processes of the real program on loopback, with fakes of the state service, the cloud and
+/// the agents in the test process. Nothing is asserted about time: a wait ends when its condition
+/// holds, and fails after a long time-out.
 #include <gtest/gtest.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -69,9 +71,10 @@
     return ::testing::TempDir() + "violetpulley-" + std::to_string(getpid()) + name + "-history";
   }
 
-  // Runs `violetpulley history ...` and returns its exit code and what it printed.
+  // Runs `violetpulley history ...` and returns the exit code and the standard output.
   static std::pair<int, std::string> history(const std::string& arguments) {
-    const auto command = std::string(VIOLETPULLEY_PROGRAM) + " history " + arguments + " 2>/dev/null";
+    const auto command =
+        std::string(VIOLETPULLEY_PROGRAM) + " history " + arguments + " 2>/dev/null";
     FILE* pipe = popen(command.c_str(), "r");
     std::string out;
     char buffer[4096];
@@ -140,7 +143,7 @@
     return answer.value_or(net::Response{0, "", {}});
   }
 
-  // Asks again until the answer has the status, and returns its body.
+  // Repeats the request until the response matches, and returns the body of the response.
   Json until(const std::string& node, const std::string& method, const std::string& target,
              const std::string& body, const std::function<bool(int, const Json&)>& matches) {
     const auto bound = steady_clock::now() + std::chrono::seconds(60);
@@ -204,7 +207,7 @@
   EXPECT_EQ(cloud_.starts(), 6U);
   EXPECT_EQ(ask("n-2", "POST", "/v1/jobs", job("req-1", 6)).status, 200);
 
-  // A known id is recognised before the submission is looked at anew.
+  // A known id is answered before the rest of the submission is validated.
   EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", R"({"id":"req-1"})").status, 200);
   EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", "{").status, 400);
   EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", "[]").status, 400);
@@ -222,13 +225,13 @@
   EXPECT_EQ(ask("n-0", "POST", "/agent/beat", "{}").status / 100, 4);
   EXPECT_EQ(ask("n-0", "GET", "/healthz").status, 200);
 
-  submit("n-1", "req-9", 2);  // its tasks run until they are stopped
+  submit("n-1", "req-9", 2);  // The fake agents run tasks of this job until they are stopped.
   const auto cancelled = until("n-2", "POST", "/v1/jobs/req-9/withdraw", "",
                                [](int status, const Json&) { return status == 200; });
   EXPECT_EQ(cancelled.at("status"), "withdrawn");
   EXPECT_EQ(Json::parse(ask("n-0", "GET", "/v1/jobs/req-9").body).at("status"), "withdrawn");
 
-  // Gangs and services: served, and refused only where they can never run (the limit is 40).
+  // Gangs and services are accepted unless all tasks together exceed the team's limit of 40 CPUs.
   EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", job("req-5", 6, 8, "gang")).status, 422);
   EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", job("req-5", 6, 8, "service")).status, 422);
   const auto accepted = [](int status, const Json&) { return status == 201; };
@@ -238,8 +241,9 @@
   until("n-1", "GET", "/v1/jobs/req-91", "", [](int status, const Json& body) {
     return status == 200 && body.at("status") == "running" && body.at("running") == 3;
   });
-  // Operators have an address of their own. Here the controllers share a host, so that one which
-  // does not lead finds itself where it passes the question on, and refuses it.
+  // Operators have an address of their own. A controller that does not lead forwards the request to
+  // its own port on the leader's host. Here all controllers share one host, so the request comes
+  // back to the same controller, which refuses it.
   int answered = 0;
   for (const auto& [name, address] : why_) {
     const auto response = ask_at(address, "GET", "/v1/jobs/req-91/why");
@@ -255,7 +259,8 @@
   until("n-1", "POST", "/v1/jobs/req-91/withdraw", "",
         [](int status, const Json&) { return status == 200; });
 
-  // Whoever leads, two of three are killed: one of the kills hits the leader or leaves it alone.
+  // Two of the three controllers are killed. The third finishes the job, whether it leads already
+  // or has to take over.
   submit("n-2", "req-3", 5);
   kill_node("n-0");
   kill_node("n-1");
@@ -266,7 +271,8 @@
   wait_done("n-0", "req-4");
   wait_done("n-0", "req-1");
 
-  // What the leaders wrote while they were killed is whole, and the core run over it does the same.
+  // The history that the killed leaders wrote is intact, and a replay by the core takes the same
+  // actions.
   kill_node("n-0");
   std::uint64_t records = 0;
   for (const char* name : {"n-0", "n-1"}) {
@@ -280,7 +286,7 @@
     EXPECT_EQ(shown, 0);
     std::filesystem::remove_all(directory);
   }
-  EXPECT_GT(records, 0U);  // at least the last leader is one of these
+  EXPECT_GT(records, 0U);  // The last leader is one of these two.
   EXPECT_EQ(history("verify /nowhere").first, 2);
 }
 
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -1,4 +1,5 @@
-// The HTTP server on loopback: what bad clients get.
+/// @file
+/// The HTTP server and client on loopback: malformed requests, time-outs and the keep-alive shares.
 #include <gtest/gtest.h>
 
 #include <thread>
@@ -19,7 +20,7 @@
                   respond({200, request.method + " " + request.target + " " + request.body, {}});
                 }) {}
 
-  // Sends raw bytes and returns all that comes back until the server closes.
+  // Sends raw bytes and returns everything received until the server closes the connection.
   std::string raw(const std::string& bytes) {
     tcp::socket socket(io_);
     socket.connect(server_.local_endpoint());
@@ -90,10 +91,11 @@
   while (!timed_out) io_.run_one();
 }
 
-// Found on the bench: a leader that was behind with its work took machines for dead whose answers
-// lay unread in its own sockets, since many of them and their deadlines came up together.
+// On the bench, a leader that was too busy to read its sockets declared machines dead although
+// their answers had arrived: many answers and their deadlines fell due in the same turn of the
+// event loop.
 TEST(HttpClientDeadline, AResponseThatArrivedUnreadIsNoTimeout) {
-  constexpr std::size_t kServers = 300;  // more than one look at the sockets brings
+  constexpr std::size_t kServers = 300;  // More than one poll of the sockets returns.
   asio::io_context io;
   tcp::acceptor acceptor(io);
   acceptor.open(tcp::v4());
@@ -122,7 +124,8 @@
   EXPECT_EQ(unanswered, 0U);
 }
 
-// More peers than connections may be kept open: each is answered, and those beyond connect anew.
+// With more clients than connections that may be kept open, each client is answered, and those
+// beyond the share must connect again.
 TEST(HttpServerKeepAlive, AnswersEveryClientAndClosesConnectionsBeyondTheShare) {
   asio::io_context io;
   ServerLimits limits;
--- a/tests/peers/peer_network_test.cpp
+++ b/tests/peers/peer_network_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// When the process of a peer counts as ended. Real sockets on loopback.
+/// When the process of a peer counts as ended. Uses real sockets on loopback.
 #include "peers/peer_network.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   std::array<asio::ip::tcp::endpoint, 3> at{free_port(io), free_port(io), free_port(io)};
   std::array<std::unique_ptr<PeerNetwork>, 3> nodes;
   std::set<std::string> status_from;
-  std::set<std::string> disconnected;  // as node 0 sees the connections
+  std::set<std::string> disconnected;  // As node 0 sees the connections.
   std::set<std::string> process_ended;
 
   ThreeNodes() {
@@ -43,7 +43,7 @@
       io.run_one();
       io.poll();
     }
-    io.run_for(std::chrono::milliseconds(1000));  // links whose first attempt failed reconnect
+    io.run_for(std::chrono::milliseconds(1000));  // Links whose first attempt failed reconnect.
   }
 };
 
@@ -55,8 +55,9 @@
   EXPECT_EQ(peers.process_ended, (std::set<std::string>{"1"}));
 }
 
-// Found in an incident: a filter between the controllers reset and refused all their connections,
-// both followers took the leader for dead and revoked its lease, and the whole fleet failed over.
+// In an incident, a packet filter between the controllers reset and refused all their connections.
+// Both followers concluded that the leader's process had ended and revoked its lease, and the whole
+// fleet failed over.
 TEST(PeerNetwork, PeersThatAllRefuseConnectionsAreNotReportedAsEnded) {
   ThreeNodes peers;
   peers.nodes[1].reset();
