--- a/src/leader/action_executor.cpp
+++ b/src/leader/action_executor.cpp
@@ -121,8 +121,7 @@
   spdlog::info("scaling in: {} machines ({}), first {}", action.machines.size(), action.cause,
                action.machines.front());
   const auto answered = [this, machines = action.machines](bool ok) {
-    if (!ok)
-      spdlog::warn("the cloud did not confirm the return of machines; the return will be repeated");
+    if (!ok) spdlog::warn("the cloud did not confirm that machines were returned; will try again");
     events_.result(core::ScaleInAnswered{machines, ok});
     events_.schedule_core_run();
   };
@@ -156,7 +155,8 @@
   services_.writer.commit(std::move(transaction), [this](const store::TransactionResult& result) {
     if (result.outcome == Outcome::ok) {
       spdlog::info(
-          "placement records are complete from now on: every start of a gang or a service has one");
+          "placement records are complete from now on: all starts of gangs and services are "
+          "recorded");
       return;
     }
     placements_mark_timer_.expires_after(kPlacementsMarkRetryDelay);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -151,7 +151,7 @@
       api::OperatorApi::Environment{settings_.teams,
                                     [this]() -> const MachineTypes& { return catalog_.types(); },
                                     leading_core, leader_address});
-  spdlog::info("operator API listens on {}", net::text_of(address));
+  spdlog::info("operator API (why a job waits) listens on {}", net::text_of(address));
   return operators;
 }
 
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -110,15 +110,16 @@
         {"GET", "/", ""}, std::chrono::milliseconds(300),
         [&](const std::optional<Response>& r) { ++(r ? answered : unanswered); });
   }
-  std::vector<tcp::socket> peers;
+  std::vector<tcp::socket> server_sockets;
   for (std::size_t i = 0; i < kServers; ++i) {
     io.poll();
-    peers.push_back(acceptor.accept());
+    server_sockets.push_back(acceptor.accept());
   }
   io.poll();
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
-  for (auto& peer : peers)
-    asio::write(peer, asio::buffer(std::string("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")));
+  for (auto& server_socket : server_sockets)
+    asio::write(server_socket,
+                asio::buffer(std::string("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")));
   io.run_for(std::chrono::milliseconds(500));
   EXPECT_EQ(answered, kServers);
   EXPECT_EQ(unanswered, 0U);
