--- a/src/agent/command_sender.cpp
+++ b/src/agent/command_sender.cpp
@@ -15,7 +15,7 @@
 /// Timeout of an empty batch, which only asks for a heartbeat. It may be short, because a late
 /// empty batch has no effect on the agent.
 constexpr std::chrono::milliseconds kEmptyBatchTimeout{700};
-/// Keeps a request below the agents' limit of 64 KiB; further commands go into a later request.
+/// Keeps a request below the limit of 64 KiB; further commands go into a later request.
 constexpr std::size_t kMaxCommandsPerRequest = 500;
 constexpr std::size_t kMaxResponseBytes = 1 << 20;
 
--- a/src/agent/command_sender.hpp
+++ b/src/agent/command_sender.hpp
@@ -51,7 +51,8 @@
     auto operator<=>(const IdleConnection&) const = default;
   };
 
-  /// Opens the connection anew if the machine's endpoint has changed; false if it is malformed.
+  /// Opens the connection if there is none or the machine's endpoint has changed. Returns false if
+  /// the endpoint is malformed.
   bool connect(Connection& connection, const core::SendCommands& batch);
   void handle_response(const core::MachineId& machine,
                        const std::optional<net::Response>& response);
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -105,8 +105,8 @@
 }
 
 void UserApi::look_up_end(const core::JobId& id, const LookupHandler& done) {
-  // A user times out after two seconds: if the read would wait too long in the queue,
-  // the request is refused at once.
+  // A user times out after two seconds: if the read would wait too long in the queue, the request
+  // is refused at once.
   if (store_.expected_read_wait() > kMaxQueueWait) return done(Lookup::unavailable);
   store_.get(store::kEndPrefix + id, RequestPriority::user,
              lifetime_.guard([this, id, done](const store::GetResult& result) {
--- a/src/leader/failover_log.cpp
+++ b/src/leader/failover_log.cpp
@@ -48,7 +48,7 @@
   const auto& cost = reconciler.cost();
   spdlog::info(
       "reconciled {:.1f} s after the election; tasks blocked although capacity was free: {:.0f} "
-      "task-seconds of arrays, {:.0f} of gangs, {:.0f} of services ({:.0f} of jobs without any "
+      "task-seconds of arrays, {:.0f} of gangs, {:.0f} of services ({:.0f} of jobs without a "
       "known task)",
       core::Seconds(now - elected_at_).count(), cost.arrays.count(), cost.gangs.count(),
       cost.replicas.count(), cost.unseen.count());
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -62,8 +62,8 @@
   config::Settings settings_;
   core::Tuning tuning_;
   config::HistorySettings history_;
-  std::unique_ptr<history::Recorder>
-      recorder_;  ///< Declared before the leader, which writes to it.
+  /// Declared before the leader, which writes to it.
+  std::unique_ptr<history::Recorder> recorder_;
   core::Leadership leadership_;
   store::StoreClient store_;
   store::JobReplica job_replica_;
@@ -78,8 +78,8 @@
   /// before the leader, which refers to it.
   std::optional<core::TimePoint> isolated_at_;
   std::unique_ptr<Leader> leader_;  ///< Null: this node does not lead.
-  std::vector<std::unique_ptr<Leader>>
-      former_leaders_;  ///< Kept until their last callback has returned.
+  /// Kept until their last callback has returned.
+  std::vector<std::unique_ptr<Leader>> former_leaders_;
   asio::steady_timer tick_timer_;
   /// By peer: revision of the leader key under which the peer led when the connection to it last
   /// ended; 0: the peer did not lead.
--- a/src/peers/peer_link.hpp
+++ b/src/peers/peer_link.hpp
@@ -44,8 +44,8 @@
   std::string next_frame_;
   char byte_ = 0;  ///< Buffer of the read that detects the end of the connection.
   bool connected_ = false;
-  bool closed_by_peer_ = false;  ///< An established connection ended; reset by the next
-                                 ///< connection or refusal.
+  /// An established connection has ended; reset by the next connection or refusal.
+  bool closed_by_peer_ = false;
   bool writing_ = false;
 };
 
