--- a/src/agent/agent_codec.cpp
+++ b/src/agent/agent_codec.cpp
@@ -54,9 +54,10 @@
                                                {"no_such", ExitCause::unknown}};
 
 constexpr std::size_t kMaxNameBytes = 200;
-/// Bounds of a reclaim notice in seconds; a negative one has passed.
-constexpr double kMinNotice = -3600;
-constexpr double kMaxNotice = 1e7;
+/// Range of a reclaim notice, the time until the cloud takes a spot machine back. Negative: the
+/// time has passed.
+constexpr double kMinNoticeSeconds = -3600;
+constexpr double kMaxNoticeSeconds = 1e7;
 
 template <class Value, std::size_t N>
 Value value_of(const std::string& name, const WireName<Value> (&known)[N], const char* what) {
@@ -77,7 +78,7 @@
   return "";
 }
 
-/// A field that may be missing or null, which is the same: null pointer.
+/// Returns an optional field; null pointer if the field is missing or null.
 const Json* optional_field(const Json& object, const char* name) {
   const auto found = object.find(name);
   return found == object.end() || found->is_null() ? nullptr : &*found;
@@ -100,13 +101,13 @@
 }
 
 Seconds parse_notice(const Json& value) {
-  const auto left = value.get<double>();
-  if (!(left >= kMinNotice && left < kMaxNotice))
+  const auto notice = value.get<double>();
+  if (!(notice >= kMinNoticeSeconds && notice < kMaxNoticeSeconds))
     throw DecodeError(std::string(wire::kReclaimNotice) + " is out of range");
-  return Seconds(left);
+  return Seconds(notice);
 }
 
-/// Decodes a task's name on the wire, "req-000412/3": job and index of the task.
+/// Decodes the wire name of a task, job id and task index: "req-000412/3".
 core::TaskKey parse_task(const std::string& name) {
   const auto slash = name.rfind('/');
   if (slash == std::string::npos || slash == 0) throw DecodeError("task name " + name);
--- a/src/leader/action_executor.cpp
+++ b/src/leader/action_executor.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::chrono::seconds kMarkRetry{2};
-constexpr std::chrono::milliseconds kFinishRetry{700};
+constexpr std::chrono::seconds kPlacementsMarkRetryDelay{2};
+constexpr std::chrono::milliseconds kFinishRetryDelay{700};
 constexpr std::chrono::seconds kCampaignPauseAfterResigning{8};
 
 }  // namespace
@@ -25,7 +25,7 @@
       token_(token),
       page_bytes_(page_bytes),
       events_(std::move(events)),
-      mark_timer_(services.io) {}
+      placements_mark_timer_(services.io) {}
 
 void ActionExecutor::dispatch(const core::Action& action) {
   std::visit([this](const auto& typed_action) { execute(typed_action); }, action);
@@ -46,11 +46,11 @@
   table.put(record.id, store::machine_to_json(record), store::kMaxMachineRecordBytes,
             urgent ? WritePriority::urgent : WritePriority::deferred, now,
             [this, id = record.id, registered] {
-              // Not earlier: until the registration is committed, only the record of the scale-out
-              // shows that the machine exists.
+              // The provisioning record is erased only now: until the registration is committed,
+              // no other record shows that the machine exists.
               if (registered) services_.writer.provisioning().erase(id, Clock::now());
               events_.result(core::MachineSaved{id, registered, true});
-              events_.run_core();
+              events_.schedule_core_run();
             });
 }
 
@@ -89,9 +89,9 @@
     services_.job_replica.apply_local_close(action.job, result.revision);
     return;
   }
-  // The job has ended otherwise, or the outcome is unknown: the job replica will show it, and until
-  // then the core tries again.
-  events_.result(core::FinishAnswered{action.job, Clock::now() + kFinishRetry});
+  // Either the job has ended in another way or the outcome is unknown. The job replica will show
+  // which; until then the core repeats the write.
+  events_.result(core::FinishAnswered{action.job, Clock::now() + kFinishRetryDelay});
 }
 
 void ActionExecutor::execute(const core::DeleteProgress& action) {
@@ -109,10 +109,10 @@
                action.type, action.zone, action.name);
   const auto answered = [this, request = action](const core::ScaleOutResult& answer) {
     if (answer.machines.size() < static_cast<std::size_t>(request.count))
-      spdlog::info("scale-out {} brought {} of {} machines", request.name, answer.machines.size(),
+      spdlog::info("scale-out {} got only {} of {} machines", request.name, answer.machines.size(),
                    request.count);
     events_.result(core::ScaleOutAnswered{request.name, answer});
-    events_.run_core();
+    events_.schedule_core_run();
   };
   services_.cloud.request_machines(action, lifetime_.guard(answered));
 }
@@ -121,9 +121,9 @@
   spdlog::info("scaling in: {} machines ({}), first {}", action.machines.size(), action.cause,
                action.machines.front());
   const auto answered = [this, machines = action.machines](bool ok) {
-    if (!ok) spdlog::warn("machines could not be returned; will try again");
+    if (!ok) spdlog::warn("the cloud did not confirm that machines were returned; will try again");
     events_.result(core::ScaleInAnswered{machines, ok});
-    events_.run_core();
+    events_.schedule_core_run();
   };
   services_.cloud.release(action.machines, lifetime_.guard(answered));
 }
@@ -143,7 +143,7 @@
                                     store::placements_bytes(record), WritePriority::urgent,
                                     Clock::now(), [this, job, version = action.version] {
                                       events_.result(core::PlacementsSaved{job, version});
-                                      events_.run_core();
+                                      events_.schedule_core_run();
                                     });
 }
 
@@ -154,11 +154,13 @@
                                  {{store::kPlacementsMark, Json{{"token", token_}}, std::nullopt}}};
   services_.writer.commit(std::move(transaction), [this](const store::TransactionResult& result) {
     if (result.outcome == Outcome::ok) {
-      spdlog::info("starts of gangs and services are recorded from here on");
+      spdlog::info(
+          "placement records are complete from now on: all starts of gangs and services are "
+          "recorded");
       return;
     }
-    mark_timer_.expires_after(kMarkRetry);
-    mark_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
+    placements_mark_timer_.expires_after(kPlacementsMarkRetryDelay);
+    placements_mark_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
       if (!error) write_placements_mark();
     }));
   });
@@ -171,15 +173,15 @@
 
 void ActionExecutor::execute(const core::TaskHeld& action) {
   spdlog::info(
-      "task {}/{} is held: attempt {} has ended on machine {}, where a delayed start may run it "
-      "again; the return of the machine is requested within {:.0f} s",
+      "task {}/{} is not restarted yet: attempt {} ended on machine {}, where a delayed start "
+      "command may run it again; the return of the machine is requested within {:.0f} s",
       action.task.job, action.task.index, action.attempt, action.machine,
       action.max_hold_time.count());
 }
 
 void ActionExecutor::execute(const core::MachineLostTasks& action) {
-  spdlog::warn("machine {} has lost {} running tasks in epoch {}: it was restarted", action.machine,
-               action.tasks, action.epoch);
+  spdlog::warn("machine {} lost {} running tasks: it restarted within agent epoch {}",
+               action.machine, action.tasks, action.epoch);
 }
 
 }  // namespace violetpulley
--- a/src/leader/failover_log.cpp
+++ b/src/leader/failover_log.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr std::chrono::seconds kWaitForOlderTask{5};
+constexpr std::chrono::seconds kMaxOlderTaskWait{5};
 
 }  // namespace
 
-void FailoverLog::note_commands(const core::SendCommands& batch,
-                                const core::Controller& controller) {
+void FailoverLog::record_first_commands(const core::SendCommands& batch,
+                                        const core::Controller& controller) {
   if (timeline_logged_) return;
   const auto now = core::Clock::now();
   timeline_.record(FailoverStep::first_command, now);
@@ -38,7 +38,7 @@
 void FailoverLog::check_timeline(core::TimePoint now) {
   if (timeline_logged_ || !reconciled_at_) return;
   if (!timeline_.reached(FailoverStep::first_start_of_older_task) &&
-      now - *reconciled_at_ < kWaitForOlderTask)
+      now - *reconciled_at_ < kMaxOlderTaskWait)
     return;
   timeline_logged_ = true;
   spdlog::info("failover steps, seconds after the election: {}", timeline_.text());
@@ -49,8 +49,9 @@
                                      core::TimePoint now) const {
   const auto& cost = reconciler.cost();
   spdlog::info(
-      "reconciled {:.1f} s after the election; blocked beside free capacity: {:.0f} task-seconds "
-      "of arrays, {:.0f} of gangs, {:.0f} of services ({:.0f} of jobs that were seen nowhere)",
+      "reconciled {:.1f} s after the election; tasks blocked although capacity was free: {:.0f} "
+      "task-seconds of arrays, {:.0f} of gangs, {:.0f} of services ({:.0f} of jobs without a "
+      "known task)",
       core::Seconds(now - elected_at_).count(), cost.arrays.count(), cost.gangs.count(),
       cost.replicas.count(), cost.unseen.count());
   const auto& stats = reconciler.stats();
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -18,12 +18,12 @@
 
 constexpr std::chrono::milliseconds kTickInterval{100};
 constexpr std::chrono::seconds kListInterval{10};
-/// How long after a resignation as isolated the next leader of this process does not resign for
-/// the same cause.
-constexpr std::chrono::minutes kIsolationMemory{3};
-constexpr std::chrono::seconds kHeartbeatRetry{1};
+/// After a resignation because of isolation, the next leader of this process does not resign for
+/// the same cause within this time.
+constexpr std::chrono::minutes kMinIsolationResignInterval{3};
+constexpr std::chrono::seconds kHeartbeatRetryAfter{1};
 
-/// Connections for commands as long as the number of machines is unknown.
+/// Limit of the connections for commands until the number of machines is known.
 std::size_t initial_command_connections(const config::Settings& settings) {
   return core::share_sockets({settings.max_sockets, settings.nodes()}, 0).commands;
 }
@@ -62,17 +62,18 @@
 }
 
 ActionExecutor::Events Leader::executor_events() {
-  return {
-      [this](const core::Event& event) { feed(event); }, [this] { schedule_pump(); },
-      [this](const core::SendCommands& batch) { failover_log_.note_commands(batch, *controller_); },
-      [this] { services_.isolated_at = Clock::now(); }};
+  return {[this](const core::Event& event) { feed(event); }, [this] { schedule_core_run(); },
+          [this](const core::SendCommands& batch) {
+            failover_log_.record_first_commands(batch, *controller_);
+          },
+          [this] { services_.isolated_at = Clock::now(); }};
 }
 
 JobVerifier::Events Leader::verifier_events() {
   return {[this](const core::JobRecord& record, core::TimePoint now) {
             feed(core::JobOpened{record}, now);
           },
-          [this] { schedule_pump(); }};
+          [this] { schedule_core_run(); }};
 }
 
 std::unique_ptr<store::LearnedStateStore> Leader::make_learned_state_store() {
@@ -83,7 +84,8 @@
                                   store::page_bytes(services_.settings)});
 }
 
-// Nothing waits for the answer: a failover that is faster goes without the learned state.
+// The failover does not wait for the read: if it completes first, the core starts without the
+// learned state.
 void Leader::load_learned_state() {
   learned_state_store_->load(wall_now(), [this](std::optional<core::LearnedState> found) {
     if (found) learned_state_ = std::move(*found);
@@ -110,13 +112,13 @@
   feed_catalog();
   catch_up_with_replica(recovered_jobs, now);
   read_barriers_.run();
-  pump();
+  run_core();
   schedule_tick();
 }
 
 core::ControllerSettings Leader::controller_settings() const {
   const auto& isolated_at = services_.isolated_at;
-  const bool resigns = !isolated_at || Clock::now() - *isolated_at > kIsolationMemory;
+  const bool resigns = !isolated_at || Clock::now() - *isolated_at > kMinIsolationResignInterval;
   return failover::controller_settings(services_.settings, services_.tuning, wall_now(), resigns);
 }
 
@@ -146,7 +148,7 @@
   failover_log_.timeline().record(FailoverStep::core_built, Clock::now());
 }
 
-// Jobs that have opened or closed between the read barrier and now.
+// Handles the jobs that were opened or closed since the read barrier of the recovery.
 void Leader::catch_up_with_replica(const JobIds& recovered, core::TimePoint now) {
   const auto& replica = services_.job_replica;
   for (const auto& id : recovered)
@@ -161,8 +163,8 @@
   core::apply(*controller_, event, now);
 }
 
-// Prices change every machine, so a snapshot in progress would have to write all of them at once
-// (history/state_capture.hpp): the catalog waits until the snapshot is complete.
+// New prices change every machine, and a snapshot in progress would have to write all machines at
+// once (history/state_capture.hpp). The catalog is therefore fed after the snapshot is complete.
 void Leader::feed_catalog() {
   if (!catalog_due_) return;
   if (services_.recorder != nullptr && services_.recorder->snapshotting()) return;
@@ -178,19 +180,19 @@
     event.heartbeat = *heartbeat;
   }
   feed(event);
-  schedule_pump();
+  schedule_core_run();
 }
 
-void Leader::schedule_pump() {
-  if (pump_posted_) return;
-  pump_posted_ = true;
+void Leader::schedule_core_run() {
+  if (core_run_posted_) return;
+  core_run_posted_ = true;
   asio::post(services_.io, lifetime_.guard([this] {
-    pump_posted_ = false;
-    pump();
+    core_run_posted_ = false;
+    run_core();
   }));
 }
 
-void Leader::pump() {
+void Leader::run_core() {
   if (!controller_) return;
   const auto now = Clock::now();
   const auto& leadership = services_.leadership;
@@ -213,7 +215,7 @@
 }
 
 void Leader::tick() {
-  pump();
+  run_core();
   const auto now = Clock::now();
   failover_log_.check_timeline(now);
   if (!listing_ && now - last_list_ > kListInterval) list_machines();
@@ -235,22 +237,24 @@
     last_list_ = Clock::now();
     if (!machines) return;
     feed(core::CloudListed{std::move(*machines)});
-    schedule_pump();
+    schedule_core_run();
   }));
 }
 
-// The peer has sent its status after our key was created, since the status names the key. A node
-// that does not lead answers no heartbeat, and if it leads again it has a higher fencing token
-// (docs/safety.md, "Older leaders that are known to be gone"). A peer that runs an older program
-// names no key, and then the longer wait remains.
-void Leader::note_follower(const std::string& member, core::FencingToken follows) {
-  if (follows != token_ || !controller_ || !controller_->recovering()) return;
+// A status that names this leader's key was sent after the key was created. A node that does not
+// lead answers no heartbeat, and if it leads again it has a higher fencing token. So once all peers
+// have sent such a status, no former leader is left (docs/safety.md, "Older leaders that are known
+// to be gone"). A peer of an older program version names no key; then the leader waits until the
+// leases of former leaders have expired.
+void Leader::note_follower(const std::string& member, core::FencingToken followed_token) {
+  if (followed_token != token_ || !controller_ || !controller_->recovering()) return;
   const auto& peers = services_.settings.peers;
   const auto known = std::any_of(peers.begin(), peers.end(),
                                  [&](const auto& peer) { return peer.member == member; });
   if (!known || !followers_.insert(member).second) return;
   if (followers_.size() < peers.size()) return;
-  spdlog::info("no former leader is left: all {} other controllers follow", followers_.size());
+  spdlog::info("all {} other controllers follow this leader, so no former leader is left",
+               followers_.size());
   feed(core::FormerLeadersGone{});
 }
 
@@ -269,35 +273,37 @@
   if (!controller_) return;
   if (services_.tuning.commit_starts) writer_.placements().erase(id, Clock::now());
   feed(core::JobClosed{id});
-  schedule_pump();
+  schedule_core_run();
 }
 
 void Leader::set_catalog(const std::vector<core::MachineType>& types) {
   types_ = types;
   catalog_due_ = true;
-  if (controller_) schedule_pump();
+  if (controller_) schedule_core_run();
 }
 
 void Leader::handle_heartbeat(const net::Request& request, const net::Responder& respond) {
   const auto now = Clock::now();
   const net::Response may_not_serve{503, R"({"error":"not entitled to lead now"})",
-                                    kHeartbeatRetry};
+                                    kHeartbeatRetryAfter};
   if (!controller_ || !services_.leadership.may_serve(now)) return respond(may_not_serve);
   core::Heartbeat heartbeat;
   try {
     heartbeat = agent::parse_heartbeat(request.body);
   } catch (const agent::DecodeError& problem) {
-    spdlog::warn("malformed heartbeat: {}", problem.what());
+    spdlog::warn("malformed heartbeat refused: {}", problem.what());
     return respond({400, R"({"error":"malformed report"})", {}});
   }
   const core::HeartbeatReceived event{std::move(heartbeat)};
   feed(event, now);
-  schedule_pump();
-  // The agent would drop a 200 with a lower token and stay here while its lease runs out.
+  schedule_core_run();
+  // The agent ignores a 200 with a lower token: it would keep sending heartbeats to this node while
+  // its lease expires.
   if (event.heartbeat.token > token_)
-    return respond({503, R"({"error":"another controller leads"})", kHeartbeatRetry});
+    return respond({503, R"({"error":"another controller leads"})", kHeartbeatRetryAfter});
   auto body = agent::response_body(token_, controller_->response_commands(event.heartbeat));
-  // Decided now and not when the heartbeat was read: the process may have been suspended since.
+  // Checked again just before the response: the process may have been suspended since the first
+  // check.
   if (!services_.leadership.may_serve(Clock::now())) return respond(may_not_serve);
   respond({200, std::move(body), {}});
 }
--- a/src/peers/peer_network.cpp
+++ b/src/peers/peer_network.cpp
@@ -14,15 +14,16 @@
 using asio::ip::tcp;
 
 namespace {
-// Between a refused connection and the judgement whether the peer's process has ended.
+// Time between a refused connection and the decision whether the peer's process has ended.
 constexpr std::chrono::milliseconds kSuspicionDelay{100};
-// A peer holds one session; sessions of broken connections are bounded by this many a peer.
+// A peer uses one session at a time; the others belong to broken connections that have not been
+// detected yet.
 constexpr std::size_t kMaxSessionsPerPeer = 8;
 }  // namespace
 
-PeerNetwork::PeerNetwork(asio::io_context& io, const tcp::endpoint& at,
+PeerNetwork::PeerNetwork(asio::io_context& io, const tcp::endpoint& listen_endpoint,
                          const std::vector<config::Peer>& peers, Events events)
-    : io_(io), acceptor_(io, at), suspicion_timer_(io), events_(std::move(events)) {
+    : io_(io), acceptor_(io, listen_endpoint), suspicion_timer_(io), events_(std::move(events)) {
   for (const auto& peer : peers) {
     links_.push_back(std::make_shared<PeerLink>(*this, peer));
     links_.back()->connect();
@@ -49,18 +50,18 @@
 }
 
 // A refused connection does not prove that a process has ended: a packet filter between the nodes
-// refuses all connections at once. So the suspicion counts only while another peer is still
-// connected a moment later. A wrong suspicion costs a failover of the whole fleet; waiting for the
-// lease to expire costs only the rest of the lease.
+// may refuse all connections at once. So the peer's process counts as ended only if another peer is
+// still connected after kSuspicionDelay, or if there is no other peer. A wrong decision costs a
+// failover of the whole fleet; waiting for the lease to expire costs only the rest of the lease.
 void PeerNetwork::suspect(const std::string& member) {
   suspected_.insert(member);
   suspicion_timer_.expires_after(kSuspicionDelay);
   suspicion_timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
-    if (!error) judge_suspicions();
+    if (!error) resolve_suspicions();
   }));
 }
 
-void PeerNetwork::judge_suspicions() {
+void PeerNetwork::resolve_suspicions() {
   const auto suspected = std::exchange(suspected_, {});
   const bool any_connected =
       std::any_of(links_.begin(), links_.end(), [](const auto& link) { return link->connected(); });
@@ -68,7 +69,10 @@
     if (any_connected || links_.size() == 1)
       events_.process_ended(member);
     else
-      spdlog::info("{} refuses connections, as all peers do: not taken as its end", member);
+      spdlog::info(
+          "peer {} refuses connections, but no peer is connected: not treated as the end of its "
+          "process",
+          member);
   }
 }
 
--- a/src/peers/peer_session.cpp
+++ b/src/peers/peer_session.cpp
@@ -18,7 +18,7 @@
                      if (error) return self->end();
                      std::size_t size = 0;
                      for (const unsigned char byte : self->length_) size = (size << 8U) | byte;
-                     if (size == 0 || size > kMaxFrame) return self->end();
+                     if (size == 0 || size > kMaxFrameBodyBytes) return self->end();
                      self->body_.resize(size);
                      self->receive_body();
                    });
@@ -37,7 +37,7 @@
   try {
     network_->events_.status_received(decode(body_.data(), body_.size()));
   } catch (const std::exception& problem) {
-    spdlog::warn("malformed message of a peer: {}", problem.what());
+    spdlog::warn("malformed peer message, closing the connection: {}", problem.what());
     return end();
   }
   receive();
