--- a/src/core/autoscaling/consolidation.cpp
+++ b/src/core/autoscaling/consolidation.cpp
@@ -43,7 +43,7 @@
 // is ready: drained, it took no task, and the bound tasks waited for ever (seed 2647 of Hunted).
 bool Consolidation::is_kept(const Machine& machine) const {
   return !machine.reserved_for.empty() || machine.outbound_partition_since ||
-         bindings_.holds(machine.id);
+         bindings_.has_group(machine.id);
 }
 
 // A start that was never answered, of a job that has ended: nothing but the machine's return
--- a/src/core/autoscaling/scale_out_planner.cpp
+++ b/src/core/autoscaling/scale_out_planner.cpp
@@ -43,7 +43,7 @@
     const auto& job = *candidate.job;
     const auto& spec = job.spec();
     const auto quota_left = task_starter_.quota_left(spec.team);
-    if (!quota_left || job.gang() || job.suspected) continue;
+    if (!quota_left || job.gang() || job.suspected_faulty) continue;
     auto& team_left = quota_left_by_team.try_emplace(spec.team, *quota_left).first->second;
     ScalerJob entry{&spec, candidate.estimate, unplaced_tasks_of(job, team_left), {}};
     if (spec.spread) entry.zone_capacity = zone_capacity(job);
@@ -60,7 +60,7 @@
     if (!need.fits_in(quota_left)) break;
     if (task_starter_.blocked_on_reconciliation(job, index)) continue;
     quota_left -= need;
-    if (job.tasks[index].bound.empty()) tasks.push_back(index);
+    if (job.tasks[index].bound_to.empty()) tasks.push_back(index);
   }
   return tasks;
 }
@@ -82,7 +82,7 @@
   auto use = task_starter_.zone_use(job);
   if (!job.spec().spread) return use;
   for (const auto index : job.waiting) {
-    const auto& bound = job.tasks[index].bound;
+    const auto& bound = job.tasks[index].bound_to;
     if (bound.empty()) continue;
     const auto pending = requests_in_flight_.find(bound);
     if (const auto* machine = fleet_.find(bound))
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -89,7 +89,7 @@
     assignment.orphaned = true;
     commands_.stop(machine, assignment, now);
   };
-  each_on_machines(fleet_, found->second, end_assignment);
+  for_each_assignment(fleet_, found->second, end_assignment);
   // A job that has not asked for its end was cancelled. If its end was refused, that is known when
   // the request is answered.
   if (!found->second.complete() || !found->second.finishing) ended_attempts_.cancel_job(id, now);
@@ -110,7 +110,7 @@
   const auto mark_due = [&](const Machine& machine, const TaskKey&, const Assignment&) {
     commands_.mark_due(machine);
   };
-  each_on_machines(fleet_, found->second, mark_due);
+  for_each_assignment(fleet_, found->second, mark_due);
 }
 
 void Controller::scale_in_answered(const std::vector<MachineId>& machines, bool ok, TimePoint now) {
@@ -172,8 +172,8 @@
     consolidation_.consolidate(now);
   }
   replica_consolidation_.consolidate(now);
-  gang_scheduler_.restart_broken(now);
-  if (may_place) scheduler_.round(now);
+  gang_scheduler_.stop_broken_gangs(now);
+  if (may_place) scheduler_.run_round_if_due(now);
   jobs_.finish_completed_jobs(now);
   jobs_.persist_progress(now);
   if (settings_.tuning.commit_starts) jobs_.persist_placements(!recovery_.recovering());
@@ -183,7 +183,7 @@
 std::optional<JobCounts> Controller::counts(const JobId& id) const {
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return std::nullopt;
-  return JobCounts{found->second.done, found->second.running};
+  return JobCounts{found->second.done_count, found->second.running_count};
 }
 
 std::string Controller::summary() const { return summary_line(jobs_, fleet_, recovery_); }
--- a/src/core/controller_summary.cpp
+++ b/src/core/controller_summary.cpp
@@ -34,7 +34,7 @@
   for (const auto& [id, job] : jobs) {
     counts.waiting += job.waiting.size();
     if (recovery.blocked_on_reconciliation(job)) counts.blocked += job.waiting.size();
-    for (const auto index : job.waiting) counts.bound += job.tasks[index].bound.empty() ? 0 : 1;
+    for (const auto index : job.waiting) counts.bound += job.tasks[index].bound_to.empty() ? 0 : 1;
   }
   return counts;
 }
--- a/src/core/dispatch/command_dispatcher.cpp
+++ b/src/core/dispatch/command_dispatcher.cpp
@@ -127,10 +127,10 @@
   if (!saves) return stop(machine, assignment, now);
   const auto& job = found->second;
   if (!job.gang()) return stop(machine, assignment, now, grace);
-  each_on_machines(fleet_, job,
-                   [&](Machine& peer_machine, const TaskKey&, Assignment& peer_assignment) {
-                     stop(peer_machine, peer_assignment, now, grace);
-                   });
+  for_each_assignment(fleet_, job,
+                      [&](Machine& peer_machine, const TaskKey&, Assignment& peer_assignment) {
+                        stop(peer_machine, peer_assignment, now, grace);
+                      });
 }
 
 bool CommandDispatcher::holds_cancelled_task(const Machine& machine) {
--- a/src/core/dispatch/task_starter.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -62,7 +62,7 @@
     const bool blocked = task.phase == Phase::waiting && job.placements_complete &&
                          blocked_on_reconciliation(job, index);
     if (task.phase != Phase::assigned && !blocked) continue;
-    if (const auto* machine = fleet_.find(blocked ? job.placed[index] : task.machine))
+    if (const auto* machine = fleet_.find(blocked ? job.placed_on[index] : task.machine))
       ++use[machine->zone];
   }
   // A held task is assigned to its machine, and counted above.
--- a/src/core/failover/assignments.cpp
+++ b/src/core/failover/assignments.cpp
@@ -31,7 +31,7 @@
     jobs_.before_change(found->second);
     if (assignment->second.running_since && !assignment->second.orphaned) {
       auto& job = found->second;
-      if (job.running > 0) --job.running;
+      if (job.running_count > 0) --job.running_count;
       record_saved_progress(job, key, assignment->second, now, stored);
     }
   }
@@ -41,7 +41,7 @@
 void Assignments::record_saved_progress(Job& job, const TaskKey& key, const Assignment& assignment,
                                         TimePoint now, bool stored) {
   // Tasks of a gang make their checkpoints together.
-  auto& saved = job.tasks[job.gang() ? 0 : key.index].saved;
+  auto& saved = job.tasks[job.gang() ? 0 : key.index].checkpointed;
   const auto until = assignment.stop_since.value_or(now);
   const Seconds run_time = assignment.saved + Seconds(until - *assignment.running_since);
   const auto checkpoint_every = job.spec().checkpoint_every;
@@ -66,7 +66,7 @@
   if (found == jobs_.end() || key.index >= found->second.tasks.size()) return;
   jobs_.before_change(found->second);
   found->second.set_waiting(key.index);
-  if (found->second.gang()) jobs_.note_broken(key.job);
+  if (found->second.gang()) jobs_.note_broken_gang(key.job);
   out_.want_placing();
 }
 
@@ -87,7 +87,7 @@
   assignment.running_since = now;
   if (job == nullptr || assignment.orphaned) return;
   jobs_.before_change(*job);
-  ++job->running;
+  ++job->running_count;
 }
 
 }  // namespace violetpulley::core
--- a/src/core/failover/heartbeat_handler.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -211,13 +211,13 @@
   if (!job.gang()) return;
   if (job.attempt != 0 && job.attempt != status.attempt) {
     // Two attempts of one gang: both are stopped, then the gang starts anew.
-    jobs_.note_broken(status.task.job);
+    jobs_.note_broken_gang(status.task.job);
     job.attempt = std::max(job.attempt, status.attempt);
     return;
   }
   job.attempt = status.attempt;
   // After the recovery the gang counted as ended, so the rest of it is not running.
-  if (!recovery_.recovering()) jobs_.note_broken(status.task.job);
+  if (!recovery_.recovering()) jobs_.note_broken_gang(status.task.job);
 }
 
 void HeartbeatHandler::commands_answered(const MachineId& id, const Heartbeat* response,
--- a/src/core/failover/reconciler.cpp
+++ b/src/core/failover/reconciler.cpp
@@ -40,7 +40,7 @@
   for (const auto* machine : machines) {
     if (places >= enough) break;
     if (allowed_on(spec, machine->type, machine->zone, machine->spot))
-      places += places_on(machine->free(), spec);
+      places += slots_in(machine->free(), spec);
   }
   return places;
 }
@@ -118,7 +118,7 @@
   const auto boot_time = type == catalog_.types().end() ? kDefaultBootTime : type->second.boot;
   return (boot_time + mean_blocked_run_time_ / 2.0) *
          (settings_.tuning.still_alive *
-          static_cast<double>(places_on(machine.capacity, mean_task)));
+          static_cast<double>(slots_in(machine.capacity, mean_task)));
 }
 
 void Reconciler::judge_silent_machines(TimePoint now) {
@@ -186,7 +186,7 @@
   mean_task.per_task = mean_blocked_resources_;
   mean_task.tasks = static_cast<TaskIndex>(work.tasks);
   double places = 0;
-  for (const auto* machine : machines) places += places_on(machine->free(), mean_task);
+  for (const auto* machine : machines) places += slots_in(machine->free(), mean_task);
   const auto max_cost = elapsed * places;
   const double share = work.cost.total() > max_cost ? max_cost / work.cost.total() : 1;
   cost_.arrays += work.cost.arrays * share;
--- a/src/core/failover/recovery.cpp
+++ b/src/core/failover/recovery.cpp
@@ -47,7 +47,7 @@
 // If all starts are recorded, only the machines of the records matter (docs/safety.md, "Committed
 // starts").
 bool Recovery::is_recorded_on_unconfirmed(const Job& job, TaskIndex index) const {
-  return index < job.placed.size() && unconfirmed_.contains(job.placed[index]);
+  return index < job.placed_on.size() && unconfirmed_.contains(job.placed_on[index]);
 }
 
 bool Recovery::is_blocked(const Job& job, TaskIndex index) const {
--- a/src/core/failover/task_exit_handler.cpp
+++ b/src/core/failover/task_exit_handler.cpp
@@ -36,7 +36,7 @@
     delay_restart(job, now);
     return;
   }
-  if (job.gang()) jobs_.note_broken(status.task.job);
+  if (job.gang()) jobs_.note_broken_gang(status.task.job);
   if (status.cause == ExitCause::error) handle_failure(machine, job, now);
   if (status.cause == ExitCause::unknown || status.cause == ExitCause::no_capacity ||
       status.cause == ExitCause::busy)
@@ -74,7 +74,7 @@
 }
 
 void TaskExitHandler::record_done(Job& job, TaskIndex index) {
-  if (job.gang()) return gang_scheduler_.done(job);
+  if (job.gang()) return gang_scheduler_.complete_gang(job);
   jobs_.task_done(job, index);
   jobs_.progress_changed(job, index);
 }
@@ -89,7 +89,7 @@
   job.last_failure = now;
   // A job that fails on machine after machine was submitted with a mistake: it must neither be
   // retried without a pause nor put healthy machines into quarantine.
-  if (job.done == 0 && job.failed_on.size() >= kMachinesOfFaultyJob) {
+  if (job.done_count == 0 && job.failed_on.size() >= kMachinesOfFaultyJob) {
     if (job.waiting.size() == job.tasks.size()) return suspect_job(job, now);
     const int doublings =
         std::min(static_cast<int>(job.failed_on.size()) - 2, kMaxBackoffDoublings);
@@ -99,17 +99,18 @@
   ++machine.errors;
   machine.error_jobs.insert(job.spec().id);
   const bool has_many_errors = machine.errors >= settings_.tuning.quarantine_errors;
-  if (has_many_errors && (machine.error_jobs.size() >= 2 || job.done > 0))
+  if (has_many_errors && (machine.error_jobs.size() >= 2 || job.done_count > 0))
     machine.quarantined = true;
 }
 
 // The pause grows with each retry. By then each retry starts a single task: a retry of all tasks
 // would cost as much as the first start.
 void TaskExitHandler::suspect_job(Job& job, TimePoint now) {
-  const auto pause = std::clamp(job.pause * 2, kFirstPause, kLongestPause);
-  if (pause > job.pause) out_.push_back(JobSuspected{job.spec().id, job.failed_on.size(), pause});
-  job.suspected = true;
-  job.pause = pause;
+  const auto pause = std::clamp(job.failure_backoff * 2, kFirstPause, kMaxFailureBackoff);
+  if (pause > job.failure_backoff)
+    out_.push_back(JobSuspected{job.spec().id, job.failed_on.size(), pause});
+  job.suspected_faulty = true;
+  job.failure_backoff = pause;
   job.backoff_until = now + to_duration(pause);
 }
 
--- a/src/core/jobs/deadline_forecaster.cpp
+++ b/src/core/jobs/deadline_forecaster.cpp
@@ -16,7 +16,7 @@
   const Seconds age_at_election = settings_.wall_at_start - job.record.submitted;
   // Never less than the time for which this leader has known the job: a wrong time of day must not
   // hold the job back.
-  return std::max(Seconds(now - job.opened), age_at_election + Seconds(now - elected_at_));
+  return std::max(Seconds(now - job.opened_at), age_at_election + Seconds(now - elected_at_));
 }
 
 Seconds DeadlineForecaster::time_left(const Job& job, TimePoint now) const {
--- a/src/core/jobs/each_assignment.hpp
+++ b/src/core/jobs/each_assignment.hpp
@@ -11,7 +11,7 @@
 /// machine, in the order of the tasks. The visitor may end the assignment that it is given, and no
 /// other.
 template <class Visit>
-void each_on_machines(Fleet& fleet, const Job& job, const Visit& visit) {
+void for_each_assignment(Fleet& fleet, const Job& job, const Visit& visit) {
   for (TaskIndex index = 0; index < job.tasks.size(); ++index) {
     const auto& task = job.tasks[index];
     if (task.phase != Phase::assigned) continue;
--- a/src/core/jobs/job.cpp
+++ b/src/core/jobs/job.cpp
@@ -21,7 +21,7 @@
   auto& task = tasks[index];
   task.phase = Phase::assigned;
   task.machine = machine;
-  task.bound.clear();
+  task.bound_to.clear();
   has_started = true;
   waiting.erase(index);
 }
@@ -31,11 +31,11 @@
   if (task.phase == Phase::done) return;
   task.phase = Phase::done;
   task.machine.clear();
-  task.bound.clear();
+  task.bound_to.clear();
   has_started = true;
-  suspected = false;
+  suspected_faulty = false;
   waiting.erase(index);
-  ++done;
+  ++done_count;
 }
 
 std::vector<TaskIndex> Job::chunks_written() const {
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -11,7 +11,7 @@
 
 // Calls `apply(index)` for each index in the ranges below `end`.
 template <class Apply>
-void each_index(const std::vector<IndexRange>& ranges, std::size_t end, const Apply& apply) {
+void for_each_index(const std::vector<IndexRange>& ranges, std::size_t end, const Apply& apply) {
   for (const auto& [first, last] : ranges)
     for (TaskIndex index = first; index <= last && index < end; ++index) apply(index);
 }
@@ -21,7 +21,7 @@
 void Jobs::open(const JobRecord& record, TimePoint now) {
   const auto [entry, added] = jobs_.try_emplace(record.spec.id, record);
   if (!added) return;
-  entry->second.opened = now;
+  entry->second.opened_at = now;
   out_.want_placing();
 }
 
@@ -47,12 +47,12 @@
   }
   auto& job = found->second;
   job.chunks_stored.insert(record.chunk);
-  each_index(record.done, job.tasks.size(), [&](TaskIndex index) {
+  for_each_index(record.done, job.tasks.size(), [&](TaskIndex index) {
     task_done(job, index);
     job.tasks[index].persisted = true;
   });
-  each_index(record.restarted, job.tasks.size(),
-             [&](TaskIndex index) { job.tasks[index].restarted = true; });
+  for_each_index(record.restarted, job.tasks.size(),
+                 [&](TaskIndex index) { job.tasks[index].restarted = true; });
 }
 
 void Jobs::restore_placements(const std::vector<PlacementRecord>& records) {
@@ -61,7 +61,7 @@
     const auto found = jobs_.find(record.job);
     if (found == jobs_.end() || !found->second.records_starts()) continue;
     found->second.placements_complete = record.known;
-    found->second.placed = record.machines;
+    found->second.placed_on = record.machines;
   }
   placement_mark_ = PlacementMark::set;
 }
@@ -124,16 +124,16 @@
     progress_changed(job, record.chunk * kProgressChunk);
     return;
   }
-  each_index(record.done, job.tasks.size(),
-             [&](TaskIndex index) { job.tasks[index].persisted = true; });
+  for_each_index(record.done, job.tasks.size(),
+                 [&](TaskIndex index) { job.tasks[index].persisted = true; });
 }
 
 PlacementVersion Jobs::record_start(Job& job, TaskIndex index, const MachineId& machine) {
   before_change(job);
-  job.placed.resize(job.tasks.size());
+  job.placed_on.resize(job.tasks.size());
   // The version counts batches: all starts until the next write share a version.
   if (placements_dirty_.insert(job.spec().id).second) ++job.placement_version;
-  job.placed[index] = machine;
+  job.placed_on[index] = machine;
   return job.placement_version;
 }
 
@@ -168,8 +168,8 @@
 void Jobs::save_dirty_placements() {
   for (const auto& id : placements_dirty_) {
     const auto& job = jobs_.at(id);
-    const bool known = job.placed.size() <= kMaxPlacements;
-    PlacementRecord record{id, known ? job.placed : std::vector<MachineId>{}, known};
+    const bool known = job.placed_on.size() <= kMaxPlacements;
+    PlacementRecord record{id, known ? job.placed_on : std::vector<MachineId>{}, known};
     out_.push_back(SavePlacements{std::move(record), job.placement_version});
   }
   placements_dirty_.clear();
--- a/src/core/jobs/jobs.hpp
+++ b/src/core/jobs/jobs.hpp
@@ -74,9 +74,9 @@
   void persist_placements(bool all_confirmed);
 
   /// Notes a gang that has lost a task, so that all its tasks must end.
-  void note_broken(const JobId& gang) { broken_gangs_.insert(gang); }
+  void note_broken_gang(const JobId& gang) { broken_gangs_.insert(gang); }
   /// Returns the noted gangs and forgets them.
-  std::set<JobId> take_broken() { return std::exchange(broken_gangs_, {}); }
+  std::set<JobId> take_broken_gangs() { return std::exchange(broken_gangs_, {}); }
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
--- a/src/core/learned_state_handover.cpp
+++ b/src/core/learned_state_handover.cpp
@@ -13,11 +13,11 @@
 LearnedJob learned_job(const JobId& id, const Job& job, TimePoint now) {
   LearnedJob learned;
   learned.id = id;
-  learned.waited = now - job.opened;
+  learned.waited = now - job.opened_at;
   for (TaskIndex index = 0; index < job.tasks.size(); ++index) {
     const auto& task = job.tasks[index];
-    if (task.saved > Seconds(0) && task.phase != Phase::done)
-      learned.saved.push_back({index, task.saved});
+    if (task.checkpointed > Seconds(0) && task.phase != Phase::done)
+      learned.saved.push_back({index, task.checkpointed});
   }
   learned.failed_on.assign(job.failed_on.begin(), job.failed_on.end());
   learned.failures = job.failures;
@@ -81,13 +81,13 @@
   const auto max_age =
       std::max(Seconds(0), Seconds(settings_.wall_at_start - job.record.submitted));
   const auto age = std::clamp(learned.waited + elapsed, Seconds(0), max_age);
-  job.opened = now - to_duration(age);
+  job.opened_at = now - to_duration(age);
   for (const auto& [index, saved] : learned.saved)
-    if (index < job.tasks.size() && saved > Seconds(0)) job.tasks[index].saved = saved;
+    if (index < job.tasks.size() && saved > Seconds(0)) job.tasks[index].checkpointed = saved;
   job.failed_on.insert(learned.failed_on.begin(), learned.failed_on.end());
   job.failures = learned.failures;
   if (!learned.failed_on.empty()) job.last_failure = now;
-  const auto pause = std::clamp(learned.pause - elapsed, Seconds(0), kLongestPause);
+  const auto pause = std::clamp(learned.pause - elapsed, Seconds(0), kMaxFailureBackoff);
   job.backoff_until = now + to_duration(pause);
 }
 
--- a/src/core/scheduling/bin_packer.cpp
+++ b/src/core/scheduling/bin_packer.cpp
@@ -31,21 +31,21 @@
   return ImageRank::absent;
 }
 
-void BinPacker::refresh(Offer& offer) {
-  offer.remaining = offer.machine->remaining(now_);
-  offer.bin = bin_of(offer.remaining, unit_);
+void BinPacker::update_bin(BinnedMachine& binned) {
+  binned.remaining = binned.machine->remaining(now_);
+  binned.bin = bin_of(binned.remaining, bin_unit_);
 }
 
-void BinPacker::offer(Machine& machine) {
-  offers_.push_back({&machine, {}, 0});
-  refresh(offers_.back());
+void BinPacker::add_machine(Machine& machine) {
+  machines_.push_back({&machine, {}, 0});
+  update_bin(machines_.back());
   if (machine.capacity.cpus > 0 && machine.price > 0)
     cheapest_per_cpu_ = std::min(cheapest_per_cpu_, machine.price / machine.capacity.cpus);
 }
 
-void BinPacker::placed(Machine& machine) {
-  for (auto& offer : offers_)
-    if (offer.machine == &machine) refresh(offer);
+void BinPacker::task_placed(Machine& machine) {
+  for (auto& binned : machines_)
+    if (binned.machine == &machine) update_bin(binned);
 }
 
 bool BinPacker::is_expensive_per_cpu(const Machine& machine) const {
@@ -57,17 +57,17 @@
                                       const std::function<bool(const Machine&)>& may_use,
                                       ImageRank min_image_rank) {
   Choices choices(*this, spec, estimate);
-  inspections_ += offers_.size();
-  for (std::size_t index = 0; index < offers_.size(); ++index) {
-    const auto& machine = *offers_[index].machine;
+  inspections_ += machines_.size();
+  for (std::size_t index = 0; index < machines_.size(); ++index) {
+    const auto& machine = *machines_[index].machine;
     if (!spec.per_task.fits_in(machine.free())) continue;
     const auto rank = image_rank(machine, spec.image);
     if (rank < min_image_rank || !may_use(machine)) continue;
     Choices::Entry entry;
-    entry.offer = index;
+    entry.index = index;
     entry.image_rank = rank;
     entry.expensive = is_expensive_per_cpu(machine);
-    entry.breaks_whole = keep_whole_ && !machine.spot && machine.tasks.empty();
+    entry.takes_empty_machine = preserve_empty_machines_ && !machine.spot && machine.tasks.empty();
     choices.set_bin_order(entry);
     choices.entries_.push_back(entry);
   }
@@ -79,14 +79,14 @@
 
 // Order of bins: own, then greater (nearest first), then lesser (nearest first).
 void BinPacker::Choices::set_bin_order(Entry& entry) const {
-  const int own = bin_of(estimate_, packer_.unit_);
-  const int bin = packer_.offers_[entry.offer].bin;
+  const int own = bin_of(estimate_, packer_.bin_unit_);
+  const int bin = packer_.machines_[entry.index].bin;
   entry.own_bin = bin == own;
   entry.bin_order = bin >= own ? bin - own : kLesserBinsOffset + (own - bin);
 }
 
 bool BinPacker::Choices::has_capacity(const Entry& entry) const {
-  return spec_.per_task.fits_in(packer_.offers_[entry.offer].machine->free());
+  return spec_.per_task.fits_in(packer_.machines_[entry.index].machine->free());
 }
 
 bool BinPacker::Choices::is_better(const Entry& a, const Entry& b) const {
@@ -98,14 +98,14 @@
   if (a.expensive != b.expensive) return b.expensive;
   // Exception to the design: most free capacity would spread small tasks over all machines and
   // leave none to a gang whose tasks need whole machines (docs/design.md, "Gangs").
-  if (a.breaks_whole != b.breaks_whole) return b.breaks_whole;
+  if (a.takes_empty_machine != b.takes_empty_machine) return b.takes_empty_machine;
   if (a.bin_order != b.bin_order) return a.bin_order < b.bin_order;
-  const auto& a_offer = packer_.offers_[a.offer];
-  const auto& b_offer = packer_.offers_[b.offer];
+  const auto& a_machine = packer_.machines_[a.index];
+  const auto& b_machine = packer_.machines_[b.index];
   if (a.own_bin)
-    return std::abs((a_offer.remaining - estimate_).count()) <
-           std::abs((b_offer.remaining - estimate_).count());
-  return free_capacity(*a_offer.machine) > free_capacity(*b_offer.machine);
+    return std::abs((a_machine.remaining - estimate_).count()) <
+           std::abs((b_machine.remaining - estimate_).count());
+  return free_capacity(*a_machine.machine) > free_capacity(*b_machine.machine);
 }
 
 Machine* BinPacker::Choices::best() {
@@ -121,16 +121,16 @@
     if (best == kNone || is_better(entries_[index], entries_[best])) best = index;
     ++index;
   }
-  return best == kNone ? nullptr : packer_.offers_[entries_[best].offer].machine;
+  return best == kNone ? nullptr : packer_.machines_[entries_[best].index].machine;
 }
 
-void BinPacker::Choices::placed(Machine& machine) {
+void BinPacker::Choices::task_placed(Machine& machine) {
   for (auto& entry : entries_) {
-    auto& offer = packer_.offers_[entry.offer];
-    if (offer.machine != &machine) continue;
-    packer_.refresh(offer);
+    auto& binned = packer_.machines_[entry.index];
+    if (binned.machine != &machine) continue;
+    packer_.update_bin(binned);
     entry.image_rank = image_rank(machine, spec_.image);
-    entry.breaks_whole = false;
+    entry.takes_empty_machine = false;
     set_bin_order(entry);
   }
 }
--- a/src/core/scheduling/bin_packer.hpp
+++ b/src/core/scheduling/bin_packer.hpp
@@ -20,13 +20,13 @@
 /// Chooses machines for the tasks of one scheduling round.
 class BinPacker {
  public:
-  BinPacker(Seconds bin_unit, TimePoint now) : unit_(bin_unit), now_(now) {}
+  BinPacker(Seconds bin_unit, TimePoint now) : bin_unit_(bin_unit), now_(now) {}
 
   /// Adds a machine that may take tasks in this round.
-  void offer(Machine& machine);
-  bool empty() const { return offers_.empty(); }
+  void add_machine(Machine& machine);
+  bool empty() const { return machines_.empty(); }
   /// Tasks wait that need whole machines: work that fits elsewhere leaves empty machines alone.
-  void keep_whole() { keep_whole_ = true; }
+  void preserve_empty_machines() { preserve_empty_machines_ = true; }
 
   /// What the tasks of one job may choose from. The tasks are alike, so one pass over the machines
   /// serves them all.
@@ -35,20 +35,20 @@
     /// The best machine that still has free capacity for a task; null if there is none.
     Machine* best();
     /// A task was placed on the machine: its bin and its image rank follow.
-    void placed(Machine& machine);
+    void task_placed(Machine& machine);
 
    private:
     friend class BinPacker;
     struct Entry {
-      /// Index into `BinPacker::offers_`.
-      std::size_t offer = 0;
+      /// Index into `BinPacker::machines_`.
+      std::size_t index = 0;
       ImageRank image_rank = ImageRank::absent;
       /// Position of the machine's bin among all bins; lower is better.
       int bin_order = 0;
       bool own_bin = false;
       bool expensive = false;
       /// The machine is empty, and kept so while other machines have free capacity.
-      bool breaks_whole = false;
+      bool takes_empty_machine = false;
     };
     Choices(BinPacker& packer, const JobSpec& spec, Seconds estimate);
     void set_bin_order(Entry& entry) const;
@@ -68,25 +68,25 @@
                   ImageRank min_image_rank = ImageRank::absent);
 
   /// A task was placed on the machine outside of any choices.
-  void placed(Machine& machine);
+  void task_placed(Machine& machine);
 
   /// Machines examined, each time counted: what a round costs.
   std::uint64_t inspections() const { return inspections_; }
 
  private:
-  struct Offer {
+  struct BinnedMachine {
     Machine* machine;
     Seconds remaining;
     int bin;
   };
   bool is_expensive_per_cpu(const Machine& machine) const;
-  void refresh(Offer& offer);
+  void update_bin(BinnedMachine& binned);
 
-  Seconds unit_;
+  Seconds bin_unit_;
   TimePoint now_;
   double cheapest_per_cpu_ = std::numeric_limits<double>::infinity();
-  bool keep_whole_ = false;
-  std::vector<Offer> offers_;
+  bool preserve_empty_machines_ = false;
+  std::vector<BinnedMachine> machines_;
   std::uint64_t inspections_ = 0;
 };
 
--- a/src/core/scheduling/candidate_queue.cpp
+++ b/src/core/scheduling/candidate_queue.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Where machines are scarce, the smallest gangs come first, until others have waited for this.
-constexpr Seconds kGangAges{20};
+constexpr Seconds kGangAgingThreshold{20};
 
 /// Whether a team's guarantee covers this use: a guarantee may be in CPUs, in GPUs or in both.
 bool covers(const Team& team, const Resources& use) {
@@ -51,34 +51,34 @@
   return by_age;
 }
 
-Candidate CandidateQueue::make_candidate(Job& job, Resources& team_claim, bool may_starve,
+Candidate CandidateQueue::make_candidate(Job& job, Resources& team_demand, bool may_prioritize,
                                          TimePoint now) const {
   const auto& spec = job.spec();
   const auto waiting = spec.per_task * static_cast<double>(job.waiting.size());
-  team_claim += waiting;
+  team_demand += waiting;
   const auto team = catalog_.teams().find(spec.team);
   const double size = spec.per_task.gpus > 0 ? waiting.gpus : waiting.cpus;
 
   Candidate candidate;
   candidate.job = &job;
   candidate.estimate = forecaster_.estimate_left(job, *job.waiting.begin());
-  candidate.guaranteed = team != catalog_.teams().end() && covers(team->second, team_claim);
+  candidate.guaranteed = team != catalog_.teams().end() && covers(team->second, team_demand);
   candidate.forecast = forecaster_.forecast(job, now);
   candidate.work = candidate.estimate.count() * size;
-  candidate.aged = job.gang() ? forecaster_.age(job, now) > kGangAges
-                              : starvation_guard_.prioritized_whole(job, now);
-  candidate.starving = may_starve && starvation_guard_.starving(job, now);
+  candidate.aged = job.gang() ? forecaster_.age(job, now) > kGangAgingThreshold
+                              : starvation_guard_.all_tasks_prioritized(job, now);
+  candidate.starving = may_prioritize && starvation_guard_.starving(job, now);
   return candidate;
 }
 
 std::vector<Candidate> CandidateQueue::build(TimePoint now) const {
   std::vector<Candidate> queue;
   auto prioritized_starts_left = starvation_guard_.prioritized_starts_allowed();
-  std::map<std::string, Resources> claimed_by_team;
+  std::map<std::string, Resources> demand_by_team;
   for (auto* job : startable_jobs_by_age(now)) {
     const auto& team = job->spec().team;
-    auto& claim = claimed_by_team.try_emplace(team, fleet_.team_use(team)).first->second;
-    queue.push_back(make_candidate(*job, claim, prioritized_starts_left > 0, now));
+    auto& demand = demand_by_team.try_emplace(team, fleet_.team_use(team)).first->second;
+    queue.push_back(make_candidate(*job, demand, prioritized_starts_left > 0, now));
     if (queue.back().starving) --prioritized_starts_left;
   }
   std::stable_sort(queue.begin(), queue.end(), scheduled_before);
--- a/src/core/scheduling/candidate_queue.hpp
+++ b/src/core/scheduling/candidate_queue.hpp
@@ -26,9 +26,10 @@
 
  private:
   std::vector<Job*> startable_jobs_by_age(TimePoint now) const;
-  /// `team_claim`: what the team uses and what its older jobs wait for; the job's waiting tasks are
-  /// added. `may_starve`: the round may still put a starving job before all others.
-  Candidate make_candidate(Job& job, Resources& team_claim, bool may_starve, TimePoint now) const;
+  /// `team_demand`: what the team uses and what its older jobs wait for; the job's waiting tasks
+  /// are added. `may_prioritize`: the round may still put a starving job before all others.
+  Candidate make_candidate(Job& job, Resources& team_demand, bool may_prioritize,
+                           TimePoint now) const;
 
   const Catalog& catalog_;
   const Fleet& fleet_;
--- a/src/core/scheduling/gang_reservations.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -5,7 +5,7 @@
 
 namespace violetpulley::core {
 
-TaskIndex places_on(const Resources& free, const JobSpec& spec) {
+TaskIndex slots_in(const Resources& free, const JobSpec& spec) {
   double slots = spec.tasks;
   const auto limit_by = [&](double available, double need) {
     if (need > 0)
@@ -27,12 +27,12 @@
   return found == reservations_.end() ? nullptr : &found->second;
 }
 
-GangReservation& GangReservations::open(const JobId& gang, const std::string& region,
+GangReservation& GangReservations::open(const JobId& gang, const std::string& domain,
                                         TimePoint now) {
   auto& reservation = reservations_[gang];
-  reservation.region = region;
+  reservation.domain = domain;
   reservation.since = now;
-  reservation.grown = now;
+  reservation.last_reserved = now;
   return reservation;
 }
 
@@ -44,7 +44,7 @@
   reservations_.erase(found);
 }
 
-void GangReservations::claim(Fleet& fleet, const JobId& gang, Machine& machine) {
+void GangReservations::reserve(Fleet& fleet, const JobId& gang, Machine& machine) {
   fleet.set(machine, &Machine::reserved_for, gang);
   reservations_.at(gang).machines.insert(machine.id);
 }
@@ -54,16 +54,16 @@
   fleet.set(machine, &Machine::reserved_for, JobId{});
 }
 
-bool GangReservations::another_is_short(const std::string& region) const {
-  return std::any_of(short_regions_.begin(), short_regions_.end(),
-                     [&](const std::string& short_region) {
-                       return short_region.empty() || region.empty() || short_region == region;
+bool GangReservations::another_is_short(const std::string& domain) const {
+  return std::any_of(short_domains_.begin(), short_domains_.end(),
+                     [&](const std::string& short_domain) {
+                       return short_domain.empty() || domain.empty() || short_domain == domain;
                      });
 }
 
-bool GangReservations::may_be_short(const std::string& region, std::size_t zones) const {
-  const auto max_short_regions = std::max<std::size_t>(1, zones / 2);
-  return !another_is_short(region) && short_regions_.size() < max_short_regions;
+bool GangReservations::may_be_short(const std::string& domain, std::size_t zones) const {
+  const auto max_short_domains = std::max<std::size_t>(1, zones / 2);
+  return !another_is_short(domain) && short_domains_.size() < max_short_domains;
 }
 
 }  // namespace violetpulley::core
--- a/src/core/scheduling/gang_scale_out.cpp
+++ b/src/core/scheduling/gang_scale_out.cpp
@@ -13,13 +13,13 @@
 
 /// Slots that one machine of the type would bring, at most as many as are missing.
 TaskIndex useful_slots(const InstanceOffering& offering, const JobSpec& spec, TaskIndex missing) {
-  return std::min(places_on(offering.type->capacity, spec), missing);
+  return std::min(slots_in(offering.type->capacity, spec), missing);
 }
 
 /// One group for each machine that the gang misses, no more than its spread allows in the zone.
 void append_groups(const JobSpec& spec, const InstanceOffering& offering, TaskIndex needed,
                    std::vector<ScaleOutGroup>& groups) {
-  const auto slots_per_machine = places_on(offering.type->capacity, spec);
+  const auto slots_per_machine = slots_in(offering.type->capacity, spec);
   while (needed > 0) {
     const auto slots = std::min(needed, slots_per_machine);
     groups.push_back({{}, spec.id, slots, ScaleOutRank::gang});
@@ -85,7 +85,7 @@
   ZoneUse slots;
   for (const auto& id : reservation.machines)
     if (const auto* machine = fleet_.find(id))
-      slots[machine->zone] += places_on(machine->free_after_stops(), spec);
+      slots[machine->zone] += slots_in(machine->free_after_stops(), spec);
   return slots;
 }
 
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -14,9 +14,9 @@
 constexpr double kBootLateFactor = 1.5;
 constexpr std::chrono::seconds kBootSlack{2};
 /// How long a machine that is up may take until its registration is committed.
-constexpr std::chrono::seconds kRegistrationTime{5};
+constexpr std::chrono::seconds kRegistrationTimeout{5};
 /// A gang that is short in its region may change to another one after this.
-constexpr std::chrono::seconds kMoveAfter{3};
+constexpr std::chrono::seconds kDomainChangeDelay{3};
 
 }  // namespace
 
@@ -25,7 +25,7 @@
   auto& job = *candidate.job;
   const auto& spec = job.spec();
   // Every machine that it may be on is accounted for: what is not seen of it is lost.
-  if (job.waiting.size() < job.tasks.size()) jobs_.note_broken(spec.id);
+  if (job.waiting.size() < job.tasks.size()) jobs_.note_broken_gang(spec.id);
   if (!task_starter_.within_limit(spec, job.waiting.size()))
     return reservations_.close(fleet_, spec.id);
   if (job.waiting.size() == job.tasks.size()) {
@@ -44,7 +44,7 @@
   for (const auto& entry : slots)
     for (TaskIndex started = 0; started < entry.tasks; ++started, ++index)
       if (!task_starter_.start(job, index, *entry.machine, attempt, now)) {
-        jobs_.note_broken(job.spec().id);
+        jobs_.note_broken_gang(job.spec().id);
         return false;
       }
   jobs_.before_change(job);
@@ -74,16 +74,16 @@
                                      TimePoint now) {
   const auto& spec = job.spec();
   if (pause_if_stalled(job, now)) return;
-  leave_blocked_region(job, now);
-  auto* reservation = find_or_open(job, schedulable, now);
+  leave_blocked_domain(job, now);
+  auto* reservation = find_or_open_reservation(job, schedulable, now);
   if (reservation == nullptr) return;
   GangSlotCount slots(spec);
   count_reserved(spec, *reservation, slots, now);
   count_ending_tasks(job, *reservation, slots, now);
-  reserve_free(job, *reservation, slots, schedulable, now);
+  reserve_free_machines(job, *reservation, slots, schedulable, now);
   const auto covered = reservation->requested + slots.total();
   reservation->missing = spec.tasks > covered ? spec.tasks - covered : 0;
-  if (reservation->is_short() && !offerings_.can_scale_out(spec, reservation->region, now))
+  if (reservation->is_short() && !offerings_.can_scale_out(spec, reservation->domain, now))
     preempt_or_close(job, *reservation, now);
 }
 
@@ -92,40 +92,40 @@
   const auto& id = job.spec().id;
   const auto* reservation = reservations_.find(id);
   if (reservation == nullptr || !reservation->is_short()) return false;
-  if (now - reservation->grown <= kReservationTime) return false;
+  if (now - reservation->last_reserved <= kReservationTime) return false;
   reservations_.close(fleet_, id);
   jobs_.before_change(job);
   job.backoff_until = now + kReservationPause;
   return true;
 }
 
-void GangScheduler::leave_blocked_region(const Job& job, TimePoint now) {
+void GangScheduler::leave_blocked_domain(const Job& job, TimePoint now) {
   const auto& spec = job.spec();
   const auto* reservation = reservations_.find(spec.id);
   if (reservation == nullptr || !reservation->is_short()) return;
-  const auto& region = reservation->region;
-  if (offerings_.can_scale_out(spec, region, now)) return;
-  const bool may_move = now - reservation->since > kMoveAfter;
-  if (reservations_.another_is_short(region) ||
-      (may_move && can_scale_out_elsewhere(spec, region, now)))
+  const auto& domain = reservation->domain;
+  if (offerings_.can_scale_out(spec, domain, now)) return;
+  const bool may_move = now - reservation->since > kDomainChangeDelay;
+  if (reservations_.another_is_short(domain) ||
+      (may_move && can_scale_out_in_other_domain(spec, domain, now)))
     reservations_.close(fleet_, spec.id);
 }
 
-bool GangScheduler::can_scale_out_elsewhere(const JobSpec& spec, const std::string& region,
-                                            TimePoint now) const {
-  const auto regions = slot_finder_.regions(spec);
-  return std::any_of(regions.begin(), regions.end(), [&](const std::string& candidate) {
-    return candidate != region && offerings_.can_scale_out(spec, candidate, now);
+bool GangScheduler::can_scale_out_in_other_domain(const JobSpec& spec, const std::string& domain,
+                                                  TimePoint now) const {
+  const auto domains = slot_finder_.domains(spec);
+  return std::any_of(domains.begin(), domains.end(), [&](const std::string& candidate) {
+    return candidate != domain && offerings_.can_scale_out(spec, candidate, now);
   });
 }
 
-GangReservation* GangScheduler::find_or_open(const Job& job,
-                                             const std::vector<Machine*>& schedulable,
-                                             TimePoint now) {
+GangReservation* GangScheduler::find_or_open_reservation(const Job& job,
+                                                         const std::vector<Machine*>& schedulable,
+                                                         TimePoint now) {
   const auto& id = job.spec().id;
   if (auto* reservation = reservations_.find(id)) return reservation;
-  const auto region = slot_finder_.choose_region(job, reservations_, schedulable, now);
-  return region ? &reservations_.open(id, *region, now) : nullptr;
+  const auto domain = slot_finder_.choose_domain(job, reservations_, schedulable, now);
+  return domain ? &reservations_.open(id, *domain, now) : nullptr;
 }
 
 // Machines that will not take tasks soon leave the reservation; the others are counted with what
@@ -136,7 +136,7 @@
   for (const auto& id : machines) {
     auto* machine = fleet_.find(id);
     if (is_usable_soon(*machine, now))
-      slots.add(machine->zone, places_on(machine->free_after_stops(), spec));
+      slots.add(machine->zone, slots_in(machine->free_after_stops(), spec));
     else
       reservations_.release(fleet_, *machine);
   }
@@ -154,22 +154,23 @@
   }
 }
 
-void GangScheduler::reserve_free(const Job& job, GangReservation& reservation, GangSlotCount& slots,
-                                 const std::vector<Machine*>& schedulable, TimePoint now) {
+void GangScheduler::reserve_free_machines(const Job& job, GangReservation& reservation,
+                                          GangSlotCount& slots,
+                                          const std::vector<Machine*>& schedulable, TimePoint now) {
   const auto& spec = job.spec();
-  for (const auto& free : slot_finder_.free_slots(job, reservation.region, schedulable, now)) {
+  for (const auto& free : slot_finder_.free_slots(job, reservation.domain, schedulable, now)) {
     if (reservation.requested + slots.total() >= spec.tasks) break;
     if (!free.machine->reserved_for.empty()) continue;
-    reservations_.claim(fleet_, spec.id, *free.machine);
-    reservation.grown = now;
+    reservations_.reserve(fleet_, spec.id, *free.machine);
+    reservation.last_reserved = now;
     slots.add(free.machine->zone, free.tasks);
   }
 }
 
 void GangScheduler::preempt_or_close(const Job& job, GangReservation& reservation, TimePoint now) {
-  if (!reservations_.may_be_short(reservation.region, count_zones()))
+  if (!reservations_.may_be_short(reservation.domain, count_zones()))
     return reservations_.close(fleet_, job.spec().id);
-  reservations_.note_short(reservation.region);
+  reservations_.note_short(reservation.domain);
   preemption_.preempt_for_gang(job, reservation, reservations_, now);
 }
 
@@ -179,7 +180,7 @@
   if (machine.up()) {
     const auto up_for = now - machine.up_since.value_or(now);
     return task_starter_.placeable(machine, now) ||
-           (!machine.registered && up_for < kRegistrationTime);
+           (!machine.registered && up_for < kRegistrationTimeout);
   }
   const auto type = catalog_.types().find(machine.type);
   if (type == catalog_.types().end()) return false;
@@ -195,21 +196,21 @@
 
 // All tasks of a gang that has lost one must be proven gone before it starts anew: those that have
 // not noticed are stopped. A task that saves a checkpoint is left to finish it.
-void GangScheduler::restart_broken(TimePoint now) {
-  for (const auto& id : jobs_.take_broken()) {
+void GangScheduler::stop_broken_gangs(TimePoint now) {
+  for (const auto& id : jobs_.take_broken_gangs()) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end()) continue;
-    each_on_machines(fleet_, found->second,
-                     [&](Machine& machine, const TaskKey&, Assignment& assignment) {
-                       if (assignment.state != TaskState::checkpointing)
-                         commands_.stop(machine, assignment, now);
-                     });
+    for_each_assignment(fleet_, found->second,
+                        [&](Machine& machine, const TaskKey&, Assignment& assignment) {
+                          if (assignment.state != TaskState::checkpointing)
+                            commands_.stop(machine, assignment, now);
+                        });
     out_.want_placing();
   }
 }
 
 // One task that is done proves that all are, also those on machines that died since.
-void GangScheduler::done(Job& job) {
+void GangScheduler::complete_gang(Job& job) {
   for (TaskIndex index = 0; index < job.tasks.size(); ++index) {
     jobs_.task_done(job, index);
     if (index % kProgressChunk == 0) jobs_.progress_changed(job, index);
@@ -234,7 +235,7 @@
   const auto* reservation = reservations_.find(gang);
   if (reservation != nullptr && machine.reserved_for.empty() && machine.tasks.empty() &&
       reservation->covers_zone(machine.zone))
-    reservations_.claim(fleet_, gang, machine);
+    reservations_.reserve(fleet_, gang, machine);
 }
 
 }  // namespace violetpulley::core
--- a/src/core/scheduling/gang_scheduler.hpp
+++ b/src/core/scheduling/gang_scheduler.hpp
@@ -39,9 +39,9 @@
     scale_out_.add_groups(queue, reservations_, plan, now);
   }
   /// Stops what remains of gangs that have lost a task.
-  void restart_broken(TimePoint now);
+  void stop_broken_gangs(TimePoint now);
   /// A task of the gang has completed.
-  void done(Job& job);
+  void complete_gang(Job& job);
 
   void job_closed(const JobId& id) { reservations_.close(fleet_, id); }
   void machine_gone(Machine& machine) { reservations_.release(fleet_, machine); }
@@ -66,17 +66,19 @@
   /// Ends a reservation that has not grown for too long. Returns whether it has.
   bool pause_if_stalled(Job& job, TimePoint now);
   /// Ends a reservation that another one keeps short, or that could grow in another region.
-  void leave_blocked_region(const Job& job, TimePoint now);
-  bool can_scale_out_elsewhere(const JobSpec& spec, const std::string& region, TimePoint now) const;
+  void leave_blocked_domain(const Job& job, TimePoint now);
+  bool can_scale_out_in_other_domain(const JobSpec& spec, const std::string& domain,
+                                     TimePoint now) const;
   /// The gang's reservation, opened if need be; null if there is no region for it.
-  GangReservation* find_or_open(const Job& job, const std::vector<Machine*>& schedulable,
-                                TimePoint now);
+  GangReservation* find_or_open_reservation(const Job& job,
+                                            const std::vector<Machine*>& schedulable,
+                                            TimePoint now);
   void count_reserved(const JobSpec& spec, const GangReservation& reservation, GangSlotCount& slots,
                       TimePoint now);
   void count_ending_tasks(const Job& job, const GangReservation& reservation, GangSlotCount& slots,
                           TimePoint now) const;
-  void reserve_free(const Job& job, GangReservation& reservation, GangSlotCount& slots,
-                    const std::vector<Machine*>& schedulable, TimePoint now);
+  void reserve_free_machines(const Job& job, GangReservation& reservation, GangSlotCount& slots,
+                             const std::vector<Machine*>& schedulable, TimePoint now);
   void preempt_or_close(const Job& job, GangReservation& reservation, TimePoint now);
   /// Whether a reserved machine can be expected to take tasks soon.
   bool is_usable_soon(const Machine& machine, TimePoint now) const;
--- a/src/core/scheduling/gang_slots.cpp
+++ b/src/core/scheduling/gang_slots.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 /// How good a region is for a gang; compared field by field.
-struct RegionScore {
+struct DomainScore {
   bool fits_now = false;
   bool can_scale_out = false;
   TaskIndex free_slots = 0;
 
-  friend auto operator<=>(const RegionScore&, const RegionScore&) = default;
+  friend auto operator<=>(const DomainScore&, const DomainScore&) = default;
 };
 
 /// Machines with the image come first, then those that are reserved for the gang.
@@ -64,7 +64,7 @@
   return total;
 }
 
-std::vector<std::string> GangSlotFinder::regions(const JobSpec& spec) const {
+std::vector<std::string> GangSlotFinder::domains(const JobSpec& spec) const {
   if (spec.zone) return {*spec.zone};
   if (!spec.same_zone) return {""};
   std::set<std::string> zones;
@@ -73,33 +73,33 @@
   return {zones.begin(), zones.end()};
 }
 
-bool GangSlotFinder::may_use(const Machine& machine, const Job& job, const std::string& region,
+bool GangSlotFinder::may_use(const Machine& machine, const Job& job, const std::string& domain,
                              TimePoint now) const {
   const auto& spec = job.spec();
-  if (!region.empty() && machine.zone != region) return false;
+  if (!domain.empty() && machine.zone != domain) return false;
   if (!machine.reserved_for.empty() && machine.reserved_for != spec.id) return false;
-  if (bindings_.holds(machine.id) || job.avoids(machine.id, now)) return false;
+  if (bindings_.has_group(machine.id) || job.avoids(machine.id, now)) return false;
   return allowed_on(spec, machine.type, machine.zone, machine.spot);
 }
 
-std::vector<GangSlots> GangSlotFinder::slots_on_machines(const Job& job, const std::string& region,
+std::vector<GangSlots> GangSlotFinder::slots_on_machines(const Job& job, const std::string& domain,
                                                          const std::vector<Machine*>& schedulable,
                                                          TimePoint now) const {
   const auto& spec = job.spec();
   std::vector<GangSlots> slots;
   for (auto* machine : schedulable) {
-    if (!may_use(*machine, job, region, now)) continue;
-    const auto tasks = places_on(machine->free(), spec);
+    if (!may_use(*machine, job, domain, now)) continue;
+    const auto tasks = slots_in(machine->free(), spec);
     if (tasks > 0) slots.push_back({machine, tasks, image_rank(*machine, spec.image)});
   }
   std::stable_sort(slots.begin(), slots.end(), is_better);
   return slots;
 }
 
-std::vector<GangSlots> GangSlotFinder::free_slots(const Job& job, const std::string& region,
+std::vector<GangSlots> GangSlotFinder::free_slots(const Job& job, const std::string& domain,
                                                   const std::vector<Machine*>& schedulable,
                                                   TimePoint now) const {
-  return take_needed(slots_on_machines(job, region, schedulable, now), job.spec());
+  return take_needed(slots_on_machines(job, domain, schedulable, now), job.spec());
 }
 
 std::vector<GangSlots> GangSlotFinder::best_complete_slots(const Job& job,
@@ -107,8 +107,8 @@
                                                            TimePoint now) const {
   std::vector<GangSlots> best;
   TaskIndex max_with_image = 0;
-  for (const auto& region : regions(job.spec())) {
-    auto slots = free_slots(job, region, schedulable, now);
+  for (const auto& domain : domains(job.spec())) {
+    auto slots = free_slots(job, domain, schedulable, now);
     if (total_slots(slots) < job.spec().tasks) continue;
     const auto with_image = slots_with_image(slots);
     if (!best.empty() && with_image <= max_with_image) continue;
@@ -118,21 +118,21 @@
   return best;
 }
 
-std::optional<std::string> GangSlotFinder::choose_region(const Job& job,
+std::optional<std::string> GangSlotFinder::choose_domain(const Job& job,
                                                          const GangReservations& reservations,
                                                          const std::vector<Machine*>& schedulable,
                                                          TimePoint now) const {
   const auto& spec = job.spec();
   std::optional<std::string> best;
-  RegionScore best_score;
-  for (const auto& region : regions(spec)) {
-    RegionScore score;
-    score.free_slots = total_slots(free_slots(job, region, schedulable, now));
+  DomainScore best_score;
+  for (const auto& domain : domains(spec)) {
+    DomainScore score;
+    score.free_slots = total_slots(free_slots(job, domain, schedulable, now));
     score.fits_now = score.free_slots >= spec.tasks;
-    score.can_scale_out = offerings_.can_scale_out(spec, region, now);
-    if (!score.can_scale_out && !score.fits_now && reservations.another_is_short(region)) continue;
+    score.can_scale_out = offerings_.can_scale_out(spec, domain, now);
+    if (!score.can_scale_out && !score.fits_now && reservations.another_is_short(domain)) continue;
     if (best && score <= best_score) continue;
-    best = region;
+    best = domain;
     best_score = score;
   }
   return best;
--- a/src/core/scheduling/gang_slots.hpp
+++ b/src/core/scheduling/gang_slots.hpp
@@ -42,10 +42,10 @@
 
   /// The regions in which the gang may reserve machines: zones if its tasks have to be in one, else
   /// the empty region, which means any zone.
-  std::vector<std::string> regions(const JobSpec& spec) const;
+  std::vector<std::string> domains(const JobSpec& spec) const;
   /// Slots for the gang's tasks on machines that could take them now, best first, at most as many
   /// as the gang has tasks. `schedulable`: the machines that may take tasks in this round.
-  std::vector<GangSlots> free_slots(const Job& job, const std::string& region,
+  std::vector<GangSlots> free_slots(const Job& job, const std::string& domain,
                                     const std::vector<Machine*>& schedulable, TimePoint now) const;
   /// Slots for the whole gang in the region where the most tasks find their image; empty if the
   /// gang fits in no region.
@@ -54,15 +54,15 @@
                                              TimePoint now) const;
   /// Where the gang should reserve machines: best where it finds enough at once, then where
   /// machines can be requested, then by free slots. None if another gang is short in every region.
-  std::optional<std::string> choose_region(const Job& job, const GangReservations& reservations,
+  std::optional<std::string> choose_domain(const Job& job, const GangReservations& reservations,
                                            const std::vector<Machine*>& schedulable,
                                            TimePoint now) const;
 
  private:
-  std::vector<GangSlots> slots_on_machines(const Job& job, const std::string& region,
+  std::vector<GangSlots> slots_on_machines(const Job& job, const std::string& domain,
                                            const std::vector<Machine*>& schedulable,
                                            TimePoint now) const;
-  bool may_use(const Machine& machine, const Job& job, const std::string& region,
+  bool may_use(const Machine& machine, const Job& job, const std::string& domain,
                TimePoint now) const;
 
   const Catalog& catalog_;
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -101,7 +101,7 @@
       if (victim.machine == nullptr) continue;
       auto& machine = *victim.machine;
       if (suitability(machine, spec.image) < min_suitability) continue;
-      if (!may_replace(victim, spec, zones)) continue;
+      if (!fits_in_place_of(victim, spec, zones)) continue;
       ++zones[machine.zone];
       preempt(machine, victim.key, Seconds(0), now);
       victim.machine = nullptr;
@@ -109,8 +109,8 @@
     }
 }
 
-bool Preemption::may_replace(const Victim& victim, const JobSpec& spec,
-                             const ZoneUse& zones) const {
+bool Preemption::fits_in_place_of(const Victim& victim, const JobSpec& spec,
+                                  const ZoneUse& zones) const {
   const auto& machine = *victim.machine;
   const auto& freed = machine.tasks.at(victim.key).resources;
   if (!spec.per_task.fits_in(machine.free() + freed)) return false;
@@ -121,22 +121,22 @@
 
 void Preemption::preempt_for_gang(const Job& job, GangReservation& reservation,
                                   GangReservations& reservations, TimePoint now) {
-  for (const auto& victim : find_gang_victims(job, reservation.region, now)) {
+  for (const auto& victim : find_gang_victims(job, reservation.domain, now)) {
     if (reservation.missing == 0) return;
-    reservations.claim(fleet_, job.spec().id, *victim.machine);
+    reservations.reserve(fleet_, job.spec().id, *victim.machine);
     reservation.missing -= std::min(reservation.missing, victim.slots);
     preempt_all(*victim.machine, now);
   }
 }
 
 std::vector<Preemption::GangVictim> Preemption::find_gang_victims(const Job& job,
-                                                                  const std::string& region,
+                                                                  const std::string& domain,
                                                                   TimePoint now) {
   const auto& spec = job.spec();
   std::vector<GangVictim> victims;
   for (auto& [id, machine] : fleet_.all()) {
-    if (!may_host_gang(machine, job, region, now)) continue;
-    const auto slots = places_on(machine.capacity, spec);
+    if (!may_host_gang(machine, job, domain, now)) continue;
+    const auto slots = slots_in(machine.capacity, spec);
     if (slots > 0 && all_preemptible(machine, spec.priority))
       victims.push_back({&machine, slots, cost_of_stopping_all(machine, now)});
   }
@@ -145,11 +145,11 @@
   return victims;
 }
 
-bool Preemption::may_host_gang(const Machine& machine, const Job& job, const std::string& region,
+bool Preemption::may_host_gang(const Machine& machine, const Job& job, const std::string& domain,
                                TimePoint now) const {
-  if (!region.empty() && machine.zone != region) return false;
+  if (!domain.empty() && machine.zone != domain) return false;
   if (!task_starter_.placeable(machine, now) || !machine.reserved_for.empty()) return false;
-  if (machine.tasks.empty() || bindings_.holds(machine.id)) return false;
+  if (machine.tasks.empty() || bindings_.has_group(machine.id)) return false;
   if (job.avoids(machine.id, now)) return false;
   return allowed_on(job.spec(), machine.type, machine.zone, machine.spot);
 }
--- a/src/core/scheduling/preemption.hpp
+++ b/src/core/scheduling/preemption.hpp
@@ -57,10 +57,10 @@
   TaskIndex startable_replicas(const std::vector<Candidate>& queue) const;
   Victims find_victims(TimePoint now);
   void preempt_for_service(const Job& job, Victims& victims, TimePoint now);
-  bool may_replace(const Victim& victim, const JobSpec& spec, const ZoneUse& zones) const;
-  std::vector<GangVictim> find_gang_victims(const Job& job, const std::string& region,
+  bool fits_in_place_of(const Victim& victim, const JobSpec& spec, const ZoneUse& zones) const;
+  std::vector<GangVictim> find_gang_victims(const Job& job, const std::string& domain,
                                             TimePoint now);
-  bool may_host_gang(const Machine& machine, const Job& job, const std::string& region,
+  bool may_host_gang(const Machine& machine, const Job& job, const std::string& domain,
                      TimePoint now) const;
   bool all_preemptible(const Machine& machine, Priority priority) const;
   bool preemptible(const TaskKey& key, const Assignment& assignment, Priority priority) const;
--- a/src/core/scheduling/replica_consolidation.cpp
+++ b/src/core/scheduling/replica_consolidation.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// One replica in so many may be moving (docs/design.md, "Sparse replicas").
-constexpr std::size_t kReplicasPerMove = 300;
+constexpr std::size_t kReplicasPerConcurrentMove = 300;
 constexpr std::chrono::milliseconds kPassInterval{1000};
 /// Makes the threshold inclusive: a machine at just half of its capacity is worth draining, since
 /// two such machines make one.
@@ -37,7 +37,7 @@
   if (now - last_pass_ < kPassInterval) return;
   last_pass_ = now;
   auto found = survey(now);
-  const auto max_moving = std::max<std::size_t>(1, found.running / kReplicasPerMove);
+  const auto max_moving = std::max<std::size_t>(1, found.running / kReplicasPerConcurrentMove);
   std::stable_sort(found.sparse.begin(), found.sparse.end(), drained_before);
   for (auto* machine : found.sparse) {
     if (found.moving >= max_moving) return;
@@ -62,7 +62,7 @@
     if (task.shape == Shape::service)
       ++(task.running_since && !task.stop ? found.running : found.moving);
   if (!runs_only_replicas(machine) || !machine.reserved_for.empty() ||
-      bindings_.holds(machine.id)) {
+      bindings_.has_group(machine.id)) {
     fleet_.set(machine, &Machine::sparse_since, {});
     return;
   }
@@ -83,15 +83,15 @@
 
 bool ReplicaConsolidation::can_move_all(const Machine& machine,
                                         const std::vector<Machine*>& targets) const {
-  Claims claims;
+  PlannedUse planned_use;
   return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
     const auto& [key, assignment] = entry;
     const auto job = jobs_.find(key.job);
     if (job == jobs_.end() || job->second.tasks[key.index].restarted) return false;
     if (assignment.stop) return true;
-    const auto* target = find_target(job->second, machine, targets, claims);
+    const auto* target = find_target(job->second, machine, targets, planned_use);
     if (target == nullptr) return false;
-    claims[target->id] += assignment.resources;
+    planned_use[target->id] += assignment.resources;
     return true;
   });
 }
@@ -108,14 +108,15 @@
 
 Machine* ReplicaConsolidation::find_target(const Job& job, const Machine& from,
                                            const std::vector<Machine*>& targets,
-                                           const Claims& claims) const {
+                                           const PlannedUse& planned_use) const {
   const auto& spec = job.spec();
   auto zones = task_starter_.zone_use(job);
   if (const auto here = zones.find(from.zone); here != zones.end()) --here->second;
   for (auto* machine : targets) {
     if (machine->id == from.id || machine->draining) continue;
-    const auto claim = claims.find(machine->id);
-    const auto free = claim == claims.end() ? machine->free() : machine->free() - claim->second;
+    const auto planned = planned_use.find(machine->id);
+    const auto free =
+        planned == planned_use.end() ? machine->free() : machine->free() - planned->second;
     if (!spec.per_task.fits_in(free)) continue;
     if (image_rank(*machine, spec.image) != ImageRank::present) continue;
     if (!allowed_on(spec, machine->type, machine->zone, machine->spot)) continue;
--- a/src/core/scheduling/replica_consolidation.hpp
+++ b/src/core/scheduling/replica_consolidation.hpp
@@ -40,7 +40,7 @@
     std::vector<Machine*> targets;  // run nothing but replicas and may take more
     std::vector<Machine*> sparse;   // could be drained
   };
-  using Claims = std::map<MachineId, Resources>;
+  using PlannedUse = std::map<MachineId, Resources>;
 
   Survey survey(TimePoint now);
   void survey_machine(Machine& machine, Survey& found, TimePoint now);
@@ -49,10 +49,10 @@
   /// Stops the machine's replicas, as long as `moving` is below the limit.
   void move_replicas(Machine& machine, std::size_t& moving, std::size_t max_moving, TimePoint now);
   /// Where a replica could go: beside other replicas, with its image, in a zone that its job
-  /// allows. `claims`: capacity that other replicas of the same machine would take. Null if there
-  /// is no such machine.
+  /// allows. `planned_use`: capacity that other replicas of the same machine would take. Null if
+  /// there is no such machine.
   Machine* find_target(const Job& job, const Machine& from, const std::vector<Machine*>& targets,
-                       const Claims& claims) const;
+                       const PlannedUse& planned_use) const;
 
   const ControllerSettings& settings_;
   Outbox& out_;
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// How long a job leaves exclusive types alone after it was opened, though no task waits for them.
-constexpr std::chrono::seconds kReservationPatience{20};
+constexpr std::chrono::seconds kExclusiveTypeDelay{20};
 
 /// Starts in a round: at least this many, and this many for each command batch in flight.
 constexpr std::size_t kMinStarts = 200;
@@ -17,30 +17,30 @@
 
 /// Whatever capacity is kept for better use, a job that has waited for this takes what fits: then
 /// no task waits for 90 s beside a machine with free capacity (docs/design.md, "Held back").
-constexpr Seconds kMaxHeldBack{75};
+constexpr Seconds kMaxHoldBackTime{75};
 
 /// How long a task waits for a machine that holds its image, in fetch times. Where many tasks wait
 /// for each free slot, a fetch takes capacity from all of them, and an image holder is soon free.
-constexpr double kImageHolderPatience = 0.3;
-constexpr double kImageHolderPatienceIfScarce = 5;
+constexpr double kImageWaitInFetchTimes = 0.3;
+constexpr double kImageWaitInFetchTimesIfScarce = 5;
 
 /// A fetch under this part of the work is not worth waiting for a machine that holds the image.
 /// At 0.3, which also changed arrays of 30 s and more, vinsamlag fell from 0.693 to 0.643.
-constexpr double kFetchWorthWaiting = 0.05;
+constexpr double kMinFetchShareToWait = 0.05;
 
 /// A task of a suspected job that has run for so long shows that the job was not submitted with a
 /// mistake. With the longest of the other waits it is over within 90 s.
-constexpr Seconds kHealthyRun{30};
+constexpr Seconds kHealthyRunTime{30};
 
 /// Above any task's need, in each dimension.
-constexpr double kNoNeed = 1e18;
+constexpr double kInfiniteNeed = 1e18;
 
 /// Bounds the tasks that are counted against the free slots of one machine.
 constexpr std::size_t kMaxCountedTasks = 100'000;
 
 /// The smallest need of any waiting task, by dimension.
 Resources smallest_need(const std::vector<Candidate>& queue) {
-  Resources smallest{kNoNeed, kNoNeed, kNoNeed};
+  Resources smallest{kInfiniteNeed, kInfiniteNeed, kInfiniteNeed};
   for (const auto& candidate : queue) {
     const auto& need = candidate.job->spec().per_task;
     smallest = {std::min(smallest.cpus, need.cpus), std::min(smallest.gpus, need.gpus),
@@ -59,24 +59,24 @@
 
 }  // namespace
 
-void Scheduler::round(TimePoint now) {
+void Scheduler::run_round_if_due(TimePoint now) {
   const bool round_due = now - last_round_ >= to_duration(settings_.tuning.round);
   const bool quick_round_due =
       out_.placing_wanted() && now - last_round_ >= to_duration(settings_.tuning.quick_round);
   if (!round_due && !quick_round_due) return;
   last_round_ = now;
   out_.placing_begins();
-  place(now);
+  run_round(now);
 }
 
-void Scheduler::place(TimePoint now) {
+void Scheduler::run_round(TimePoint now) {
   if (catalog_.types().empty()) return;
   recovery_.refresh();
   scarcity_.note_exclusive_types(now);
   starvation_guard_.new_round();
   scarcity_.note_jobs();
   const auto queue = candidate_queue_.build(now);
-  clear_suspicions(queue, now);
+  clear_suspected_jobs(queue, now);
   scarcity_.note_exclusive_demand(
       std::any_of(queue.begin(), queue.end(),
                   [&](const Candidate& candidate) { return needs_exclusive_type(candidate); }));
@@ -84,9 +84,9 @@
   BinPacker packer(settings_.tuning.bin_unit, now);
   const auto schedulable = schedulable_machines(queue, smallest, now);
   note_free_slots(queue, smallest, schedulable);
-  if (scarcity_.has_gangs()) packer.keep_whole();
-  for (auto* machine : schedulable) packer.offer(*machine);
-  place_bound(packer, now);
+  if (scarcity_.has_gangs()) packer.preserve_empty_machines();
+  for (auto* machine : schedulable) packer.add_machine(*machine);
+  place_bound_groups(packer, now);
   gang_scheduler_.new_round();
   place_queue(packer, queue, schedulable, now);
   starvation_guard_.reserve_machine(queue, now);
@@ -97,22 +97,23 @@
   scale_out(queue, now);
 }
 
-void Scheduler::clear_suspicions(const Queue& queue, TimePoint now) {
+void Scheduler::clear_suspected_jobs(const Queue& queue, TimePoint now) {
   for (const auto& candidate : queue) {
     auto& job = *candidate.job;
-    if (!job.suspected || !has_healthy_task(job, now)) continue;
+    if (!job.suspected_faulty || !has_healthy_task(job, now)) continue;
     jobs_.before_change(job);
-    job.suspected = false;
+    job.suspected_faulty = false;
   }
 }
 
 bool Scheduler::has_healthy_task(const Job& job, TimePoint now) const {
   if (job.waiting.size() == job.tasks.size()) return false;
   bool healthy = false;
-  each_on_machines(fleet_, job, [&](const Machine&, const TaskKey&, const Assignment& assignment) {
-    healthy = healthy || (assignment.running_since &&
-                          now - *assignment.running_since >= to_duration(kHealthyRun));
-  });
+  for_each_assignment(
+      fleet_, job, [&](const Machine&, const TaskKey&, const Assignment& assignment) {
+        healthy = healthy || (assignment.running_since &&
+                              now - *assignment.running_since >= to_duration(kHealthyRunTime));
+      });
   return healthy;
 }
 
@@ -142,21 +143,21 @@
   smallest.per_task = smallest_need;
   smallest.tasks = static_cast<TaskIndex>(std::min(waiting, kMaxCountedTasks));
   std::size_t slots = 1;
-  for (const auto* machine : schedulable) slots += places_on(machine->free(), smallest);
+  for (const auto* machine : schedulable) slots += slots_in(machine->free(), smallest);
   scarcity_.note_free_slots(waiting, slots);
 }
 
 // Bound groups come first, on the machine that was requested for them.
-void Scheduler::place_bound(BinPacker& packer, TimePoint now) {
+void Scheduler::place_bound_groups(BinPacker& packer, TimePoint now) {
   const auto is_ready = [&](const MachineId& id) {
     const auto* machine = fleet_.find(id);
     return machine == nullptr || task_starter_.placeable(*machine, now);
   };
-  bindings_.settle(is_ready, [&](Job& job, TaskIndex index, const MachineId& id) {
+  bindings_.place_ready_groups(is_ready, [&](Job& job, TaskIndex index, const MachineId& id) {
     auto* machine = fleet_.find(id);
     if (machine != nullptr &&
         task_starter_.start(job, index, *machine, task_starter_.next_attempt(), now))
-      packer.placed(*machine);
+      packer.task_placed(*machine);
   });
 }
 
@@ -167,11 +168,11 @@
   starts_left_ = std::max(kMinStarts, kStartsPerCommandBatch * commands_.window().size());
   for (const auto pass : {ImagePass::holders_only, ImagePass::all_machines})
     for (const auto& candidate : queue) {
-      if (starvation_guard_.yields_quota(candidate)) continue;
+      if (starvation_guard_.must_leave_quota(candidate)) continue;
       if (candidate.job->gang() && pass == ImagePass::holders_only)
         gang_scheduler_.place(candidate, schedulable, now);
       if (!packer.empty()) place_job(packer, candidate, pass, now);
-      if (candidate.starving) starvation_guard_.note_not_started(*candidate.job, now);
+      if (candidate.starving) starvation_guard_.reserve_quota_if_blocked(*candidate.job, now);
     }
 }
 
@@ -190,7 +191,7 @@
   // A starving job comes first with one task only; its other tasks take their usual position.
   if (candidate.starving && job.has_started) return false;
   const bool has_task_assigned = job.waiting.size() < job.tasks.size();
-  return !(job.suspected && has_task_assigned);
+  return !(job.suspected_faulty && has_task_assigned);
 }
 
 Scheduler::PlacementRules Scheduler::placement_rules(const Candidate& candidate, ImagePass pass,
@@ -198,12 +199,12 @@
   const auto& job = *candidate.job;
   const auto& spec = job.spec();
   PlacementRules rules;
-  rules.one_task_only = candidate.starving || job.suspected;
-  rules.zone_bound = spec.same_zone || spec.spread;
+  rules.one_task_only = candidate.starving || job.suspected_faulty;
+  rules.zone_constrained = spec.same_zone || spec.spread;
   // Exception to the design: empty on-demand machines are left to work that may use no others
   // (docs/design.md, "On-demand machines").
-  rules.spares_empty_expensive = scarcity_.on_demand_only_work() && spec.spot_allowed &&
-                                 forecaster_.age(job, now) < settings_.tuning.on_demand_patience;
+  rules.excludes_empty_expensive = scarcity_.on_demand_only_work() && spec.spot_allowed &&
+                                   forecaster_.age(job, now) < settings_.tuning.on_demand_patience;
   if (pass == ImagePass::holders_only && !image_wait_over(candidate, now))
     rules.min_image_rank = ImageRank::fetching;
   if (leaves_exclusive_types(candidate, now))
@@ -216,15 +217,15 @@
   const auto& job = *candidate.job;
   const auto fetch = max_fetch_time(job.spec());
   const double patience =
-      scarcity_.slots_scarce() ? kImageHolderPatienceIfScarce : kImageHolderPatience;
-  return candidate.starving || fetch < candidate.estimate * kFetchWorthWaiting ||
-         now - job.opened > to_duration(fetch * patience);
+      scarcity_.slots_scarce() ? kImageWaitInFetchTimesIfScarce : kImageWaitInFetchTimes;
+  return candidate.starving || fetch < candidate.estimate * kMinFetchShareToWait ||
+         now - job.opened_at > to_duration(fetch * patience);
 }
 
 bool Scheduler::leaves_exclusive_types(const Candidate& candidate, TimePoint now) const {
   const auto& job = *candidate.job;
-  return !candidate.starving && forecaster_.age(job, now) < kMaxHeldBack &&
-         (scarcity_.exclusive_demand_waiting() || now - job.opened < kReservationPatience);
+  return !candidate.starving && forecaster_.age(job, now) < kMaxHoldBackTime &&
+         (scarcity_.exclusive_demand_waiting() || now - job.opened_at < kExclusiveTypeDelay);
 }
 
 Seconds Scheduler::max_fetch_time(const JobSpec& spec) const {
@@ -241,7 +242,7 @@
   const auto& excluded = rules.excluded_types;
   if (!allowed_on(spec, machine.type, machine.zone, machine.spot)) return false;
   if (!machine.reserved_for.empty() && machine.reserved_for != spec.id) return false;
-  if (rules.spares_empty_expensive && !machine.spot && machine.tasks.empty() &&
+  if (rules.excludes_empty_expensive && !machine.spot && machine.tasks.empty() &&
       catalog_.expensive(machine.type, machine.spot))
     return false;
   if (std::find(excluded.begin(), excluded.end(), machine.type) != excluded.end()) return false;
@@ -249,7 +250,7 @@
 }
 
 bool Scheduler::may_start(const Job& job, TaskIndex index) const {
-  if (!job.tasks[index].bound.empty() && !settings_.tuning.bound_tasks_may_move) return false;
+  if (!job.tasks[index].bound_to.empty() && !settings_.tuning.bound_tasks_may_move) return false;
   return !recovery_.is_blocked(job, index);
 }
 
@@ -268,11 +269,11 @@
     if (machine == nullptr ||
         !task_starter_.start(job, index, *machine, task_starter_.next_attempt(), now))
       return false;
-    choices.placed(*machine);
+    choices.task_placed(*machine);
     starvation_guard_.note_start(candidate);
     --starts_left_;
     if (starts_left_ == 0 || rules.one_task_only) return false;
-    if (rules.zone_bound) return true;
+    if (rules.zone_constrained) return true;
   }
   return false;
 }
@@ -304,7 +305,7 @@
 
 bool Scheduler::may_uncordon_for(const Job& job, TimePoint now) const {
   if (job.gang() || job.waiting.empty()) return false;
-  if (forecaster_.age(job, now) < kMaxHeldBack) return false;
+  if (forecaster_.age(job, now) < kMaxHoldBackTime) return false;
   return task_starter_.startable(job) > 0 && task_starter_.within_limit(job.spec());
 }
 
--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -44,7 +44,7 @@
         candidate_queue_(catalog, fleet, jobs, forecaster, task_starter, starvation_guard) {}
 
   /// Makes a scheduling round if one is due.
-  void round(TimePoint now);
+  void run_round_if_due(TimePoint now);
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -60,9 +60,9 @@
     /// Only one task of the job may start in this round.
     bool one_task_only = false;
     /// A start changes which zones the job's next task may use (`same_zone`, `spread`).
-    bool zone_bound = false;
+    bool zone_constrained = false;
     /// Empty expensive machines are left to work that may use no spot machines.
-    bool spares_empty_expensive = false;
+    bool excludes_empty_expensive = false;
     ImageRank min_image_rank = ImageRank::absent;
     /// Machine types that are left to tasks which fit no other type.
     std::vector<std::string> excluded_types;
@@ -70,16 +70,16 @@
 
   using Queue = std::vector<Candidate>;
 
-  void place(TimePoint now);
+  void run_round(TimePoint now);
   /// Ends the suspicion of jobs of which a task runs on: they were not submitted with a mistake.
-  void clear_suspicions(const Queue& queue, TimePoint now);
+  void clear_suspected_jobs(const Queue& queue, TimePoint now);
   bool has_healthy_task(const Job& job, TimePoint now) const;
   std::vector<Machine*> schedulable_machines(const Queue& queue, const Resources& smallest_need,
                                              TimePoint now);
   void note_free_slots(const Queue& queue, const Resources& smallest_need,
                        const std::vector<Machine*>& schedulable);
   bool needs_exclusive_type(const Candidate& candidate) const;
-  void place_bound(BinPacker& packer, TimePoint now);
+  void place_bound_groups(BinPacker& packer, TimePoint now);
   void place_queue(BinPacker& packer, const Queue& queue, const std::vector<Machine*>& schedulable,
                    TimePoint now);
   void place_job(BinPacker& packer, const Candidate& candidate, ImagePass pass, TimePoint now);
--- a/src/core/scheduling/starvation_guard.cpp
+++ b/src/core/scheduling/starvation_guard.cpp
@@ -11,14 +11,14 @@
 
 /// Of the time in which a job must start, the part after which it counts as starving: the rest is
 /// for a machine that has to run free, an image and a boot.
-constexpr double kStarvingAfter = 0.4;
+constexpr double kStarvingFromFraction = 0.4;
 /// Until this many times that time: after it the job could not be helped, and others have a turn.
-constexpr double kStarvingUntil = 2;
+constexpr double kStarvingUntilMultiple = 2;
 /// Of so many starts one may be before all other jobs.
 constexpr double kStartsPerPrioritizedStart = 8;
 constexpr double kMaxPrioritizedStarts = 16;
 /// The largest tenth of a class's open jobs.
-constexpr double kLargestQuantile = 0.9;
+constexpr double kLargestJobsQuantile = 0.9;
 
 /// When an assignment is expected to end, and what it frees.
 struct ExpectedEnd {
@@ -29,14 +29,14 @@
 bool ends_before(const ExpectedEnd& a, const ExpectedEnd& b) { return a.left < b.left; }
 
 /// Whether the assignment is a replica that is not being stopped: it has no end of its own.
-bool runs_for_good(const Assignment& assignment) {
+bool runs_indefinitely(const Assignment& assignment) {
   return assignment.shape == Shape::service && !assignment.stop;
 }
 
 std::vector<ExpectedEnd> expected_ends(const Machine& machine, TimePoint now) {
   std::vector<ExpectedEnd> ends;
   for (const auto& [key, assignment] : machine.tasks) {
-    const auto left = runs_for_good(assignment) ? kEndless : remaining_of(assignment, now);
+    const auto left = runs_indefinitely(assignment) ? kEndless : remaining_of(assignment, now);
     ends.push_back({left, &assignment});
   }
   std::sort(ends.begin(), ends.end(), ends_before);
@@ -48,14 +48,15 @@
 bool StarvationGuard::starving(const Job& job, TimePoint now) const {
   const auto age = forecaster_.age(job, now);
   const auto allowed = settings_.tuning.begin_within;
-  return !job.has_started && age > allowed * kStarvingAfter && age < allowed * kStarvingUntil;
+  return !job.has_started && age > allowed * kStarvingFromFraction &&
+         age < allowed * kStarvingUntilMultiple;
 }
 
-bool StarvationGuard::prioritized_whole(const Job& job, TimePoint now) const {
+bool StarvationGuard::all_tasks_prioritized(const Job& job, TimePoint now) const {
   const auto largest = largest_job_sizes_.find(job.spec().job_class);
   return !job.gang() && !job.service() && largest != largest_job_sizes_.end() &&
          job.tasks.size() >= largest->second &&
-         forecaster_.age(job, now) > settings_.tuning.begin_within * kStarvingAfter;
+         forecaster_.age(job, now) > settings_.tuning.begin_within * kStarvingFromFraction;
 }
 
 void StarvationGuard::note_start(const Candidate& candidate) {
@@ -73,7 +74,7 @@
   for (const auto& [id, job] : jobs_)
     sizes_by_class[job.spec().job_class].push_back(static_cast<TaskIndex>(job.tasks.size()));
   for (auto& [job_class, sizes] : sizes_by_class) {
-    const auto rank = static_cast<long>(static_cast<double>(sizes.size()) * kLargestQuantile);
+    const auto rank = static_cast<long>(static_cast<double>(sizes.size()) * kLargestJobsQuantile);
     const auto quantile = sizes.begin() + rank;
     std::nth_element(sizes.begin(), quantile, sizes.end());
     largest_job_sizes_[job_class] = *quantile;
@@ -89,16 +90,16 @@
   if (!available) return false;
   for (const auto& [id, machine] : fleet_.all())
     for (const auto& [key, assignment] : machine.tasks)
-      if (assignment.team == spec.team && !runs_for_good(assignment))
+      if (assignment.team == spec.team && !runs_indefinitely(assignment))
         *available += assignment.resources;
   return (spec.per_task * static_cast<double>(tasks)).fits_in(*available);
 }
 
-void StarvationGuard::note_not_started(const Job& job, TimePoint now) {
+void StarvationGuard::reserve_quota_if_blocked(const Job& job, TimePoint now) {
   const auto tasks = job.gang() ? job.waiting.size() : 1;
   if (job.has_started || task_starter_.within_limit(job.spec(), tasks)) return;
   if (!quota_suffices_in_time(job, tasks)) return;
-  auto& yielded = yielded_quotas_[job.spec().team];
+  auto& yielded = quota_reservations_[job.spec().team];
   if (now - yielded.last > kReservationPause) yielded.since = now;
   if (now - yielded.since >= kReservationTime) return;
   yielded.last = now;
@@ -140,7 +141,7 @@
     return candidate.starving && needs_machine(*candidate.job, now);
   });
   if (first == queue.end()) return;
-  auto* machine = machine_free_soonest(*first->job, now);
+  auto* machine = soonest_free_machine(*first->job, now);
   if (machine == nullptr) return;
   reserved_machine_ = machine->id;
   reserved_for_job_ = first->job->spec().id;
@@ -151,14 +152,14 @@
 bool StarvationGuard::may_reserve(const Machine& machine, const Job& job, const ZoneUse& zones,
                                   TimePoint now) const {
   const auto& spec = job.spec();
-  if (!machine.reserved_for.empty() || bindings_.holds(machine.id)) return false;
+  if (!machine.reserved_for.empty() || bindings_.has_group(machine.id)) return false;
   if (job.avoids(machine.id, now) || !task_starter_.placeable(machine, now)) return false;
   if (!spec.per_task.fits_in(machine.capacity)) return false;
   return allowed_on(spec, machine.type, machine.zone, machine.spot) &&
          zone_allowed(spec, zones, machine.zone);
 }
 
-Machine* StarvationGuard::machine_free_soonest(const Job& job, TimePoint now) {
+Machine* StarvationGuard::soonest_free_machine(const Job& job, TimePoint now) {
   const auto zones = task_starter_.zone_use(job);
   Machine* soonest = nullptr;
   Seconds min_left = kEndless;
--- a/src/core/scheduling/starvation_guard.hpp
+++ b/src/core/scheduling/starvation_guard.hpp
@@ -41,15 +41,15 @@
 
   /// Whether the job is one of its class's largest and still has tasks to start after that time:
   /// within its priority all of its tasks come before all others, the oldest such job first.
-  bool prioritized_whole(const Job& job, TimePoint now) const;
+  bool all_tasks_prioritized(const Job& job, TimePoint now) const;
 
   /// Forgets the last round's blocked teams and finds the largest jobs of each class.
   void new_round();
   /// The round has passed a starving job. If it has not started because of its team's quota, what
   /// the team frees is kept for it.
-  void note_not_started(const Job& job, TimePoint now);
+  void reserve_quota_if_blocked(const Job& job, TimePoint now);
   /// Whether the candidate has to leave its team's quota to a starving job in this round.
-  bool yields_quota(const Candidate& candidate) const {
+  bool must_leave_quota(const Candidate& candidate) const {
     return !candidate.starving && blocked_teams_.contains(candidate.job->spec().team);
   }
   /// At the end of a round: reserves a machine for the first starving job that did not fit, until
@@ -59,7 +59,7 @@
   template <class S, class F>
   static void fields(S& s, F&& f) {
     f(s.reserved_machine_, s.reserved_for_job_, s.prioritized_starts_, s.reserved_since_,
-      s.no_reservation_before_, s.yielded_quotas_);
+      s.no_reservation_before_, s.quota_reservations_);
   }
 
  private:
@@ -67,7 +67,7 @@
   static constexpr double kInitialPrioritizedStarts = 4;
 
   /// A team's quota that is left to a starving job.
-  struct YieldedQuota {
+  struct QuotaReservation {
     TimePoint since{};
     TimePoint last{};
 
@@ -88,7 +88,7 @@
   bool may_reserve(const Machine& machine, const Job& job, const ZoneUse& zones,
                    TimePoint now) const;
   /// The machine that has capacity for one of the job's tasks soonest, or null.
-  Machine* machine_free_soonest(const Job& job, TimePoint now);
+  Machine* soonest_free_machine(const Job& job, TimePoint now);
   /// When the ends of running tasks leave capacity for one of the job's tasks, if nothing else
   /// starts.
   Seconds time_until_capacity(const Machine& machine, const JobSpec& spec, TimePoint now) const;
@@ -101,7 +101,7 @@
   const TaskBindings& bindings_;
   /// Starts before all other jobs that are allowed now, with fractions.
   double prioritized_starts_ = kInitialPrioritizedStarts;
-  std::map<std::string, YieldedQuota> yielded_quotas_;  // by team
+  std::map<std::string, QuotaReservation> quota_reservations_;  // by team
   TimePoint reserved_since_{};
   TimePoint no_reservation_before_{};
   MachineId reserved_machine_;  // empty: none
--- a/src/core/scheduling/task_bindings.cpp
+++ b/src/core/scheduling/task_bindings.cpp
@@ -4,7 +4,7 @@
 
 Job* TaskBindings::find_bound(const TaskKey& key, const std::string& bound) {
   const auto job = jobs_.find(key.job);
-  if (job == jobs_.end() || job->second.tasks[key.index].bound != bound) return nullptr;
+  if (job == jobs_.end() || job->second.tasks[key.index].bound_to != bound) return nullptr;
   return &job->second;
 }
 
@@ -12,7 +12,7 @@
   for (const auto& key : group) {
     auto& job = jobs_.at(key.job);
     jobs_.before_change(job);
-    job.tasks[key.index].bound = request;
+    job.tasks[key.index].bound_to = request;
   }
 }
 
@@ -21,7 +21,7 @@
   for (const auto& key : group)
     if (auto* job = find_bound(key, request)) {
       jobs_.before_change(*job);
-      job->tasks[key.index].bound = machine;
+      job->tasks[key.index].bound_to = machine;
     }
   if (!group.empty()) groups_[machine] = std::move(group);
 }
@@ -30,7 +30,7 @@
   for (const auto& key : group)
     if (auto* job = find_bound(key, bound)) {
       jobs_.before_change(*job);
-      job->tasks[key.index].bound.clear();
+      job->tasks[key.index].bound_to.clear();
     }
   out_.want_placing();
 }
--- a/src/core/scheduling/task_bindings.hpp
+++ b/src/core/scheduling/task_bindings.hpp
@@ -16,7 +16,7 @@
   TaskBindings(Outbox& out, Jobs& jobs) : out_(out), jobs_(jobs) {}
 
   /// Whether a group of tasks waits for the machine.
-  bool holds(const MachineId& id) const { return groups_.contains(id); }
+  bool has_group(const MachineId& id) const { return groups_.contains(id); }
   /// Binds tasks to a scale-out request that is not answered yet.
   void bind(const std::vector<TaskKey>& group, const std::string& request);
   /// Binds the tasks that are still bound to the request to the machine that it has brought.
@@ -29,7 +29,7 @@
   /// Calls `place(job, task index, machine id)` for each task whose machine is ready, and frees the
   /// tasks that did not start. `is_ready(machine id)`: the machine can take tasks, or is gone.
   template <class IsReady, class Place>
-  void settle(const IsReady& is_ready, const Place& place) {
+  void place_ready_groups(const IsReady& is_ready, const Place& place) {
     for (auto bound = groups_.begin(); bound != groups_.end();) {
       if (!is_ready(bound->first)) {
         ++bound;
--- a/src/diagnostics/placement_explanation.cpp
+++ b/src/diagnostics/placement_explanation.cpp
@@ -198,9 +198,9 @@
   PlacementExplanation out;
   out.job = job.spec().id;
   out.waiting = static_cast<core::TaskIndex>(job.waiting.size());
-  out.done = job.done;
+  out.done = job.done_count;
   out.on_machines = job.spec().tasks - out.done - out.waiting;
-  for (const auto index : job.waiting) out.bound += job.tasks[index].bound.empty() ? 0 : 1;
+  for (const auto index : job.waiting) out.bound += job.tasks[index].bound_to.empty() ? 0 : 1;
   return out;
 }
 
--- a/tests/core/machines/failure_detector_test.cpp
+++ b/tests/core/machines/failure_detector_test.cpp
@@ -314,7 +314,7 @@
   copy.tasks.push_back({{"req-0", 0}, 5, TaskState::running, ExitCause::none, false});
   copy.tasks.push_back({{"req-1", 0}, 6, TaskState::exited, ExitCause::done, false});
   controller_->heartbeat(copy, now_);
-  EXPECT_EQ(controller_->jobs().at("req-1").done, 1U);
+  EXPECT_EQ(controller_->jobs().at("req-1").done_count, 1U);
   run(Seconds(3));
   EXPECT_EQ(running(), 1U) << "the other one runs where it is reached";
   EXPECT_FALSE(saved_machines_.contains("m900")) << "the next leader must not wait for it";
@@ -502,7 +502,7 @@
     run(Seconds(20));
     ASSERT_GT(suspicions_, 0U);
     faulty_jobs_.clear();
-    run(kLongestPause);  // the longest pause before the next try
+    run(kMaxFailureBackoff);  // the longest pause before the next try
     const auto first = running();
     ASSERT_GT(first, 0U);
     run(Seconds(90));
--- a/tests/core/scheduling/bin_packer_test.cpp
+++ b/tests/core/scheduling/bin_packer_test.cpp
@@ -33,7 +33,7 @@
   auto& lesser = machine_with(fleet, "lesser", 32, Seconds(3));
   const auto spec = spec_of(1, 1, Seconds(10));
   BinPacker packer(Seconds(1), kNow);
-  for (auto* machine : {&far, &near, &greater, &roomy, &lesser}) packer.offer(*machine);
+  for (auto* machine : {&far, &near, &greater, &roomy, &lesser}) packer.add_machine(*machine);
   std::set<MachineId> barred;
   const auto choose = [&] {
     return packer
@@ -53,8 +53,8 @@
   auto& holder = machine_with(fleet, "holder", 8, Seconds(40), true);
   const auto spec = spec_of(1, 1, Seconds(10));
   BinPacker packer(Seconds(1), kNow);
-  packer.offer(closest);
-  packer.offer(holder);
+  packer.add_machine(closest);
+  packer.add_machine(holder);
   EXPECT_EQ(packer.choices(spec, Seconds(10), [](const Machine&) { return true; }).best(), &holder);
 }
 
--- a/tests/simulation/diagnosis.cpp
+++ b/tests/simulation/diagnosis.cpp
@@ -94,9 +94,10 @@
   const auto& controller = *leaders_.current()->controller;
   const auto& task = job.tasks[key.index];
   text << (controller.recovering() ? ", reconciling" : "") << ", phase "
-       << static_cast<int>(task.phase) << " on " << task.machine << " bound '" << task.bound
-       << "' paused " << -seconds_since(job.backoff_until) << (job.suspected ? ", suspected" : "")
-       << ", team uses " << controller.fleet().team_use(job.spec().team).cpus << ", ended attempts "
+       << static_cast<int>(task.phase) << " on " << task.machine << " bound '" << task.bound_to
+       << "' paused " << -seconds_since(job.backoff_until)
+       << (job.suspected_faulty ? ", suspected" : "") << ", team uses "
+       << controller.fleet().team_use(job.spec().team).cpus << ", ended attempts "
        << controller.ended_attempts().use_of(job.spec().team).cpus << ", "
        << controller.ended_attempts().settling().size() << " machines settled";
 }
@@ -106,7 +107,7 @@
     if (job.spec().team == team && !job.waiting.empty())
       text << "\n  " << id << (job.gang() ? " (gang)" : "") << " waits with " << job.waiting.size()
            << " of " << job.tasks.size() << " of " << job.spec().per_task.cpus << ", opened "
-           << seconds_since(job.opened) << " s ago";
+           << seconds_since(job.opened_at) << " s ago";
 }
 
 void Diagnosis::describe_counted_tasks(std::ostream& text, const std::string& team) const {
--- a/tests/store/learned_state_test.cpp
+++ b/tests/store/learned_state_test.cpp
@@ -119,9 +119,9 @@
   const core::TimePoint now{std::chrono::hours(5)};
   core::Controller next(controller, 9, now, now + std::chrono::seconds(60), recovered);
   const auto& job = next.jobs().at("req-saved");
-  EXPECT_EQ(job.tasks[1].saved, Seconds(7));
+  EXPECT_EQ(job.tasks[1].checkpointed, Seconds(7));
   // The job had waited 40 s, and 10 s more have passed, but it was submitted 40 s ago.
-  EXPECT_EQ(Seconds(now - job.opened), Seconds(40));
+  EXPECT_EQ(Seconds(now - job.opened_at), Seconds(40));
   EXPECT_EQ(job.waiting.size(), 4U) << "nothing is taken for being on a machine";
   EXPECT_TRUE(next.fleet().find("m1")->quarantined);
   EXPECT_FALSE(next.fleet().find("m1")->confirmed);
