--- a/src/core/jobs/deadline_forecaster.cpp
+++ b/src/core/jobs/deadline_forecaster.cpp
@@ -9,13 +9,13 @@
 namespace violetpulley::core {
 
 Seconds DeadlineForecaster::estimate_left(const Job& job, TaskIndex index) const {
-  return remaining_run_time(estimate(job.spec()), job.saved_run_time(index));
+  return remaining_run_time(estimate(job.spec()), job.checkpointed_run_time(index));
 }
 
 Seconds DeadlineForecaster::age(const Job& job, TimePoint now) const {
   const Seconds age_at_election = settings_.wall_at_start - job.record.submitted;
-  // Never less than the time for which this leader has known the job: a wrong time of day must not
-  // hold the job back.
+  // The lower bound is the time since a leader opened the job: if the wall clock was wrong at the
+  // submission or at the election, the difference between them may be too small or negative.
   return std::max(Seconds(now - job.opened_at), age_at_election + Seconds(now - elected_at_));
 }
 
--- a/src/core/jobs/deadline_forecaster.hpp
+++ b/src/core/jobs/deadline_forecaster.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// How long a task still takes and which objective its job can still meet: estimates with the
-/// halfway rule (paper 3.4, DESIGN), deadlines and the operators' objectives. Owns nothing but the
-/// time of the election.
+/// Estimates the remaining run time of tasks with the halfway rule (paper 3.4, DESIGN) and
+/// forecasts which deadline or objective of the operators a job can still meet. Owns only the time
+/// of the election.
 #pragma once
 
 #include "core/jobs/job.hpp"
@@ -10,14 +10,14 @@
 
 namespace violetpulley::core {
 
-/// What a job can still gain.
+/// The best outcome that a job can still reach.
 enum class DeadlineForecast {
   in_time,  ///< Can meet its deadline or a completion objective.
   late,     ///< Can meet a tardiness objective.
-  missed    ///< Nothing.
+  missed    ///< Can meet neither its deadline nor any objective.
 };
 
-/// Compares estimated ends of jobs with deadlines and objectives.
+/// Compares the estimated completion times of jobs with their deadlines and objectives.
 class DeadlineForecaster {
  public:
   DeadlineForecaster(const ControllerSettings& settings, const RunTimeEstimator& estimator,
@@ -26,14 +26,14 @@
 
   /// Expected run time of a whole task of the job.
   Seconds estimate(const JobSpec& spec) const { return estimator_.estimate(spec); }
-  /// Expected rest of the task's run time after its last checkpoint.
+  /// Expected run time of the task from its last checkpoint on.
   Seconds estimate_left(const Job& job, TaskIndex index) const;
-  /// Time since the submission.
+  /// Time since the job was submitted.
   Seconds age(const Job& job, TimePoint now) const;
   /// Time until the job's deadline or the next objective of its class that the job can still meet;
   /// infinite if there is none.
   Seconds time_left(const Job& job, TimePoint now) const;
-  /// Services, which have no time to be done by, are always in time.
+  /// Always `in_time` for services, which have neither a deadline nor a completion objective.
   DeadlineForecast forecast(const Job& job, TimePoint now) const;
 
  private:
--- a/src/core/jobs/each_assignment.hpp
+++ b/src/core/jobs/each_assignment.hpp
@@ -7,8 +7,8 @@
 
 namespace violetpulley::core {
 
-/// Calls `visit(machine, key, assignment)` for each task of the job that is, or may be, on a
-/// machine, in the order of the tasks. The visitor may end the assignment that it is given, and no
+/// Calls `visit(machine, key, assignment)` for each task of the job that is or may be on a machine,
+/// in the order of task indexes. `visit` may remove the assignment that is passed to it, but no
 /// other.
 template <class Visit>
 void for_each_assignment(Fleet& fleet, const Job& job, const Visit& visit) {
--- a/src/core/jobs/job.hpp
+++ b/src/core/jobs/job.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// An unfinished job as the leader sees it: the phase of each task, which progress is stored, and
-/// the failures so far. Keeps its own counters consistent; decides nothing.
+/// An unfinished job in the leader's memory: the phase of each task, the state of its progress
+/// records, and its failures. Keeps its counters consistent with the phases of its tasks; makes no
+/// scheduling decisions.
 #pragma once
 
 #include <set>
@@ -10,25 +11,26 @@
 
 namespace violetpulley::core {
 
-/// Longest pause of a job whose tasks fail; the job also avoids the machines on which they failed
-/// for this time after the last failure.
+/// Upper bound of the backoff of a job whose tasks fail. The job also avoids the machines on which
+/// its tasks failed for this time after the last failure.
 inline constexpr Seconds kMaxFailureBackoff{64};
 
-/// Phase of a task for the scheduler.
+/// The scheduler's view of a task.
 enum class Phase : std::uint8_t {
-  waiting,   ///< Not on any machine, as far as this leader knows.
-  assigned,  ///< Is or may be on `Task::machine`.
+  waiting,   ///< Not known to be on any machine.
+  assigned,  ///< Is, or may be, on `Task::machine`.
   done
 };
 
 /// A task of an unfinished job.
 struct Task {
   Phase phase = Phase::waiting;
-  bool restarted = false;   ///< By consolidation or preemption, which happens at most once.
-  bool persisted = false;   ///< The end of the task is recorded in the store.
-  MachineId machine;        ///< Empty unless assigned.
-  std::string bound_to;     ///< Request or booting machine that the task waits for; empty: none.
-  Seconds checkpointed{0};  ///< Run time that a restart need not repeat, thanks to a checkpoint.
+  bool restarted = false;  ///< By consolidation or preemption; happens at most once per task.
+  bool persisted = false;  ///< The completion of the task is recorded in the store.
+  MachineId machine;       ///< Empty unless the task is assigned.
+  std::string
+      bound_to;  ///< Scale-out request or booting machine that the task waits for, or empty.
+  Seconds checkpointed{0};  ///< Run time that the last checkpoint covers.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -39,7 +41,7 @@
 /// An unfinished job.
 struct Job {
   JobRecord record;
-  bool from_former_leader = false;  ///< Accepted before this leader was elected.
+  bool from_former_leader = false;  ///< Opened before this leader was elected.
   std::vector<Task> tasks;
   std::set<TaskIndex> waiting;           ///< Tasks in `Phase::waiting`.
   std::set<TaskIndex> chunks_dirty;      ///< Progress records that are out of date in the store.
@@ -50,22 +52,24 @@
   bool finishing = false;                ///< A `FinishJob` is in flight.
   TimePoint finish_retry{};              ///< No `FinishJob` before this time.
   TimePoint opened_at{};                 ///< When a leader first saw the job.
-  std::set<MachineId> failed_on;
-  int failures = 0;  ///< Failed tasks so far.
+  std::set<MachineId> failed_on;         ///< Machines on which tasks of the job have failed.
+  int failures = 0;                      ///< Number of task failures.
   TimePoint last_failure{};
-  TimePoint backoff_until{};  ///< No starts before this time.
+  TimePoint backoff_until{};  ///< No task starts before this time.
   Attempt attempt = 0;        ///< The attempt that all tasks of an assigned gang share.
-  /// By task: the machine of the last start, as recorded or about to be recorded. Empty if nothing
-  /// is recorded.
+  /// The machine of each task's last start, by task index, as in the placement record that is
+  /// stored or about to be stored. Empty if there is no record.
   std::vector<MachineId> placed_on;
-  bool placements_complete = false;  ///< The records of former leaders cover all their starts.
-  PlacementVersion placement_version = 0;            ///< Newest record that was requested.
-  PlacementVersion committed_placement_version = 0;  ///< Newest record that is committed.
-  bool has_started = false;                          ///< A task of the job has been on a machine.
-  /// All tasks have failed, on several machines: most likely the job was submitted with a mistake.
-  /// One task at a time is tried, until a task ends well.
+  bool placements_complete =
+      false;  ///< The placement records of former leaders cover all of their starts.
+  PlacementVersion placement_version = 0;            ///< Newest version whose write was requested.
+  PlacementVersion committed_placement_version = 0;  ///< Newest version that is committed.
+  bool has_started = false;  ///< A task of the job has been assigned at least once.
+  /// The job's tasks have failed on several machines and none has succeeded, so the job itself is
+  /// probably faulty. Only one task at a time is started until a task succeeds or runs for long
+  /// enough.
   bool suspected_faulty = false;
-  Seconds failure_backoff{0};  ///< Pause after the last failed try.
+  Seconds failure_backoff{0};  ///< Backoff after the last failed attempt.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -77,38 +81,41 @@
   }
 
   Job() : Job(JobRecord{}) {}
-  /// All tasks wait.
+  /// Creates the job with all tasks in `Phase::waiting`.
   explicit Job(JobRecord job_record);
 
   const JobSpec& spec() const { return record.spec; }
   bool gang() const { return record.spec.shape == Shape::gang; }
   bool service() const { return record.spec.shape == Shape::service; }
-  /// Whether starts of the job are recorded before they are sent: gangs and services have few
-  /// starts, and long waits when a start is in doubt.
+  /// Whether starts of the job are recorded in the store before they are sent. Only for gangs and
+  /// services: they start rarely, and after a failover they would wait long for an uncertain start
+  /// to be resolved.
   bool records_starts() const { return gang() || service(); }
-  /// Whether all tasks are done.
   bool complete() const { return done_count == tasks.size(); }
 
-  /// Whether a task of the job failed on this machine recently, so that other machines go first.
-  /// Where tasks failed on all machines that fit, the job would wait for ever beside free capacity,
-  /// so failures are forgotten after the longest pause.
+  /// Whether a task of the job has failed on this machine within `kMaxFailureBackoff`, so that the
+  /// job must use other machines. The limit exists because a job whose tasks have failed on all
+  /// machines that fit would otherwise never start again, even with free capacity.
   bool avoids(const MachineId& machine, TimePoint now) const {
     return !suspected_faulty && now - last_failure < kMaxFailureBackoff &&
            failed_on.contains(machine);
   }
 
-  /// Run time that a restart of the task need not repeat. A gang saves and restarts as a whole.
-  Seconds saved_run_time(TaskIndex index) const { return tasks[gang() ? 0 : index].checkpointed; }
+  /// Run time that a restart of the task can skip thanks to a checkpoint. A gang checkpoints and
+  /// restarts as a whole, so all of its tasks share the value of the first task.
+  Seconds checkpointed_run_time(TaskIndex index) const {
+    return tasks[gang() ? 0 : index].checkpointed;
+  }
 
-  /// Puts a task back into the queue; no effect on a task that is done.
+  /// Returns a task to `Phase::waiting`. No effect if the task is done.
   void set_waiting(TaskIndex index);
   void set_assigned(TaskIndex index, const MachineId& machine);
-  /// No effect on a task that is done already.
+  /// No effect if the task is done already.
   void set_done(TaskIndex index);
 
-  /// Progress records of the job that are, or may yet be, in the store.
+  /// Chunks whose progress records are in the store or are being written to it.
   std::vector<TaskIndex> chunks_written() const;
-  /// The progress record of a chunk as the job is now.
+  /// The progress record that describes the current state of the chunk.
   ProgressRecord progress(TaskIndex chunk) const;
 };
 
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr std::chrono::milliseconds kPersistInterval{1000};
-constexpr std::size_t kMaxPlacements = 400;  // tasks whose machines fit into one record
+constexpr std::size_t kMaxPlacements = 400;  // tasks whose machines fit into one placement record
 
-// Calls `apply(index)` for each index in the ranges below `end`.
+// Calls `apply(index)` for each index of the ranges that is below `end`.
 template <class Apply>
 void for_each_index(const std::vector<IndexRange>& ranges, std::size_t end, const Apply& apply) {
   for (const auto& [first, last] : ranges)
@@ -29,7 +29,7 @@
   const auto found = jobs_.find(id);
   auto& job = found->second;
   before_change(job);
-  // A `FinishJob` in flight deletes the progress records itself.
+  // The transaction of a `FinishJob` in flight deletes the progress records.
   if (auto chunks = job.chunks_written(); !chunks.empty() && !job.finishing)
     out_.push_back(DeleteProgress{id, std::move(chunks)});
   progress_dirty_.erase(id);
@@ -83,7 +83,8 @@
   last_persist_ = now;
   for (auto entry = progress_dirty_.begin(); entry != progress_dirty_.end();) {
     const auto found = jobs_.find(*entry);
-    if (found == jobs_.end() || found->second.complete()) {  // the job's end is written instead
+    if (found == jobs_.end() ||
+        found->second.complete()) {  // `FinishJob` records the job's end instead
       entry = progress_dirty_.erase(entry);
       continue;
     }
@@ -94,7 +95,7 @@
   }
 }
 
-// A chunk that is being written stays dirty until that write is answered.
+// A dirty chunk with a write in flight stays dirty and is written again after that write.
 void Jobs::save_dirty_chunks(Job& job) {
   for (auto chunk = job.chunks_dirty.begin(); chunk != job.chunks_dirty.end();) {
     if (job.chunks_in_flight.contains(*chunk)) {
@@ -119,7 +120,8 @@
   auto& job = found->second;
   before_change(job);
   job.chunks_in_flight.erase(record.chunk);
-  job.chunks_stored.insert(record.chunk);  // also a failed write may have reached the store
+  job.chunks_stored.insert(
+      record.chunk);  // a write reported as failed may still have reached the store
   if (!ok) {
     progress_changed(job, record.chunk * kProgressChunk);
     return;
@@ -131,7 +133,7 @@
 PlacementVersion Jobs::record_start(Job& job, TaskIndex index, const MachineId& machine) {
   before_change(job);
   job.placed_on.resize(job.tasks.size());
-  // The version counts batches: all starts until the next write share a version.
+  // The version counts batches: all starts up to the next write share one version.
   if (placements_dirty_.insert(job.spec().id).second) ++job.placement_version;
   job.placed_on[index] = machine;
   return job.placement_version;
--- a/src/core/jobs/jobs.hpp
+++ b/src/core/jobs/jobs.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// All unfinished jobs, and when their progress and ends are written to the store (PROTOCOL,
-/// "Users"; DESIGN: the state service holds jobs). Owns every `Job`.
+/// The table of all unfinished jobs, and the writes that keep their progress, placements and ends
+/// in the store (PROTOCOL, "Users"; DESIGN: the state service holds jobs). Owns every `Job`.
 #pragma once
 
 #include <functional>
@@ -11,11 +11,11 @@
 
 namespace violetpulley::core {
 
-/// The table of unfinished jobs with the writes that they need.
+/// Holds the unfinished jobs and requests the writes of their state.
 class Jobs {
  public:
   using Table = std::unordered_map<JobId, Job>;
-  /// Called before a job changes or is erased.
+  /// Called before a job is changed or erased.
   using BeforeChange = std::function<void(const Job&)>;
 
   explicit Jobs(Outbox& out) : out_(out) {}
@@ -31,51 +31,51 @@
   const Job& at(const JobId& id) const { return jobs_.at(id); }
   const Table& table() const { return jobs_; }
 
-  /// Registers the observer that a snapshot needs while it is taken in parts.
+  /// Sets the observer of changes, which an incremental snapshot needs to copy jobs before they
+  /// change.
   void set_change_observer(BeforeChange observer) { before_change_ = std::move(observer); }
-  /// Must be called before every change of a job from outside of this class.
+  /// Code outside of this class must call this function before it changes a job.
   void before_change(const Job& job) {
     if (before_change_) before_change_(job);
   }
 
-  /// Adds a job; no effect if the job is known.
+  /// Adds a job. No effect if the job is known.
   void open(const JobRecord& record, TimePoint now);
   /// Erases the job, which must be known, and deletes its progress records.
   void close(const JobId& id);
 
-  /// Takes over a progress record of a former leader.
+  /// Applies a progress record that a former leader wrote.
   void restore_progress(const ProgressRecord& record);
-  /// Takes over the placement records of former leaders, whose mark was set: a job without a record
-  /// was never started.
+  /// Applies the placement records of former leaders. Requires that the placement mark was set in
+  /// the store: then a gang or service without a record was never started.
   void restore_placements(const std::vector<PlacementRecord>& records);
 
-  /// Marks the task as done.
   void task_done(Job& job, TaskIndex index);
-  /// Schedules a write of the progress record that covers the task.
+  /// Schedules a write of the progress record that contains the task.
   void progress_changed(Job& job, TaskIndex index);
-  /// Result of a `SaveProgress`; a failed write is repeated.
+  /// Handles the result of a `SaveProgress`. A failed write is repeated.
   void progress_saved(const SaveProgress& saved, bool ok);
-  /// A `FinishJob` was not carried out: the next try is not before `retry`.
+  /// Handles a `FinishJob` that was not carried out: it is not repeated before `retry`.
   void finish_answered(const JobId& id, TimePoint retry);
 
-  /// Requests the end of each job whose tasks are all done.
+  /// Requests a `FinishJob` for each job whose tasks are all done.
   void finish_completed_jobs(TimePoint now);
-  /// Requests the progress writes that are due, once per `kPersistInterval`.
+  /// Requests the writes of changed progress records, at most once per `kPersistInterval`.
   void persist_progress(TimePoint now);
 
-  /// Records that the task is about to be started on the machine; returns the version of the record
-  /// that must be committed before the start is sent.
+  /// Records that the task is about to start on the machine. Returns the version of the placement
+  /// record that must be committed before the start command is sent.
   PlacementVersion record_start(Job& job, TaskIndex index, const MachineId& machine);
-  /// Result of a `SavePlacements` that was committed.
+  /// Handles the commit of a `SavePlacements`.
   void placements_saved(const JobId& id, PlacementVersion version);
-  /// Requests writes of placements that changed. `all_confirmed`: every machine has answered, so
-  /// the known assignments are all that there are; then all of them are written, and the mark
-  /// follows as soon as they are committed.
+  /// Requests the writes of changed placement records. `all_confirmed`: every machine has reported
+  /// its tasks, so no unknown assignment exists. If the placement mark is absent then, all
+  /// assignments are written, and the mark once they are committed.
   void persist_placements(bool all_confirmed);
 
-  /// Notes a gang that has lost a task, so that all its tasks must end.
+  /// Marks a gang as broken: it has lost a task, so all of its other tasks must stop.
   void note_broken_gang(const JobId& gang) { broken_gangs_.insert(gang); }
-  /// Returns the noted gangs and forgets them.
+  /// Returns the broken gangs and clears the set.
   std::set<JobId> take_broken_gangs() { return std::exchange(broken_gangs_, {}); }
 
   template <class S, class F>
@@ -85,7 +85,8 @@
   }
 
  private:
-  /// State of the mark that every start of a gang or service has its record.
+  /// State of the mark in the store that guarantees a placement record for every start of a gang or
+  /// service.
   enum class PlacementMark { absent, writing, set };
 
   void save_dirty_chunks(Job& job);
@@ -95,8 +96,8 @@
 
   Outbox& out_;
   Table jobs_;
-  // Jobs with writes that are due, so that an event costs what it changes and not a pass over all
-  // jobs.
+  // Jobs with pending work are indexed by id, so that the cost of an event does not grow with the
+  // number of jobs.
   std::set<JobId> progress_dirty_;
   std::set<JobId> complete_;
   std::set<JobId> broken_gangs_;
--- a/src/core/jobs/run_time_estimator.hpp
+++ b/src/core/jobs/run_time_estimator.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Run-time estimates. The design starts from the average past run time of a job class; as users
-/// also give an estimate with each job, the estimator averages the ratio of run time to the user's
-/// estimate (docs/design.md, "Estimator"). Owns these averages.
+/// Run-time estimates. The design predicts the average past run time of a job class. Because users
+/// also give an estimate with each job, the estimator averages the ratio of the measured run time
+/// to the user's estimate instead (docs/design.md, "Estimator"). Owns these averages.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,8 @@
 /// Predicts the run time of a task from its job's class and the user's estimate.
 class RunTimeEstimator {
  public:
-  /// Learns from a task that ended well after `run_time`. Services teach nothing.
+  /// Updates the average of the job's class with the run time of a successful task. Services, whose
+  /// tasks have no expected end, are ignored.
   void record_run_time(const JobSpec& spec, Seconds run_time) {
     if (spec.shape == Shape::service) return;
     if (spec.estimate <= Seconds(0) || run_time <= Seconds(0)) return;
@@ -25,11 +26,11 @@
     average.ratio += (ratio - average.ratio) / average.count;
   }
 
-  /// Whether nothing has been learned.
+  /// Whether no run time has been recorded.
   bool empty() const { return averages_.empty(); }
 
-  /// Expected run time of a whole task; `kEndless` for services. The user's estimate is taken as
-  /// given until enough tasks of the class have ended.
+  /// Expected run time of a whole task; `kEndless` for services. The user's estimate is not
+  /// corrected until `kMinTrustedCount` tasks of the class have ended.
   Seconds estimate(const JobSpec& spec) const {
     if (spec.shape == Shape::service) return kEndless;
     const auto known = averages_.find(spec.job_class);
@@ -44,13 +45,14 @@
 
  private:
   static constexpr int kMinTrustedCount = 5;
-  static constexpr int kMaxCount = 50;  // beyond it the average follows the newest run times
+  static constexpr int kMaxCount =
+      50;  // bounds the weight of old run times, so that the average follows newer ones
   static constexpr double kMinRatio = 0.05;
   static constexpr double kMaxRatio = 20.0;
 
   struct Average {
     int count = 0;
-    double ratio = 1.0;  // of the run time to the user's estimate
+    double ratio = 1.0;  // run time / user's estimate
 
     template <class S, class F>
     static void fields(S& s, F&& f) {
--- a/tests/core/jobs/job_test.cpp
+++ b/tests/core/jobs/job_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The progress records of a job.
+/// Tests of the progress records of a job.
 #include "core/jobs/job.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace violetpulley::core {
 namespace {
 
-TEST(Progress, IsKeptInRangesAndChunks) {
+TEST(JobProgress, ChunkRecordsListDoneTasksAsRanges) {
   JobRecord record;
   record.spec = spec_of(1, 1, Seconds(1));
   record.spec.tasks = 2500;
