--- a/src/core/jobs/deadline_forecaster.cpp
+++ b/src/core/jobs/deadline_forecaster.cpp
@@ -15,7 +15,8 @@
 Seconds DeadlineForecaster::age(const Job& job, TimePoint now) const {
   const Seconds age_at_election = settings_.wall_at_start - job.record.submitted;
   // The lower bound is the time since a leader opened the job: if the wall clock was wrong at the
-  // submission or at the election, the difference between them may be too small or negative.
+  // submission or at the election, the difference between them may be too small, which would delay
+  // the job.
   return std::max(Seconds(now - job.opened_at), age_at_election + Seconds(now - elected_at_));
 }
 
--- a/src/core/scheduling/bin_packer.cpp
+++ b/src/core/scheduling/bin_packer.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-/// What a GB of free memory counts for, in CPUs: it decides between machines with as many free
-/// CPUs.
+/// Weight of 1 GB of free memory in CPUs. Small, so that memory only decides between machines with
+/// equally many free CPUs.
 constexpr double kCpusPerFreeGb = 0.01;
 
-/// Lesser bins come after all greater ones; above the number of any bin.
+/// Added to the position of lesser bins, which come after all greater ones. Exceeds the number of
+/// any bin.
 constexpr int kLesserBinsOffset = 1000;
 
-/// Free capacity as one figure, for "most free room" among machines of different types.
+/// Free capacity as one number, to compare machines of different types.
 double free_capacity(const Machine& machine) {
   const auto free = machine.free();
   return free.cpus + free.memory_gb * kCpusPerFreeGb;
@@ -77,7 +78,8 @@
 BinPacker::Choices::Choices(BinPacker& packer, const JobSpec& spec, Seconds estimate)
     : packer_(packer), spec_(spec), estimate_(estimate) {}
 
-// Order of bins: own, then greater (nearest first), then lesser (nearest first).
+// Order of bins: the task's own, then greater ones (nearest first), then lesser ones (nearest
+// first).
 void BinPacker::Choices::set_bin_order(Entry& entry) const {
   const int own = bin_of(estimate_, packer_.bin_unit_);
   const int bin = packer_.machines_[entry.index].bin;
@@ -90,14 +92,15 @@
 }
 
 bool BinPacker::Choices::is_better(const Entry& a, const Entry& b) const {
-  // Exception to the design: machines that hold the image come before those that must fetch it,
-  // since a fetch takes as long as much of the work (docs/design.md, "Images").
+  // Exception to the design: machines that hold the image come before machines that must fetch it,
+  // since a fetch often takes as long as a large part of the task (docs/design.md, "Images").
   if (a.image_rank != b.image_rank) return a.image_rank > b.image_rank;
-  // Exception to the design: expensive machines come after all cheaper ones, so that they run
-  // empty and are returned first (docs/design.md, "Expensive machines last").
+  // Exception to the design: expensive machines come after all cheaper ones, so that they become
+  // empty and are returned to the cloud first (docs/design.md, "Expensive machines last").
   if (a.expensive != b.expensive) return b.expensive;
-  // Exception to the design: most free capacity would spread small tasks over all machines and
-  // leave none to a gang whose tasks need whole machines (docs/design.md, "Gangs").
+  // Exception to the design: choosing the machine with the most free capacity would spread small
+  // tasks over all machines and leave none for a gang whose tasks need whole machines
+  // (docs/design.md, "Gangs").
   if (a.takes_empty_machine != b.takes_empty_machine) return b.takes_empty_machine;
   if (a.bin_order != b.bin_order) return a.bin_order < b.bin_order;
   const auto& a_machine = packer_.machines_[a.index];
--- a/src/core/scheduling/bin_packer.hpp
+++ b/src/core/scheduling/bin_packer.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Packing by run-time bins (paper 3.2.2, DESIGN): a task goes to its own bin by closest remaining
-/// time, then to greater bins, then to lesser bins, in each by most free capacity. Owns the
-/// machines of one scheduling round with their bins.
+/// Packing by run-time bins (paper 3.2.2, DESIGN): a task goes to the machine in its own bin with
+/// the closest remaining run time, else to a greater bin, else to a lesser bin, there to the
+/// machine with the most free capacity. Holds the machines of one scheduling round with their bins.
 #pragma once
 
 #include <functional>
@@ -14,7 +14,7 @@
 /// How much of an image a machine holds.
 enum class ImageRank { absent, fetching, present };
 
-/// A job without an image finds it present everywhere.
+/// Always `present` if the job has no image.
 ImageRank image_rank(const Machine& machine, const std::string& image);
 
 /// Chooses machines for the tasks of one scheduling round.
@@ -25,16 +25,17 @@
   /// Adds a machine that may take tasks in this round.
   void add_machine(Machine& machine);
   bool empty() const { return machines_.empty(); }
-  /// Tasks wait that need whole machines: work that fits elsewhere leaves empty machines alone.
+  /// From now on empty on-demand machines are used last, since tasks that need whole machines are
+  /// waiting.
   void preserve_empty_machines() { preserve_empty_machines_ = true; }
 
-  /// What the tasks of one job may choose from. The tasks are alike, so one pass over the machines
-  /// serves them all.
+  /// The machines that the tasks of one job may use. All tasks of a job have the same needs, so the
+  /// machines are filtered once per job.
   class Choices {
    public:
-    /// The best machine that still has free capacity for a task; null if there is none.
+    /// The best machine that still has free capacity for a task, or null.
     Machine* best();
-    /// A task was placed on the machine: its bin and its image rank follow.
+    /// Updates the machine's bin and image rank after a task was placed on it.
     void task_placed(Machine& machine);
 
    private:
@@ -43,11 +44,12 @@
       /// Index into `BinPacker::machines_`.
       std::size_t index = 0;
       ImageRank image_rank = ImageRank::absent;
-      /// Position of the machine's bin among all bins; lower is better.
+      /// Position of the machine's bin in the order of preference; lower is better.
       int bin_order = 0;
       bool own_bin = false;
       bool expensive = false;
-      /// The machine is empty, and kept so while other machines have free capacity.
+      /// The machine is empty and on-demand, and is to stay empty while other machines have free
+      /// capacity.
       bool takes_empty_machine = false;
     };
     Choices(BinPacker& packer, const JobSpec& spec, Seconds estimate);
@@ -61,16 +63,16 @@
     std::vector<Entry> entries_;
   };
 
-  /// The machines that a job's tasks may choose from. `may_use` filters by zone, type and
-  /// reservations; `min_image_rank` is the least that a machine must hold of the image.
+  /// The machines that a job's tasks may use. `may_use` filters by zone, type and reservations;
+  /// `min_image_rank` excludes machines with a lower rank.
   Choices choices(const JobSpec& spec, Seconds estimate,
                   const std::function<bool(const Machine&)>& may_use,
                   ImageRank min_image_rank = ImageRank::absent);
 
-  /// A task was placed on the machine outside of any choices.
+  /// Updates the machine's bin after a task was placed on it without `Choices`.
   void task_placed(Machine& machine);
 
-  /// Machines examined, each time counted: what a round costs.
+  /// How many machines were examined, counting repetitions: a measure of a round's cost.
   std::uint64_t inspections() const { return inspections_; }
 
  private:
--- a/src/core/scheduling/candidate.hpp
+++ b/src/core/scheduling/candidate.hpp
@@ -1,25 +1,26 @@
 /// @file
-/// A job with waiting tasks, as one scheduling round sees it (docs/design.md, "Order of the
-/// queue"). Plain values, built anew in each round.
+/// A job with waiting tasks and its sort criteria in one scheduling round (docs/design.md, "Order
+/// of the queue"). Rebuilt in each round.
 #pragma once
 
 #include "core/jobs/deadline_forecaster.hpp"
 
 namespace violetpulley::core {
 
-/// A job with waiting tasks and what decides its position in the queue.
+/// A job with waiting tasks and the values that decide its position in the queue.
 struct Candidate {
   Job* job = nullptr;
-  /// Expected run time that is left of one of its tasks.
+  /// Expected remaining run time of its first waiting task.
   Seconds estimate{0};
-  /// All of the job's waiting tasks are within the guarantee of its team.
+  /// Whether all of the job's waiting tasks fit into the guarantee of its team.
   bool guaranteed = false;
   DeadlineForecast forecast = DeadlineForecast::missed;
-  /// Work of all waiting tasks, in GPU seconds if they need GPUs, else in CPU seconds.
+  /// Expected work of all waiting tasks, in GPU seconds if they need GPUs, else in CPU seconds.
   double work = 0;
-  /// A gang or a large job that has waited long: within its priority it comes first.
+  /// A gang or one of the largest jobs of its class that has waited for long: it comes first within
+  /// its priority.
   bool aged = false;
-  /// The job has to start now: it comes before all others, with its first task only.
+  /// A starving job (`StarvationGuard::starving`): its first task comes before all other jobs.
   bool starving = false;
 };
 
--- a/src/core/scheduling/candidate_queue.cpp
+++ b/src/core/scheduling/candidate_queue.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// Where machines are scarce, the smallest gangs come first, until others have waited for this.
+/// Gangs are sorted by work, so where machines are scarce small gangs come first. A gang that has
+/// waited for longer than this comes first within its priority.
 constexpr Seconds kGangAgingThreshold{20};
 
-/// Whether a team's guarantee covers this use: a guarantee may be in CPUs, in GPUs or in both.
+/// Whether a team's guarantee, which may be in CPUs, in GPUs or in both, covers this use.
 bool covers(const Team& team, const Resources& use) {
   const bool has_guarantee = team.guaranteed_cpus > 0 || team.guaranteed_gpus > 0;
   return has_guarantee &&
@@ -23,8 +24,8 @@
   return std::tie(a->record.submitted, a->spec().id) < std::tie(b->record.submitted, b->spec().id);
 }
 
-/// The design's order is longest first. Before it come priority, for the deadlines, and work
-/// within a team's guarantee (docs/design.md, "Order of the queue").
+/// Compares by starvation, priority, aging, guarantee, deadline forecast and work, in this order
+/// (docs/design.md, "Order of the queue").
 bool scheduled_before(const Candidate& a, const Candidate& b) {
   const auto a_priority = a.job->spec().priority;
   const auto b_priority = b.job->spec().priority;
--- a/src/core/scheduling/candidate_queue.hpp
+++ b/src/core/scheduling/candidate_queue.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The queue of a scheduling round: which jobs have tasks that may start, and in which order free
-/// capacity goes to them (docs/design.md, "Order of the queue"). Owns no state.
+/// The queue of a scheduling round: the jobs with tasks that may start, in the order in which they
+/// are offered free capacity (docs/design.md, "Order of the queue"). Owns no state.
 #pragma once
 
 #include "core/model/catalog.hpp"
@@ -26,8 +26,9 @@
 
  private:
   std::vector<Job*> startable_jobs_by_age(TimePoint now) const;
-  /// `team_demand`: what the team uses and what its older jobs wait for; the job's waiting tasks
-  /// are added. `may_prioritize`: the round may still put a starving job before all others.
+  /// `team_demand`: the team's current use plus the needs of its older waiting jobs; the needs of
+  /// the job's waiting tasks are added. `may_prioritize`: whether the round may put one more
+  /// starving job before all others.
   Candidate make_candidate(Job& job, Resources& team_demand, bool may_prioritize,
                            TimePoint now) const;
 
--- a/src/core/scheduling/gang_reservations.hpp
+++ b/src/core/scheduling/gang_reservations.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// Machines that gangs reserve until they can start. A machine is reserved for one gang at most,
-/// and nothing but that gang may start there (`Machine::reserved_for`). Owns the reservations and
-/// the regions in which a gang is short of machines in the current round.
+/// Machines that are reserved for gangs until these can start. A machine is reserved for at most
+/// one gang, and only that gang's tasks may start there (`Machine::reserved_for`). Owns the
+/// reservations and the placement domains in which a gang lacks machines in the current round. A
+/// placement domain is one zone, or any zone if its name is empty.
 #pragma once
 
 #include <map>
@@ -11,20 +12,20 @@
 
 namespace violetpulley::core {
 
-/// What one gang has reserved and requested. A slot is free capacity for one of its tasks.
+/// What one gang has reserved and requested. A slot is capacity for one of its tasks.
 struct GangReservation {
-  /// The zone to reserve in; empty: any zone.
+  /// The placement domain: the zone to reserve in, or empty for any zone.
   std::string domain;
   std::set<MachineId> machines;
-  /// Slots on machines that are being requested.
+  /// Slots on machines that are being requested from the cloud.
   TaskIndex requested = 0;
-  /// Slots neither reserved nor requested nor about to become free again.
+  /// Slots that are neither reserved nor requested nor about to be freed by ending tasks.
   TaskIndex missing = 0;
   TimePoint since{};
-  /// When the gang last reserved a machine.
+  /// When a machine was last added.
   TimePoint last_reserved{};
 
-  /// Whether the gang lacks slots and no request of its own will bring any.
+  /// Whether the gang lacks slots and has no request in flight that would provide them.
   bool is_short() const { return missing > 0 && requested == 0; }
   bool covers_zone(const std::string& zone) const { return domain.empty() || domain == zone; }
 
@@ -34,7 +35,7 @@
   }
 };
 
-/// How many tasks of a job fit into free capacity; at most all of them.
+/// How many tasks of a job fit into the free capacity, at most the number of its tasks.
 TaskIndex slots_in(const Resources& free, const JobSpec& spec);
 
 /// The reservations of all gangs.
@@ -44,21 +45,23 @@
   GangReservation* find(const JobId& gang);
   const GangReservation* find(const JobId& gang) const;
   GangReservation& open(const JobId& gang, const std::string& domain, TimePoint now);
-  /// Ends the gang's reservation, if there is one, and frees its machines.
+  /// Ends the gang's reservation, if it has one, and frees its machines.
   void close(Fleet& fleet, const JobId& gang);
   /// Reserves a machine for the gang, which must have a reservation.
   void reserve(Fleet& fleet, const JobId& gang, Machine& machine);
-  /// Takes a machine out of the reservation that it belongs to.
+  /// Removes a machine from the reservation that it belongs to.
   void release(Fleet& fleet, Machine& machine);
 
-  /// Gangs come in the order of the queue. The first gang of a region that is short keeps its
-  /// machines; those behind it free theirs, so that no two wait with half of their machines each.
+  /// Forgets the gangs that were short in the last round. Gangs are processed in queue order: the
+  /// first one that is short in a domain keeps its machines, and later ones free theirs, so that no
+  /// two gangs block each other with half of their machines each.
   void new_round() { short_domains_.clear(); }
   void note_short(const std::string& domain) { short_domains_.insert(domain); }
-  /// Whether a gang before this one is short in the region, or may be: empty means any zone.
+  /// Whether an earlier gang of this round is short in a domain that overlaps with this one. The
+  /// empty domain overlaps with every domain.
   bool another_is_short(const std::string& domain) const;
-  /// Gangs that are short may reserve machines in half of the zones; the rest is for gangs that
-  /// find enough at once.
+  /// Whether one more gang may hold an incomplete reservation in the domain. Incomplete
+  /// reservations may cover half of the zones; the other zones remain for gangs that fit at once.
   bool may_be_short(const std::string& domain, std::size_t zones) const;
 
   template <class S, class F>
--- a/src/core/scheduling/gang_scale_out.cpp
+++ b/src/core/scheduling/gang_scale_out.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// Scores that differ by less than this part are the same: a rounding error decides nothing.
+/// Scores with a smaller relative difference count as equal, so that rounding errors do not decide.
 constexpr double kScoreTolerance = 1e-9;
 
-/// Slots that one machine of the type would bring, at most as many as are missing.
+/// Slots that one machine of the offering would provide, at most as many as are missing.
 TaskIndex useful_slots(const InstanceOffering& offering, const JobSpec& spec, TaskIndex missing) {
   return std::min(slots_in(offering.type->capacity, spec), missing);
 }
 
-/// One group for each machine that the gang misses, no more than its spread allows in the zone.
+/// Appends one group per machine that is needed for this many slots.
 void append_groups(const JobSpec& spec, const InstanceOffering& offering, TaskIndex needed,
                    std::vector<ScaleOutGroup>& groups) {
   const auto slots_per_machine = slots_in(offering.type->capacity, spec);
--- a/src/core/scheduling/gang_scale_out.hpp
+++ b/src/core/scheduling/gang_scale_out.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which machines to request for gangs that miss slots. Owns no state.
+/// Chooses the machines to request for gangs that lack slots. Owns no state.
 #pragma once
 
 #include "core/autoscaling/instance_offerings.hpp"
@@ -10,8 +10,8 @@
 
 namespace violetpulley::core {
 
-/// Chooses instance offerings for gangs. A gang is one group over several machines: it is scored
-/// whole on type, zone and spot or on-demand, and requested in as few calls as can be.
+/// Chooses instance offerings for gangs. All slots that a gang lacks are scored together on one
+/// offering (type, zone, spot or on-demand), so that they need as few requests as possible.
 class GangScaleOut {
  public:
   GangScaleOut(const ControllerSettings& settings, const Catalog& catalog, const Fleet& fleet,
@@ -22,20 +22,20 @@
         forecaster_(forecaster),
         offerings_(offerings) {}
 
-  /// Adds to the plan a group for each machine that gangs of the queue still miss.
+  /// Adds a group to the plan for each machine that gangs of the queue still lack.
   void add_groups(const std::vector<Candidate>& queue, const GangReservations& reservations,
                   ScaleOutPlan& plan, TimePoint now) const;
 
  private:
-  /// What one gang still misses.
+  /// The demand of one gang that lacks slots.
   struct Need {
     const Job& job;
     const GangReservation& reservation;
-    /// Slots on the machines that are reserved already, by zone.
+    /// Slots on machines that are reserved for the gang, by zone.
     ZoneUse reserved_slots;
   };
 
-  /// The offering with the most slots for the price; null if there is none.
+  /// The offering with the most needed slots per price, or null.
   const InstanceOffering* best_offering(const Need& need,
                                         const std::vector<InstanceOffering>& offerings,
                                         TimePoint now) const;
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// A reserved machine that boots for longer than this times the boot time of its type, plus the
-/// slack, is no longer waited for.
+/// A reserved machine that has not booted after this multiple of its type's boot time, plus the
+/// slack, leaves the reservation.
 constexpr double kBootLateFactor = 1.5;
 constexpr std::chrono::seconds kBootSlack{2};
-/// How long a machine that is up may take until its registration is committed.
+/// A reserved machine that is up leaves the reservation if its registration is not committed within
+/// this time.
 constexpr std::chrono::seconds kRegistrationTimeout{5};
-/// A gang that is short in its region may change to another one after this.
+/// How long a gang that lacks slots waits before it may change to another placement domain.
 constexpr std::chrono::seconds kDomainChangeDelay{3};
 
 }  // namespace
@@ -24,7 +25,8 @@
                           TimePoint now) {
   auto& job = *candidate.job;
   const auto& spec = job.spec();
-  // Every machine that it may be on is accounted for: what is not seen of it is lost.
+  // A gang is not queued while an unconfirmed machine may run its tasks. So if only some of its
+  // tasks wait, the others belong to an attempt that has lost a task and must end.
   if (job.waiting.size() < job.tasks.size()) jobs_.note_broken_gang(spec.id);
   if (!task_starter_.within_limit(spec, job.waiting.size()))
     return reservations_.close(fleet_, spec.id);
@@ -35,8 +37,8 @@
   reserve_machines(job, schedulable, now);
 }
 
-// Starts all tasks or none. Everything is checked for the whole gang before the first start, and
-// for each task again where it is started.
+// Starts all tasks or none: every rule is checked for the whole gang before the first start, and
+// again for each task by `TaskStarter::start`.
 bool GangScheduler::start(Job& job, const std::vector<GangSlots>& slots, TimePoint now) {
   if (!can_start(job, slots, now)) return false;
   const auto attempt = task_starter_.next_attempt();
@@ -87,7 +89,7 @@
     preempt_or_close(job, *reservation, now);
 }
 
-// Other jobs wait beside what the gang reserves: if it gets nothing more, they have a turn.
+// Reserved machines are unavailable to other jobs, so a reservation that stops growing must end.
 bool GangScheduler::pause_if_stalled(Job& job, TimePoint now) {
   const auto& id = job.spec().id;
   const auto* reservation = reservations_.find(id);
@@ -128,11 +130,11 @@
   return domain ? &reservations_.open(id, *domain, now) : nullptr;
 }
 
-// Machines that will not take tasks soon leave the reservation; the others are counted with what
-// their stopping tasks free.
+// Machines that cannot take tasks soon are removed from the reservation. For the others, capacity
+// that stopping tasks are about to free counts as free.
 void GangScheduler::count_reserved(const JobSpec& spec, const GangReservation& reservation,
                                    GangSlotCount& slots, TimePoint now) {
-  const auto machines = reservation.machines;  // a release changes the reservation's own set
+  const auto machines = reservation.machines;  // a copy, since release() changes the set
   for (const auto& id : machines) {
     auto* machine = fleet_.find(id);
     if (is_usable_soon(*machine, now))
@@ -142,7 +144,7 @@
   }
 }
 
-// Where tasks of a failed attempt still end, their slots become free again.
+// Tasks of a failed attempt that are still ending free their slots, so these count as available.
 void GangScheduler::count_ending_tasks(const Job& job, const GangReservation& reservation,
                                        GangSlotCount& slots, TimePoint now) const {
   for (const auto& task : job.tasks) {
@@ -194,8 +196,8 @@
   return zones.size();
 }
 
-// All tasks of a gang that has lost one must be proven gone before it starts anew: those that have
-// not noticed are stopped. A task that saves a checkpoint is left to finish it.
+// A gang that has lost a task may only restart once all of its tasks have provably ended, so the
+// remaining tasks are stopped. A task that is writing a checkpoint may finish it.
 void GangScheduler::stop_broken_gangs(TimePoint now) {
   for (const auto& id : jobs_.take_broken_gangs()) {
     const auto found = jobs_.find(id);
@@ -209,7 +211,8 @@
   }
 }
 
-// One task that is done proves that all are, also those on machines that died since.
+// The tasks of a gang complete together, so one done task proves that all are done, also those on
+// machines that have failed since.
 void GangScheduler::complete_gang(Job& job) {
   for (TaskIndex index = 0; index < job.tasks.size(); ++index) {
     jobs_.task_done(job, index);
@@ -230,7 +233,7 @@
     reservation->requested -= std::min(reservation->requested, slots);
 }
 
-// A gang that has moved on leaves its machine to any job.
+// If the gang has no reservation any more, or one in another domain, any job may use the machine.
 void GangScheduler::machine_granted(const JobId& gang, Machine& machine) {
   const auto* reservation = reservations_.find(gang);
   if (reservation != nullptr && machine.reserved_for.empty() && machine.tasks.empty() &&
--- a/src/core/scheduling/gang_scheduler.hpp
+++ b/src/core/scheduling/gang_scheduler.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Gang scheduling: all tasks of a gang start together under one attempt or none does, and a gang
-/// that has lost a task ends whole before it starts anew (docs/safety.md, "Gangs, services and
-/// stops"). Owns the machines reserved for gangs; decides where each gang reserves, when it starts
-/// and which machines are requested for it.
+/// Gang scheduling: either all tasks of a gang start together under one attempt or none does, and a
+/// gang that has lost a task ends completely before it restarts (docs/safety.md, "Gangs, services
+/// and stops"). Owns the reservations of machines for gangs; decides where each gang reserves
+/// machines, when it starts and which machines are requested for it.
 #pragma once
 
 #include "core/scheduling/gang_scale_out.hpp"
@@ -30,28 +30,28 @@
         scale_out_(settings, catalog, fleet, forecaster, offerings) {}
 
   void new_round() { reservations_.new_round(); }
-  /// Starts the gang if it fits whole, else reserves machines for it. `schedulable`: the machines
-  /// that may take tasks in this round.
+  /// Starts the gang if all of its tasks fit, else reserves machines for it. `schedulable`: the
+  /// machines that may take tasks in this round.
   void place(const Candidate& candidate, const std::vector<Machine*>& schedulable, TimePoint now);
-  /// Adds to the plan a group for each machine that gangs still miss.
+  /// Adds a group to the plan for each machine that gangs still lack.
   void add_scale_out_groups(const std::vector<Candidate>& queue, ScaleOutPlan& plan,
                             TimePoint now) const {
     scale_out_.add_groups(queue, reservations_, plan, now);
   }
-  /// Stops what remains of gangs that have lost a task.
+  /// Stops the remaining tasks of gangs that have lost a task.
   void stop_broken_gangs(TimePoint now);
-  /// A task of the gang has completed.
+  /// Marks all tasks of the gang as done, after one of them has reported completion.
   void complete_gang(Job& job);
 
   void job_closed(const JobId& id) { reservations_.close(fleet_, id); }
   void machine_gone(Machine& machine) { reservations_.release(fleet_, machine); }
 
-  /// A machine with slots for the gang is being requested. Unknown gangs are ignored, here and in
-  /// the next two functions.
+  /// Handles the request of a machine with this many slots for the gang. This function and the next
+  /// two ignore gangs without a reservation.
   void slots_requested(const JobId& gang, TaskIndex slots);
-  /// That request has ended, with or without a machine.
+  /// Handles the end of such a request, whether or not it has provided a machine.
   void request_answered(const JobId& gang, TaskIndex slots);
-  /// The request has brought this machine.
+  /// Reserves a machine that such a request has provided.
   void machine_granted(const JobId& gang, Machine& machine);
 
   template <class S, class F>
@@ -63,13 +63,15 @@
   bool start(Job& job, const std::vector<GangSlots>& slots, TimePoint now);
   bool can_start(const Job& job, const std::vector<GangSlots>& slots, TimePoint now) const;
   void reserve_machines(Job& job, const std::vector<Machine*>& schedulable, TimePoint now);
-  /// Ends a reservation that has not grown for too long. Returns whether it has.
+  /// Ends the gang's reservation and delays the job if the gang lacks slots and no machine was
+  /// added within `kReservationTime`. Returns whether it did.
   bool pause_if_stalled(Job& job, TimePoint now);
-  /// Ends a reservation that another one keeps short, or that could grow in another region.
+  /// Ends a reservation that lacks slots in a domain where no machines can be requested, if an
+  /// earlier gang has precedence there or if machines can be requested in another domain.
   void leave_blocked_domain(const Job& job, TimePoint now);
   bool can_scale_out_in_other_domain(const JobSpec& spec, const std::string& domain,
                                      TimePoint now) const;
-  /// The gang's reservation, opened if need be; null if there is no region for it.
+  /// The gang's reservation, opened if necessary; null if no placement domain suits the gang.
   GangReservation* find_or_open_reservation(const Job& job,
                                             const std::vector<Machine*>& schedulable,
                                             TimePoint now);
@@ -80,7 +82,7 @@
   void reserve_free_machines(const Job& job, GangReservation& reservation, GangSlotCount& slots,
                              const std::vector<Machine*>& schedulable, TimePoint now);
   void preempt_or_close(const Job& job, GangReservation& reservation, TimePoint now);
-  /// Whether a reserved machine can be expected to take tasks soon.
+  /// Whether a reserved machine takes tasks now or is expected to do so soon.
   bool is_usable_soon(const Machine& machine, TimePoint now) const;
   std::size_t count_zones() const;
 
--- a/src/core/scheduling/gang_slots.cpp
+++ b/src/core/scheduling/gang_slots.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// How good a region is for a gang; compared field by field.
+/// How well a placement domain suits a gang; compared field by field.
 struct DomainScore {
   bool fits_now = false;
   bool can_scale_out = false;
@@ -15,13 +15,14 @@
   friend auto operator<=>(const DomainScore&, const DomainScore&) = default;
 };
 
-/// Machines with the image come first, then those that are reserved for the gang.
+/// Machines with the image come first, then machines that are reserved for the gang.
 bool is_better(const GangSlots& a, const GangSlots& b) {
   if (a.image_rank != b.image_rank) return a.image_rank > b.image_rank;
   return a.machine->reserved_for.size() > b.machine->reserved_for.size();
 }
 
-/// The first slots of the list, as many as the gang needs and its spread allows.
+/// The first slots of the list, at most as many as the gang needs in total and may use in each
+/// zone.
 std::vector<GangSlots> take_needed(const std::vector<GangSlots>& available, const JobSpec& spec) {
   std::vector<GangSlots> taken;
   ZoneUse use;
--- a/src/core/scheduling/gang_slots.hpp
+++ b/src/core/scheduling/gang_slots.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Where a gang can run: its regions and the slots that are free in them. Owns no state.
+/// Finds the placement domains of a gang (see gang_reservations.hpp) and the slots that are free in
+/// them. Owns no state.
 #pragma once
 
 #include "core/autoscaling/instance_offerings.hpp"
@@ -11,7 +12,7 @@
 
 namespace violetpulley::core {
 
-/// Tasks of a gang that one machine can take now.
+/// The number of a gang's tasks that one machine can take now.
 struct GangSlots {
   Machine* machine = nullptr;
   TaskIndex tasks = 0;
@@ -20,7 +21,7 @@
 
 TaskIndex total_slots(const std::vector<GangSlots>& slots);
 
-/// Counts slots for a gang by zone, no more in a zone than its spread allows.
+/// Counts slots for a gang by zone, at most as many in each zone as the job's `spread` allows.
 class GangSlotCount {
  public:
   explicit GangSlotCount(const JobSpec& spec) : max_in_zone_(max_tasks_in_zone(spec)) {}
@@ -33,27 +34,28 @@
   ZoneUse by_zone_;
 };
 
-/// Finds regions and free slots for gangs.
+/// Finds placement domains and free slots for gangs.
 class GangSlotFinder {
  public:
   GangSlotFinder(const Catalog& catalog, const InstanceOfferings& offerings,
                  const TaskBindings& bindings)
       : catalog_(catalog), offerings_(offerings), bindings_(bindings) {}
 
-  /// The regions in which the gang may reserve machines: zones if its tasks have to be in one, else
-  /// the empty region, which means any zone.
+  /// The domains in which the gang may reserve machines: single zones if all of its tasks must be
+  /// in one zone, else the empty domain, which means any zone.
   std::vector<std::string> domains(const JobSpec& spec) const;
   /// Slots for the gang's tasks on machines that could take them now, best first, at most as many
   /// as the gang has tasks. `schedulable`: the machines that may take tasks in this round.
   std::vector<GangSlots> free_slots(const Job& job, const std::string& domain,
                                     const std::vector<Machine*>& schedulable, TimePoint now) const;
-  /// Slots for the whole gang in the region where the most tasks find their image; empty if the
-  /// gang fits in no region.
+  /// Slots for the whole gang in the domain where the most tasks find their image present; empty if
+  /// the gang fits in no domain.
   std::vector<GangSlots> best_complete_slots(const Job& job,
                                              const std::vector<Machine*>& schedulable,
                                              TimePoint now) const;
-  /// Where the gang should reserve machines: best where it finds enough at once, then where
-  /// machines can be requested, then by free slots. None if another gang is short in every region.
+  /// The domain in which the gang should reserve machines: preferably one where it fits now, then
+  /// one where machines can be requested, then the one with the most free slots. None if an earlier
+  /// gang has precedence in every domain.
   std::optional<std::string> choose_domain(const Job& job, const GangReservations& reservations,
                                            const std::vector<Machine*>& schedulable,
                                            TimePoint now) const;
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How well a machine suits a replica that takes the capacity of one of its tasks.
+/// How well a machine suits a replica that replaces one of its tasks.
 enum class Suitability { empty_of_replicas, has_replicas, has_image };
 
 Suitability suitability(const Machine& machine, const std::string& image) {
@@ -20,14 +20,13 @@
   return has_replicas ? Suitability::has_replicas : Suitability::empty_of_replicas;
 }
 
-/// Summed in the order of the tasks.
+/// Sums the costs in the order of the machine's tasks.
 Seconds cost_of_stopping_all(const Machine& machine, TimePoint now) {
   Seconds cost{0};
   for (const auto& [key, assignment] : machine.tasks) cost += cost_of_stop(assignment, now);
   return cost;
 }
 
-/// For victims of either kind.
 template <class Victim>
 bool is_cheaper(const Victim& a, const Victim& b) {
   return a.cost < b.cost;
@@ -90,10 +89,11 @@
   const auto& spec = job.spec();
   auto zones = task_starter_.zone_use(job);
   auto needed = task_starter_.startable(job);
-  const auto coming = std::min(needed, victims.stopping);
-  needed -= coming;
-  victims.stopping -= coming;
-  // First where the image is, then where other replicas are: whole machines stay free.
+  const auto being_freed = std::min(needed, victims.stopping);
+  needed -= being_freed;
+  victims.stopping -= being_freed;
+  // Machines with the image come first, then machines with other replicas, so that replicas
+  // occupy fewer machines.
   for (const auto min_suitability :
        {Suitability::has_image, Suitability::has_replicas, Suitability::empty_of_replicas})
     for (auto& victim : victims.tasks) {
@@ -160,7 +160,7 @@
   });
 }
 
-// Over a copy of the keys, since each stop changes the assignments.
+// Iterates over a copy of the keys, since each stop may change the assignments.
 void Preemption::preempt_all(Machine& machine, TimePoint now) {
   std::vector<TaskKey> keys;
   for (const auto& [key, assignment] : machine.tasks) keys.push_back(key);
--- a/src/core/scheduling/preemption.hpp
+++ b/src/core/scheduling/preemption.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// Preemption: stops tasks for work of higher priority (PROTOCOL, "Preemption"). Only services and
-/// gangs preempt: arrays come and go, and an array's turn comes soon. A task is preempted once at
-/// most, as with consolidation, and the task that loses least goes first. Owns no state.
+/// Preemption: stops tasks of arrays for work of higher priority (PROTOCOL, "Preemption"). Only
+/// services and gangs preempt; arrays do not, since other arrays end often and free capacity soon.
+/// A task is preempted or moved by consolidation at most once in total, and tasks whose stop loses
+/// the least work go first. Owns no state.
 #pragma once
 
 #include "core/dispatch/task_starter.hpp"
@@ -25,33 +26,33 @@
         task_starter_(task_starter),
         bindings_(bindings) {}
 
-  /// Unplaced replicas get the capacity of other tasks, at once and without a checkpoint: users
-  /// wait.
+  /// Preempts tasks for waiting replicas. The tasks get no time for a checkpoint, because users
+  /// wait for the service.
   void preempt_for_services(const std::vector<Candidate>& queue, TimePoint now);
-  /// A gang that can request no machines for the slots it misses gets whole machines on which only
-  /// work of lower priority runs. They are reserved for it from the first stop on, so that no more
-  /// is stopped than the gang needs.
+  /// Preempts all tasks on machines that run only preemptible tasks of lower priority, for a gang
+  /// that lacks slots and cannot request machines. These machines are reserved for the gang at
+  /// once, so that no more tasks are stopped than it needs.
   void preempt_for_gang(const Job& job, GangReservation& reservation,
                         GangReservations& reservations, TimePoint now);
 
  private:
-  /// A task that may be preempted.
+  /// A task that may be preempted for a replica.
   struct Victim {
-    Machine* machine;  // null once the task is preempted
+    Machine* machine;  // null after the task was preempted
     TaskKey key;
-    Seconds cost;  // of the stop
+    Seconds cost;  // of stopping the task
   };
   /// The victims for services, cheapest first.
   struct Victims {
     std::vector<Victim> tasks;
-    /// Tasks that are being preempted already: their capacity is about to become free.
+    /// Tasks that are already being preempted, whose capacity is about to become free.
     TaskIndex stopping = 0;
   };
   /// A machine whose tasks may all be preempted for a gang.
   struct GangVictim {
     Machine* machine;
     TaskIndex slots;
-    Seconds cost;  // of all stops
+    Seconds cost;  // of stopping all tasks
   };
 
   TaskIndex startable_replicas(const std::vector<Candidate>& queue) const;
@@ -65,7 +66,7 @@
   bool all_preemptible(const Machine& machine, Priority priority) const;
   bool preemptible(const TaskKey& key, const Assignment& assignment, Priority priority) const;
   void preempt_all(Machine& machine, TimePoint now);
-  /// `grace`: the time that the task has for a checkpoint.
+  /// `grace`: the time that the task gets for a checkpoint.
   void preempt(Machine& machine, const TaskKey& key, Seconds grace, TimePoint now);
 
   const ControllerSettings& settings_;
--- a/src/core/scheduling/replica_consolidation.cpp
+++ b/src/core/scheduling/replica_consolidation.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// One replica in so many may be moving (docs/design.md, "Sparse replicas").
+/// At most one in this many replicas may be moving at a time (docs/design.md, "Sparse replicas").
 constexpr std::size_t kReplicasPerConcurrentMove = 300;
 constexpr std::chrono::milliseconds kPassInterval{1000};
-/// Makes the threshold inclusive: a machine at just half of its capacity is worth draining, since
-/// two such machines make one.
+/// Makes the threshold inclusive: a machine at exactly half of its capacity is worth draining,
+/// since the replicas of two such machines fit on one.
 constexpr double kThresholdSlack = 1e-6;
 
 bool runs_only_replicas(const Machine& machine) {
@@ -25,7 +25,7 @@
          });
 }
 
-/// Machines that are being drained come first, then those with the fewest replicas.
+/// Draining machines come first, then machines with the fewest replicas.
 bool drained_before(const Machine* a, const Machine* b) {
   if (a->draining != b->draining) return a->draining;
   return a->tasks.size() < b->tasks.size();
@@ -42,7 +42,7 @@
   for (auto* machine : found.sparse) {
     if (found.moving >= max_moving) return;
     const bool movable = can_move_all(*machine, found.targets);
-    // If some replica cannot move, all of them stay, and others may join them.
+    // If any replica cannot move, the machine is not drained and may take new tasks.
     fleet_.set(*machine, &Machine::draining, movable);
     if (movable) move_replicas(*machine, found.moving, max_moving, now);
   }
--- a/src/core/scheduling/replica_consolidation.hpp
+++ b/src/core/scheduling/replica_consolidation.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// Drains machines that only replicas keep (DESIGN's consolidation, for tasks without an end): what
-/// remains of a replica is endless and a move loses no work, but it leaves a gap. So machines are
-/// drained whole as elsewhere, only to machines that hold the image and other replicas, and few
-/// replicas move at a time. Owns the time of the last pass.
+/// Consolidation (DESIGN) for replicas of services: drains underused machines that run nothing but
+/// replicas. Replicas have no remaining run time to compare, and a move loses no work, but the
+/// replica is unavailable meanwhile. So only whole machines are drained, replicas move only to
+/// machines that hold the image and other replicas, and few replicas move at a time. Owns the time
+/// of the last pass.
 #pragma once
 
 #include "core/dispatch/task_starter.hpp"
@@ -10,7 +11,7 @@
 
 namespace violetpulley::core {
 
-/// Gathers replicas of services on fewer machines.
+/// Moves replicas of services to fewer machines.
 class ReplicaConsolidation {
  public:
   ReplicaConsolidation(const ControllerSettings& settings, Outbox& out, Fleet& fleet,
@@ -24,7 +25,7 @@
         task_starter_(task_starter),
         bindings_(bindings) {}
 
-  /// Gathers sparse replicas when that is due.
+  /// Makes a consolidation pass if one is due.
   void consolidate(TimePoint now);
 
   template <class S, class F>
@@ -33,12 +34,12 @@
   }
 
  private:
-  /// What one pass has found in the fleet.
+  /// The state of the fleet in one pass.
   struct Survey {
-    std::size_t running = 0;        // replicas
+    std::size_t running = 0;        // running replicas
     std::size_t moving = 0;         // replicas that are starting, stopping or waiting
-    std::vector<Machine*> targets;  // run nothing but replicas and may take more
-    std::vector<Machine*> sparse;   // could be drained
+    std::vector<Machine*> targets;  // machines with replicas only that may take more
+    std::vector<Machine*> sparse;   // underused machines that may be drained
   };
   using PlannedUse = std::map<MachineId, Resources>;
 
@@ -46,11 +47,11 @@
   void survey_machine(Machine& machine, Survey& found, TimePoint now);
   bool is_drainable(const Machine& machine, TimePoint now) const;
   bool can_move_all(const Machine& machine, const std::vector<Machine*>& targets) const;
-  /// Stops the machine's replicas, as long as `moving` is below the limit.
+  /// Stops the machine's replicas until `moving` has reached `max_moving`.
   void move_replicas(Machine& machine, std::size_t& moving, std::size_t max_moving, TimePoint now);
-  /// Where a replica could go: beside other replicas, with its image, in a zone that its job
-  /// allows. `planned_use`: capacity that other replicas of the same machine would take. Null if
-  /// there is no such machine.
+  /// A machine that could take a replica of the job: it runs other replicas, holds the image and is
+  /// in a zone that the job allows. `planned_use`: capacity that other replicas of the same machine
+  /// would take. Null if there is no such machine.
   Machine* find_target(const Job& job, const Machine& from, const std::vector<Machine*>& targets,
                        const PlannedUse& planned_use) const;
 
--- a/src/core/scheduling/run_time_bins.hpp
+++ b/src/core/scheduling/run_time_bins.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Run-time bins (paper 3.2.1): bin 0 spans [0, unit), bin i spans [2^(i-1), 2^i) units.
+/// Run-time bins (paper 3.2.1) and the remaining run time of tasks. Bin 0 spans [0, unit), bin i
+/// spans [2^(i-1), 2^i) units.
 #pragma once
 
 #include <cmath>
@@ -15,8 +16,8 @@
   return static_cast<int>(std::floor(std::log2(units))) + 1;
 }
 
-/// The halfway rule (paper 3.4, heuristic 1): a task past its estimate is assumed halfway done.
-/// `elapsed` is the run time so far.
+/// The halfway rule (paper 3.4, heuristic 1): a task that has exceeded its estimate is assumed to
+/// be halfway done, so as much time remains as has elapsed. `elapsed` is the run time so far.
 inline Seconds remaining_run_time(Seconds estimate, Seconds elapsed) {
   return elapsed < estimate ? estimate - elapsed : elapsed;
 }
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -8,37 +8,42 @@
 
 namespace {
 
-/// How long a job leaves exclusive types alone after it was opened, though no task waits for them.
+/// After it was opened, a job does not use exclusive types for this time, even if no task that
+/// needs them is waiting.
 constexpr std::chrono::seconds kExclusiveTypeDelay{20};
 
-/// Starts in a round: at least this many, and this many for each command batch in flight.
+/// Limit of starts per round: this many for each command batch that may be in flight, but at least
+/// `kMinStarts`.
 constexpr std::size_t kMinStarts = 200;
 constexpr std::size_t kStartsPerCommandBatch = 2;
 
-/// Whatever capacity is kept for better use, a job that has waited for this takes what fits: then
-/// no task waits for 90 s beside a machine with free capacity (docs/design.md, "Held back").
+/// A job that has waited for this long may use capacity that is withheld for more suitable work, so
+/// that no task waits for 90 s while a machine has free capacity for it (docs/design.md, "Held
+/// back").
 constexpr Seconds kMaxHoldBackTime{75};
 
-/// How long a task waits for a machine that holds its image, in fetch times. Where many tasks wait
-/// for each free slot, a fetch takes capacity from all of them, and an image holder is soon free.
+/// How long a job waits for machines that hold its image, as a multiple of the image's fetch time.
+/// Where many tasks wait for each free slot, the wait is longer: a fetch delays all of them, and a
+/// machine with the image soon has a free slot.
 constexpr double kImageWaitInFetchTimes = 0.3;
 constexpr double kImageWaitInFetchTimesIfScarce = 5;
 
-/// A fetch under this part of the work is not worth waiting for a machine that holds the image.
-/// At 0.3, which also changed arrays of 30 s and more, vinsamlag fell from 0.693 to 0.643.
+/// If the fetch takes less than this fraction of a task's run time, a job does not wait for
+/// machines that hold the image. A much larger fraction also made long tasks
+/// fetch instead of waiting, and gave worse measured results.
 constexpr double kMinFetchShareToWait = 0.05;
 
-/// A task of a suspected job that has run for so long shows that the job was not submitted with a
-/// mistake. With the longest of the other waits it is over within 90 s.
+/// Once a task of a job that is suspected to be faulty has run for this long, the suspicion ends.
+/// Short enough that, together with the longest of the other waits, no task waits for 90 s.
 constexpr Seconds kHealthyRunTime{30};
 
-/// Above any task's need, in each dimension.
+/// Exceeds any task's need, in each dimension.
 constexpr double kInfiniteNeed = 1e18;
 
-/// Bounds the tasks that are counted against the free slots of one machine.
+/// Upper bound of the slots that are counted on one machine.
 constexpr std::size_t kMaxCountedTasks = 100'000;
 
-/// The smallest need of any waiting task, by dimension.
+/// The smallest need of all waiting tasks, separately in each dimension.
 Resources smallest_need(const std::vector<Candidate>& queue) {
   Resources smallest{kInfiniteNeed, kInfiniteNeed, kInfiniteNeed};
   for (const auto& candidate : queue) {
@@ -49,7 +54,7 @@
   return smallest;
 }
 
-/// Waiting tasks of arrays and services.
+/// Number of waiting tasks of arrays and services.
 std::size_t waiting_tasks_without_gangs(const std::vector<Candidate>& queue) {
   std::size_t waiting = 0;
   for (const auto& candidate : queue)
@@ -123,7 +128,8 @@
                      [&](const auto& entry) { return !need.fits_in(entry.second.capacity); });
 }
 
-// Full machines are of no use to any job: with a large fleet that is nearly all of them.
+// Leaves out machines on which not even the smallest waiting task fits, to reduce the cost of a
+// round: in a large fleet nearly all machines are full.
 std::vector<Machine*> Scheduler::schedulable_machines(const Queue& queue,
                                                       const Resources& smallest_need,
                                                       TimePoint now) {
@@ -135,7 +141,7 @@
   return schedulable;
 }
 
-// A large machine has capacity for many tasks: slots count, not machines.
+// Counts slots instead of machines, since a large machine has capacity for many tasks.
 void Scheduler::note_free_slots(const Queue& queue, const Resources& smallest_need,
                                 const std::vector<Machine*>& schedulable) {
   const auto waiting = waiting_tasks_without_gangs(queue);
@@ -147,7 +153,7 @@
   scarcity_.note_free_slots(waiting, slots);
 }
 
-// Bound groups come first, on the machine that was requested for them.
+// Places bound groups on the machines that were requested for them, before any other task.
 void Scheduler::place_bound_groups(BinPacker& packer, TimePoint now) {
   const auto is_ready = [&](const MachineId& id) {
     const auto* machine = fleet_.find(id);
@@ -161,8 +167,9 @@
   });
 }
 
-// Two passes: capacity first goes to tasks whose image is there, whatever their position in the
-// queue, unless a task has waited for as long as its fetch takes; then to the others.
+// Makes two passes over the queue. The first one uses only machines that hold or are fetching the
+// job's image, except for jobs whose wait for such a machine is over (`image_wait_over`). The
+// second one uses all machines.
 void Scheduler::place_queue(BinPacker& packer, const Queue& queue,
                             const std::vector<Machine*>& schedulable, TimePoint now) {
   starts_left_ = std::max(kMinStarts, kStartsPerCommandBatch * commands_.window().size());
@@ -188,7 +195,7 @@
   const auto& job = *candidate.job;
   if (job.gang() || job.waiting.empty() || starts_left_ == 0) return false;
   if (!task_starter_.within_limit(job.spec())) return false;
-  // A starving job comes first with one task only; its other tasks take their usual position.
+  // Only the first task of a starving job is prioritized.
   if (candidate.starving && job.has_started) return false;
   const bool has_task_assigned = job.waiting.size() < job.tasks.size();
   return !(job.suspected_faulty && has_task_assigned);
@@ -201,8 +208,8 @@
   PlacementRules rules;
   rules.one_task_only = candidate.starving || job.suspected_faulty;
   rules.zone_constrained = spec.same_zone || spec.spread;
-  // Exception to the design: empty on-demand machines are left to work that may use no others
-  // (docs/design.md, "On-demand machines").
+  // Exception to the design: empty on-demand machines are withheld for work that may not use spot
+  // machines (docs/design.md, "On-demand machines").
   rules.excludes_empty_expensive = scarcity_.on_demand_only_work() && spec.spot_allowed &&
                                    forecaster_.age(job, now) < settings_.tuning.on_demand_patience;
   if (pass == ImagePass::holders_only && !image_wait_over(candidate, now))
@@ -212,7 +219,6 @@
   return rules;
 }
 
-// Waiting for a machine that holds the image pays only where the fetch is long against the work.
 bool Scheduler::image_wait_over(const Candidate& candidate, TimePoint now) const {
   const auto& job = *candidate.job;
   const auto fetch = max_fetch_time(job.spec());
@@ -263,7 +269,7 @@
       [&](const Machine& machine) { return may_use(machine, job, rules, zones, now); },
       rules.min_image_rank);
   for (auto next = job.waiting.begin(); next != job.waiting.end();) {
-    const auto index = *next++;  // a start takes the index out of the set
+    const auto index = *next++;  // a start erases the index from the set
     if (!may_start(job, index)) continue;
     auto* machine = choices.best();
     if (machine == nullptr ||
@@ -278,8 +284,8 @@
   return false;
 }
 
-// Draining machines take no new tasks, for as long as what runs there runs on. Where a job has
-// waited beside one and could have had its free capacity, the machine is uncordoned.
+// A draining machine takes no new tasks, and its running tasks may run for long. If a job has
+// waited for `kMaxHoldBackTime` and its tasks fit on a draining machine, the machine is uncordoned.
 void Scheduler::uncordon_draining(const Queue& queue, TimePoint now) {
   std::vector<Machine*> draining;
   for (auto& [id, machine] : fleet_.all())
@@ -309,9 +315,9 @@
   return task_starter_.startable(job) > 0 && task_starter_.within_limit(job.spec());
 }
 
-// No machines are requested for tasks that only this round's limit has left over, nor before it is
-// known what the fleet has: right after a start of all controllers, machines without a heartbeat
-// yet would seem to be lacking.
+// Requests no machines while tasks are unplaced only because of the round's limit of starts, or
+// before the fleet is known: right after all controllers have restarted, machines that have not
+// sent a heartbeat yet would seem to be missing.
 void Scheduler::scale_out(const Queue& queue, TimePoint now) {
   if (starts_left_ == 0)
     out_.want_placing();
--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// Scheduling rounds (paper 3.2.2, DESIGN): the queue of waiting jobs is packed into the free
-/// capacity by run-time bins, machines that hold the image first (docs/design.md, "Exceptions").
-/// Owns the time of the last round. Starts go through `TaskStarter`, unplaced tasks to
-/// `ScaleOutPlanner`.
+/// Scheduling rounds (paper 3.2.2, DESIGN): waiting jobs are packed into the free capacity by
+/// run-time bins, with machines that hold the image first (docs/design.md, "Exceptions"). Tasks are
+/// started through `TaskStarter`, and unplaced tasks are passed to `ScaleOutPlanner`. Owns the time
+/// of the last round.
 ///
-/// A round makes no more starts than commands can follow: after a failover thousands of tasks fit
-/// at once, and choosing machines for all of them in one round took a leader's processor for
-/// seconds, in which heartbeats were not answered.
+/// The number of starts per round is limited to what the command dispatcher can send: after a
+/// failover thousands of tasks may fit at once, and choosing machines for all of them in one round
+/// would keep the leader from answering heartbeats for seconds.
 #pragma once
 
 #include "core/autoscaling/scale_out_planner.hpp"
@@ -16,7 +16,7 @@
 
 namespace violetpulley::core {
 
-/// Decides in rounds which waiting tasks start on which machines.
+/// Decides which waiting tasks start on which machines.
 class Scheduler {
  public:
   Scheduler(const ControllerSettings& settings, Outbox& out, const Catalog& catalog, Fleet& fleet,
@@ -43,7 +43,6 @@
         starvation_guard_(starvation_guard),
         candidate_queue_(catalog, fleet, jobs, forecaster, task_starter, starvation_guard) {}
 
-  /// Makes a scheduling round if one is due.
   void run_round_if_due(TimePoint now);
 
   template <class S, class F>
@@ -52,27 +51,29 @@
   }
 
  private:
-  /// The queue is passed twice: first for machines that hold a job's image, then for all.
+  /// A round makes two passes over the queue: the first one uses only machines that hold or are
+  /// fetching a job's image, the second one all machines.
   enum class ImagePass { holders_only, all_machines };
 
   /// How the tasks of one job may be placed in one pass.
   struct PlacementRules {
     /// Only one task of the job may start in this round.
     bool one_task_only = false;
-    /// A start changes which zones the job's next task may use (`same_zone`, `spread`).
+    /// Each start may change the zones that the job's next task may use (`same_zone`, `spread`).
     bool zone_constrained = false;
-    /// Empty expensive machines are left to work that may use no spot machines.
+    /// Empty expensive on-demand machines are withheld for work that may not use spot machines.
     bool excludes_empty_expensive = false;
     ImageRank min_image_rank = ImageRank::absent;
-    /// Machine types that are left to tasks which fit no other type.
+    /// Machine types that are reserved for tasks that cannot use every other type.
     std::vector<std::string> excluded_types;
   };
 
   using Queue = std::vector<Candidate>;
 
   void run_round(TimePoint now);
-  /// Ends the suspicion of jobs of which a task runs on: they were not submitted with a mistake.
+  /// Clears `Job::suspected_faulty` of jobs that have a healthy task.
   void clear_suspected_jobs(const Queue& queue, TimePoint now);
+  /// Whether a task of the job has run for at least `kHealthyRunTime`.
   bool has_healthy_task(const Job& job, TimePoint now) const;
   std::vector<Machine*> schedulable_machines(const Queue& queue, const Resources& smallest_need,
                                              TimePoint now);
@@ -85,14 +86,15 @@
   void place_job(BinPacker& packer, const Candidate& candidate, ImagePass pass, TimePoint now);
   bool may_place(const Candidate& candidate) const;
   PlacementRules placement_rules(const Candidate& candidate, ImagePass pass, TimePoint now) const;
-  /// Whether the job has waited for an image holder for as long as that pays.
+  /// Whether the job no longer waits for a machine that holds its image: it is starving, the fetch
+  /// is short compared with the run time, or the job has waited for long enough.
   bool image_wait_over(const Candidate& candidate, TimePoint now) const;
-  /// Whether the job leaves exclusive types to the tasks that need them.
+  /// Whether the job must not use exclusive types, which are reserved for tasks that need them.
   bool leaves_exclusive_types(const Candidate& candidate, TimePoint now) const;
   bool may_use(const Machine& machine, const Job& job, const PlacementRules& rules,
                const ZoneUse& zones, TimePoint now) const;
-  /// Starts tasks of the job until none fits. Returns whether the choices have to be made anew,
-  /// since a start has changed which zones the next task may use.
+  /// Starts tasks of the job until none fits or a limit is reached. Returns true if it must be
+  /// called again, because a start may have changed the zones that the next task may use.
   bool start_tasks(BinPacker& packer, const Candidate& candidate, const PlacementRules& rules,
                    TimePoint now);
   bool may_start(const Job& job, TaskIndex index) const;
@@ -119,7 +121,7 @@
   StarvationGuard& starvation_guard_;
   CandidateQueue candidate_queue_;
   TimePoint last_round_{};
-  /// Starts that the current round may still make.
+  /// Number of starts that remain in the current round.
   std::size_t starts_left_ = 0;
 };
 
--- a/src/core/scheduling/starvation_guard.cpp
+++ b/src/core/scheduling/starvation_guard.cpp
@@ -9,26 +9,27 @@
 
 namespace {
 
-/// Of the time in which a job must start, the part after which it counts as starving: the rest is
-/// for a machine that has to run free, an image and a boot.
+/// A job counts as starving after this fraction of the time in which it must start. The rest of
+/// that time is for a machine to become free or to boot, and to fetch the image.
 constexpr double kStarvingFromFraction = 0.4;
-/// Until this many times that time: after it the job could not be helped, and others have a turn.
+/// After this multiple of that time the job no longer counts as starving: prioritizing it has not
+/// helped, so other jobs are prioritized.
 constexpr double kStarvingUntilMultiple = 2;
-/// Of so many starts one may be before all other jobs.
+/// Each prioritized start must be earned by this many other starts.
 constexpr double kStartsPerPrioritizedStart = 8;
-constexpr double kMaxPrioritizedStarts = 16;
-/// The largest tenth of a class's open jobs.
+constexpr double kMaxPrioritizedStarts = 16;  // that may accumulate
+/// The jobs of a class from this quantile of size on are its largest jobs.
 constexpr double kLargestJobsQuantile = 0.9;
 
-/// When an assignment is expected to end, and what it frees.
+/// The time until an assignment is expected to end and free its resources.
 struct ExpectedEnd {
-  Seconds left;
+  Seconds time_left;
   const Assignment* assignment;
 };
 
-bool ends_before(const ExpectedEnd& a, const ExpectedEnd& b) { return a.left < b.left; }
+bool ends_before(const ExpectedEnd& a, const ExpectedEnd& b) { return a.time_left < b.time_left; }
 
-/// Whether the assignment is a replica that is not being stopped: it has no end of its own.
+/// Whether the assignment has no expected end: a replica that is not being stopped.
 bool runs_indefinitely(const Assignment& assignment) {
   return assignment.shape == Shape::service && !assignment.stop;
 }
@@ -81,9 +82,8 @@
   }
 }
 
-// What the team may use beside what it has running for good. A job that does not fit into that
-// cannot be helped: found by seed 692 of Operations, where a gang of the size of its team's quota
-// blocked the team for ever, since replicas of the same team ran.
+// Counts the quota that the team's running replicas leave. Without this check a gang as large as
+// its team's quota blocked the team for ever, because replicas of the same team kept running.
 bool StarvationGuard::quota_suffices_in_time(const Job& job, std::size_t tasks) const {
   const auto& spec = job.spec();
   auto available = task_starter_.quota_left(spec.team);
@@ -99,10 +99,10 @@
   const auto tasks = job.gang() ? job.waiting.size() : 1;
   if (job.has_started || task_starter_.within_limit(job.spec(), tasks)) return;
   if (!quota_suffices_in_time(job, tasks)) return;
-  auto& yielded = quota_reservations_[job.spec().team];
-  if (now - yielded.last > kReservationPause) yielded.since = now;
-  if (now - yielded.since >= kReservationTime) return;
-  yielded.last = now;
+  auto& reservation = quota_reservations_[job.spec().team];
+  if (now - reservation.last_renewed > kReservationPause) reservation.since = now;
+  if (now - reservation.since >= kReservationTime) return;
+  reservation.last_renewed = now;
   blocked_teams_.insert(job.spec().team);
 }
 
@@ -179,7 +179,7 @@
   if (spec.per_task.fits_in(free)) return Seconds(0);
   for (const auto& end : expected_ends(machine, now)) {
     free += end.assignment->resources;
-    if (spec.per_task.fits_in(free)) return end.left;
+    if (spec.per_task.fits_in(free)) return end.time_left;
   }
   return kEndless;
 }
--- a/src/core/scheduling/starvation_guard.hpp
+++ b/src/core/scheduling/starvation_guard.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Lets large jobs start, too: the order of the queue favours small work, and a steady flow of it
-/// would keep a large job waiting for ever (PROTOCOL, "How aims are counted": a class's largest
-/// jobs are judged by themselves; docs/design.md, "Large jobs begin"). Owns the one machine that is
-/// reserved for such a job; decides which jobs come before all others, with their first task only,
-/// and which teams have to leave their quota to such a job.
+/// Prevents starvation of large jobs: the order of the queue favours small jobs, so a steady flow
+/// of these would keep a large job waiting for ever (PROTOCOL, "How aims are counted": the largest
+/// jobs of a class are judged separately; docs/design.md, "Large jobs begin"). Decides which jobs
+/// start their first task before all others, and reserves one machine and teams' quotas for
+/// starving jobs. Owns these reservations and the number of prioritized starts that are allowed.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 
 namespace violetpulley::core {
 
-/// Prioritizes jobs that have waited for too long without a start.
+/// Prioritizes jobs that have waited for too long without starting a task.
 class StarvationGuard {
  public:
   StarvationGuard(const ControllerSettings& settings, Fleet& fleet, const Jobs& jobs,
@@ -28,32 +28,36 @@
         forecaster_(forecaster),
         bindings_(bindings) {}
 
-  /// Nothing of the job has started, and part of the time in which it should have is used up.
+  /// Whether no task of the job has started although a large part of the time within which the job
+  /// must start (`begin_within`) has passed.
   bool starving(const Job& job, TimePoint now) const;
-  /// How many starving jobs may come before all others in this round. The other starving jobs keep
-  /// their usual position: where more jobs come than can ever start, first tasks alone would take
-  /// all capacity, and no job would end (LargestJobs.AGangThatCannotFitHoldsNobodyUp).
+  /// How many starving jobs may come before all others in this round. The number is limited because
+  /// under overload the first tasks of starving jobs would take all capacity, and no job would end.
+  /// The other starving jobs keep their usual position.
   std::size_t prioritized_starts_allowed() const {
     return static_cast<std::size_t>(prioritized_starts_);
   }
-  /// A task of the candidate was started: a prioritized start is used up, or a part of one earned.
+  /// Updates the number of prioritized starts after a task of the candidate was started: a starving
+  /// candidate uses one up, any other earns a fraction of one.
   void note_start(const Candidate& candidate);
 
-  /// Whether the job is one of its class's largest and still has tasks to start after that time:
-  /// within its priority all of its tasks come before all others, the oldest such job first.
+  /// Whether all tasks of the job come first within its priority: it is one of the largest jobs of
+  /// its class, and its age exceeds the age at which jobs start to count as starving. The oldest of
+  /// these jobs goes first.
   bool all_tasks_prioritized(const Job& job, TimePoint now) const;
 
-  /// Forgets the last round's blocked teams and finds the largest jobs of each class.
+  /// Clears the blocked teams of the last round and finds the largest jobs of each class.
   void new_round();
-  /// The round has passed a starving job. If it has not started because of its team's quota, what
-  /// the team frees is kept for it.
+  /// If the starving job could not start because of its team's quota, blocks the team's jobs that
+  /// are not starving in this round, so that the quota that ending tasks free remains for this job.
   void reserve_quota_if_blocked(const Job& job, TimePoint now);
-  /// Whether the candidate has to leave its team's quota to a starving job in this round.
+  /// Whether the candidate may not start in this round because its team's quota is reserved for a
+  /// starving job.
   bool must_leave_quota(const Candidate& candidate) const {
     return !candidate.starving && blocked_teams_.contains(candidate.job->spec().team);
   }
-  /// At the end of a round: reserves a machine for the first starving job that did not fit, until
-  /// it has started.
+  /// Called at the end of a round: reserves a machine for the first starving job that did not fit,
+  /// until the job has started or the reservation has expired.
   void reserve_machine(const std::vector<Candidate>& queue, TimePoint now);
 
   template <class S, class F>
@@ -63,34 +67,35 @@
   }
 
  private:
-  /// Allowed before any start has earned one.
+  /// Number of prioritized starts that are allowed initially.
   static constexpr double kInitialPrioritizedStarts = 4;
 
-  /// A team's quota that is left to a starving job.
+  /// A team's quota that is reserved for a starving job.
   struct QuotaReservation {
-    TimePoint since{};
-    TimePoint last{};
+    TimePoint since{};         // start of the reservation
+    TimePoint last_renewed{};  // last round in which it was in force
 
     template <class S, class F>
     static void fields(S& s, F&& f) {
-      f(s.since, s.last);
+      f(s.since, s.last_renewed);
     }
   };
 
-  /// Whether the quota will suffice for the tasks once the team's other work has ended.
+  /// Whether the quota suffices for the tasks once all of the team's tasks with an expected end
+  /// have ended.
   bool quota_suffices_in_time(const Job& job, std::size_t tasks) const;
-  /// Whether a reserved machine would let the starving job start.
+  /// Whether the job is starving and only lacks a machine to start.
   bool needs_machine(const Job& job, TimePoint now) const;
   bool reservation_is_valid(TimePoint now) const;
   void release_reservation();
-  /// Ends the reservation if it is no longer valid or has lasted for too long.
+  /// Ends the reservation if it is no longer valid or has lasted for `kReservationTime`.
   void review_reservation(TimePoint now);
   bool may_reserve(const Machine& machine, const Job& job, const ZoneUse& zones,
                    TimePoint now) const;
-  /// The machine that has capacity for one of the job's tasks soonest, or null.
+  /// The machine that is expected to have capacity for one of the job's tasks first, or null.
   Machine* soonest_free_machine(const Job& job, TimePoint now);
-  /// When the ends of running tasks leave capacity for one of the job's tasks, if nothing else
-  /// starts.
+  /// Time until the expected ends of running tasks leave capacity for one of the job's tasks, if no
+  /// other task starts.
   Seconds time_until_capacity(const Machine& machine, const JobSpec& spec, TimePoint now) const;
 
   const ControllerSettings& settings_;
@@ -99,15 +104,16 @@
   const TaskStarter& task_starter_;
   const DeadlineForecaster& forecaster_;
   const TaskBindings& bindings_;
-  /// Starts before all other jobs that are allowed now, with fractions.
+  /// Number of prioritized starts that are allowed now; may be fractional.
   double prioritized_starts_ = kInitialPrioritizedStarts;
   std::map<std::string, QuotaReservation> quota_reservations_;  // by team
   TimePoint reserved_since_{};
   TimePoint no_reservation_before_{};
-  MachineId reserved_machine_;  // empty: none
+  MachineId reserved_machine_;  // empty if no machine is reserved
   JobId reserved_for_job_;
-  std::set<std::string> blocked_teams_;  // in this round
-  /// How many tasks make a job one of its class's largest, by class, in this round.
+  std::set<std::string> blocked_teams_;  // teams with a reserved quota in this round
+  /// By job class: the number of tasks from which on a job is one of the largest of its class in
+  /// this round.
   std::map<std::string, TaskIndex> largest_job_sizes_;
 };
 
--- a/src/core/scheduling/task_bindings.hpp
+++ b/src/core/scheduling/task_bindings.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Groups of tasks that stay bound to the machine requested for them until it has booted or the
-/// request fails (DESIGN). Owns the groups of booting machines; `Task::bound` names what each task
-/// is bound to.
+/// Binds groups of tasks to the machine that was requested for them, until it has booted or the
+/// request has failed (DESIGN). Owns the groups of booting machines; `Task::bound_to` names the
+/// request or machine that a task is bound to.
 #pragma once
 
 #include <map>
@@ -10,24 +10,25 @@
 
 namespace violetpulley::core {
 
-/// Which tasks wait for which booting machine.
+/// Keeps track of the tasks that wait for a requested machine.
 class TaskBindings {
  public:
   TaskBindings(Outbox& out, Jobs& jobs) : out_(out), jobs_(jobs) {}
 
   /// Whether a group of tasks waits for the machine.
   bool has_group(const MachineId& id) const { return groups_.contains(id); }
-  /// Binds tasks to a scale-out request that is not answered yet.
+  /// Binds the tasks to a scale-out request in flight.
   void bind(const std::vector<TaskKey>& group, const std::string& request);
-  /// Binds the tasks that are still bound to the request to the machine that it has brought.
+  /// Rebinds the tasks that are still bound to the request to the machine that it has provided.
   void rebind(std::vector<TaskKey> group, const std::string& request, const MachineId& machine);
-  /// Frees the tasks that are still bound to `bound`, a request or a machine.
+  /// Unbinds the tasks that are still bound to `bound`, a request or a machine.
   void unbind(const std::vector<TaskKey>& group, const std::string& bound);
-  /// Frees the tasks that are bound to a machine which no longer exists.
+  /// Unbinds the tasks that are bound to a machine that no longer exists.
   void machine_gone(const MachineId& id);
 
-  /// Calls `place(job, task index, machine id)` for each task whose machine is ready, and frees the
-  /// tasks that did not start. `is_ready(machine id)`: the machine can take tasks, or is gone.
+  /// Calls `place(job, task index, machine id)` for each task that is bound to a ready machine, and
+  /// unbinds the tasks that did not start. `is_ready(machine id)`: whether the machine can take
+  /// tasks or no longer exists.
   template <class IsReady, class Place>
   void place_ready_groups(const IsReady& is_ready, const Place& place) {
     for (auto bound = groups_.begin(); bound != groups_.end();) {
