--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -29,8 +29,8 @@
 constexpr double kImageWaitInFetchTimesIfScarce = 5;
 
 /// If the fetch takes less than this fraction of a task's run time, a job does not wait for
-/// machines that hold the image. A much larger fraction also made long tasks
-/// fetch instead of waiting, and gave worse measured results.
+/// machines that hold the image. A much larger fraction also made arrays of long tasks fetch
+/// instead of waiting, and gave worse measured results.
 constexpr double kMinFetchShareToWait = 0.05;
 
 /// Once a task of a job that is suspected to be faulty has run for this long, the suspicion ends.
--- a/tests/core/scheduling/bin_packer_test.cpp
+++ b/tests/core/scheduling/bin_packer_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Run-time bins and the packer against small worked examples from DESIGN and the paper.
+/// Tests of run-time bins and the bin packer with small examples from DESIGN and the paper.
 #include "core/scheduling/bin_packer.hpp"
 
 #include <gtest/gtest.h>
@@ -24,27 +24,27 @@
   EXPECT_EQ(remaining_run_time(Seconds(10), Seconds(25)), Seconds(25));
 }
 
-TEST(BinPacker, OwnBinByClosestThenGreaterThenLesserByRoom) {
+TEST(BinPacker, PrefersOwnBinByClosestTimeThenGreaterThenLesserBinsByFreeCapacity) {
   Fleet fleet;
-  auto& far = machine_with(fleet, "far", 8, Seconds(15.5));  // bin of 10 s: [8, 16)
-  auto& near = machine_with(fleet, "near", 8, Seconds(9));   // the same bin, closer
+  auto& far = machine_with(fleet, "far", 8, Seconds(15.5));  // the bin of the 10 s task: [8, 16)
+  auto& near = machine_with(fleet, "near", 8, Seconds(9));   // the same bin, closer to 10 s
   auto& greater = machine_with(fleet, "greater", 8, Seconds(40));
-  auto& roomy = machine_with(fleet, "roomy", 16, Seconds(50));  // greater too, more room
+  auto& large = machine_with(fleet, "large", 16, Seconds(50));  // greater bin, more free CPUs
   auto& lesser = machine_with(fleet, "lesser", 32, Seconds(3));
   const auto spec = spec_of(1, 1, Seconds(10));
   BinPacker packer(Seconds(1), kNow);
-  for (auto* machine : {&far, &near, &greater, &roomy, &lesser}) packer.add_machine(*machine);
-  std::set<MachineId> barred;
-  const auto choose = [&] {
+  for (auto* machine : {&far, &near, &greater, &large, &lesser}) packer.add_machine(*machine);
+  std::set<MachineId> excluded;
+  const auto best_machine = [&] {
     return packer
-        .choices(spec, Seconds(10), [&](const Machine& m) { return !barred.contains(m.id); })
+        .choices(spec, Seconds(10), [&](const Machine& m) { return !excluded.contains(m.id); })
         .best();
   };
-  for (auto* expected : {&near, &far, &roomy, &greater, &lesser}) {
-    ASSERT_EQ(choose(), expected);
-    barred.insert(expected->id);
+  for (auto* expected : {&near, &far, &large, &greater, &lesser}) {
+    ASSERT_EQ(best_machine(), expected);
+    excluded.insert(expected->id);
   }
-  EXPECT_EQ(choose(), nullptr);
+  EXPECT_EQ(best_machine(), nullptr);
 }
 
 TEST(BinPacker, PrefersAMachineThatHoldsTheImage) {
--- a/tests/core/scheduling/gangs_and_services_test.cpp
+++ b/tests/core/scheduling/gangs_and_services_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Gangs, services and stops with a checkpoint, in small worked examples: what each is meant to do.
-/// The simulation runs them with failures of every kind.
+/// Tests of gangs, services, preemption, recovery and stops with a checkpoint in small examples.
+/// The simulation covers them under failures.
 #include <gtest/gtest.h>
 
 #include "core/controller.hpp"
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-/// A controller, and agents that execute commands at once.
+/// A controller with agents that execute commands at once.
 class TestCluster {
  public:
   explicit TestCluster(std::vector<std::string> zones = {"a", "b"}, Team team = {"t", 0, 0, 0, 0})
@@ -44,7 +44,7 @@
     record.revision = 9;
     controller_->job_opened(record, now_);
   }
-  void machine(const MachineId& id, const std::string& zone, bool spot = false) {
+  void add_machine(const MachineId& id, const std::string& zone, bool spot = false) {
     auto& agent = agents_[id];
     agent = {id, "10.0.0.1:1", "g4", zone, spot, 1, 0, 5, {}, {}};
     heartbeat(id);
@@ -54,29 +54,29 @@
     ++agent.heartbeat_sequence;
     controller_->heartbeat(agent, now_);
   }
-  /// A task's state as its agent reports it; null if the machine has no task.
-  TaskStatus* task(const MachineId& id) {
+  /// The last task in the agent's heartbeats, or null if the machine has no task.
+  TaskStatus* last_task(const MachineId& id) {
     auto& tasks = agents_.at(id).tasks;
     return tasks.empty() ? nullptr : &tasks.back();
   }
-  /// The machine has lost its last task, and lists it no more.
-  void forget_task(const MachineId& id) {
+  /// Removes the last task from the machine's heartbeats.
+  void drop_last_task(const MachineId& id) {
     agents_.at(id).tasks.pop_back();
     heartbeat(id);
   }
-  void end(const MachineId& id, const JobId& job) {
+  void complete_tasks(const MachineId& id, const JobId& job) {
     for (auto& entry : agents_.at(id).tasks)
       if (entry.task.job == job) entry.state = TaskState::exited, entry.cause = ExitCause::done;
     heartbeat(id);
   }
-  void notice(const MachineId& id, Seconds left) {
+  void send_spot_notice(const MachineId& id, Seconds left) {
     agents_.at(id).notice = left;
     heartbeat(id);
   }
 
-  /// From here on nothing proves that the controller still leads.
+  /// From now on the controller has no proof that no other controller leads.
   void cut_off() { cut_off_ = now_; }
-  /// The machine answers nothing any more.
+  /// From now on the machine neither sends heartbeats nor answers commands.
   void silence(const MachineId& id) { agents_.erase(id); }
 
   void run(Seconds length) {
@@ -97,9 +97,9 @@
       if (command.type == type) out.push_back(command);
     return out;
   }
-  void forget_commands() { sent_.clear(); }
+  void clear_commands() { sent_.clear(); }
   const std::vector<ScaleOut>& scale_outs() const { return scale_outs_; }
-  void all(TaskState state) {
+  void set_all_tasks(TaskState state) {
     for (auto& [id, agent] : agents_)
       for (auto& entry : agent.tasks)
         if (entry.state != TaskState::exited) entry.state = state;
@@ -140,82 +140,82 @@
   std::vector<ScaleOut> scale_outs_;
 };
 
-const Resources kWhole{28, 4, 200};
-const Resources kQuarter{5, 1, 38};
+const Resources kWholeMachine{28, 4, 200};
+const Resources kQuarterMachine{5, 1, 38};
 
-TEST(Gang, StartsWholeInOneZoneOrNotAtAll) {
+TEST(Gang, StartsAllTasksInOneZoneOrNone) {
   TestCluster cluster;
-  auto spec = TestCluster::spec(Shape::gang, 3, kWhole);
+  auto spec = TestCluster::spec(Shape::gang, 3, kWholeMachine);
   spec.same_zone = true;
   cluster.submit(spec);
-  cluster.machine("m1", "a");
-  cluster.machine("m2", "a");
-  cluster.machine("m3", "b");
+  cluster.add_machine("m1", "a");
+  cluster.add_machine("m2", "a");
+  cluster.add_machine("m3", "b");
   cluster.run(Seconds(3));
   EXPECT_TRUE(cluster.commands(CommandType::start).empty());
   ASSERT_FALSE(cluster.scale_outs().empty());
-  cluster.machine("m4", "a");
+  cluster.add_machine("m4", "a");
   cluster.run(Seconds(1));
   const auto starts = cluster.commands(CommandType::start);
   ASSERT_EQ(starts.size(), 3U);
   for (const auto& start : starts) EXPECT_EQ(start.attempt, starts[0].attempt);
-  EXPECT_EQ(cluster.task("m3"), nullptr);
+  EXPECT_EQ(cluster.last_task("m3"), nullptr);
 }
 
-TEST(Gang, EndsWholeBeforeItStartsAnew) {
+TEST(Gang, AllTasksEndBeforeTheGangRestarts) {
   TestCluster cluster({"a"});
-  cluster.submit(TestCluster::spec(Shape::gang, 2, kWhole));
-  for (const char* id : {"m1", "m2", "m3"}) cluster.machine(id, "a");
+  cluster.submit(TestCluster::spec(Shape::gang, 2, kWholeMachine));
+  for (const char* id : {"m1", "m2", "m3"}) cluster.add_machine(id, "a");
   cluster.run(Seconds(1));
   auto starts = cluster.commands(CommandType::start);
   ASSERT_EQ(starts.size(), 2U);
-  cluster.all(TaskState::running);
+  cluster.set_all_tasks(TaskState::running);
   cluster.run(Seconds(3));
-  cluster.forget_commands();
-  // One task is gone. The other is stopped; until it has exited nothing starts.
+  cluster.clear_commands();
+  // One task fails. The other one is stopped, and nothing starts until it has exited.
   std::vector<MachineId> hosts;
   for (const char* id : {"m1", "m2", "m3"})
-    if (cluster.task(id) != nullptr) hosts.emplace_back(id);
+    if (cluster.last_task(id) != nullptr) hosts.emplace_back(id);
   ASSERT_EQ(hosts.size(), 2U);
-  cluster.task(hosts[0])->state = TaskState::exited;
-  cluster.task(hosts[0])->cause = ExitCause::error;
+  cluster.last_task(hosts[0])->state = TaskState::exited;
+  cluster.last_task(hosts[0])->cause = ExitCause::error;
   cluster.heartbeat(hosts[0]);
   cluster.run(Seconds(5));
   EXPECT_TRUE(cluster.commands(CommandType::start).empty());
   ASSERT_FALSE(cluster.commands(CommandType::stop).empty());
   EXPECT_EQ(cluster.commands(CommandType::stop)[0].attempt, starts[0].attempt);
-  cluster.task(hosts[1])->state = TaskState::exited;
-  cluster.task(hosts[1])->cause = ExitCause::stopped;
+  cluster.last_task(hosts[1])->state = TaskState::exited;
+  cluster.last_task(hosts[1])->cause = ExitCause::stopped;
   cluster.heartbeat(hosts[1]);
   cluster.run(Seconds(2));
-  const auto again = cluster.commands(CommandType::start);
-  ASSERT_EQ(again.size(), 2U);
-  EXPECT_GT(again[0].attempt, starts[0].attempt);
-  EXPECT_EQ(again[0].attempt, again[1].attempt);
+  const auto restarts = cluster.commands(CommandType::start);
+  ASSERT_EQ(restarts.size(), 2U);
+  EXPECT_GT(restarts[0].attempt, starts[0].attempt);
+  EXPECT_EQ(restarts[0].attempt, restarts[1].attempt);
 }
 
-// The tasks of a gang share one attempt. A task that its machine lists no more went unnoticed as
-// long as another task of the gang was listed there: the rest of the gang was never stopped, and
-// the task counted as running for ever. Found by reading.
-TEST(Gang, ATaskThatVanishesBesideAnotherOfTheSameGangIsNoticed) {
+// Guards against lost tasks that go undetected: the tasks of a gang share one attempt, and a task
+// that was missing from its machine's heartbeats was not noticed while another task of the gang was
+// listed there. The gang was never stopped, and the task counted as running for ever.
+TEST(Gang, TaskMissingFromHeartbeatsIsDetectedBesideAnotherTaskOfTheGang) {
   TestCluster cluster({"a"});
-  cluster.submit(TestCluster::spec(Shape::gang, 2, kQuarter));
-  cluster.machine("m1", "a");
+  cluster.submit(TestCluster::spec(Shape::gang, 2, kQuarterMachine));
+  cluster.add_machine("m1", "a");
   cluster.run(Seconds(1));
   ASSERT_EQ(cluster.commands(CommandType::start).size(), 2U);
-  cluster.all(TaskState::running);
+  cluster.set_all_tasks(TaskState::running);
   cluster.run(Seconds(3));
-  cluster.forget_commands();
-  cluster.forget_task("m1");
+  cluster.clear_commands();
+  cluster.drop_last_task("m1");
   cluster.run(Seconds(3));
   const auto stops = cluster.commands(CommandType::stop);
-  ASSERT_FALSE(stops.empty()) << "the other task waits for the one that is gone";
+  ASSERT_FALSE(stops.empty()) << "the remaining task must be stopped";
   EXPECT_EQ(stops[0].task.index, 0U);
 }
 
-TEST(Gang, IsRequestedAsOneGroupInOneZone) {
+TEST(Gang, ScaleOutRequestsAllMachinesInOneZone) {
   TestCluster cluster({"a", "b", "c"});
-  auto spec = TestCluster::spec(Shape::gang, 8, kWhole);
+  auto spec = TestCluster::spec(Shape::gang, 8, kWholeMachine);
   spec.same_zone = true;
   cluster.submit(spec);
   cluster.run(Seconds(5));
@@ -224,14 +224,15 @@
   EXPECT_FALSE(cluster.scale_outs()[0].spot);
 }
 
-TEST(Gang, OfTwoThatAreShortTheFirstKeepsItsMachines) {
+TEST(Gang, FirstGangThatIsShortHasPrecedenceInItsDomain) {
   GangReservations reservations;
   reservations.new_round();
   reservations.note_short("a");
   EXPECT_TRUE(reservations.another_is_short("a"));
-  EXPECT_TRUE(reservations.another_is_short(""));  // any zone may be the same one
+  EXPECT_TRUE(reservations.another_is_short(""));  // the empty domain overlaps with every zone
   EXPECT_FALSE(reservations.another_is_short("b"));
-  // Short gangs hold half of the zones at most, so that small ones find places in the others.
+  // Gangs that are short reserve machines in at most half of the zones, so that other gangs can
+  // start in the rest.
   EXPECT_FALSE(reservations.may_be_short("a", 4));
   EXPECT_TRUE(reservations.may_be_short("b", 4));
   reservations.note_short("b");
@@ -240,39 +241,40 @@
   EXPECT_FALSE(reservations.another_is_short("a"));
 }
 
-TEST(Service, ScaleOutKeepsTheSpread) {
+TEST(Service, ScaleOutSpreadsMachinesOverZones) {
   TestCluster cluster;
-  auto spec = TestCluster::spec(Shape::service, 12, kQuarter);
+  auto spec = TestCluster::spec(Shape::service, 12, kQuarterMachine);
   spec.spread = true;
   cluster.submit(spec);
   cluster.run(Seconds(5));
   std::map<std::string, int> machines;
   for (const auto& request : cluster.scale_outs()) machines[request.zone] += request.count;
-  // Six replicas a zone, four to a machine.
+  // Six replicas per zone, four per machine.
   EXPECT_EQ(machines["a"], 2);
   EXPECT_EQ(machines["b"], 2);
 }
 
-// Found in the leader's summaries: when arrivals end, replicas stay two to a machine. Two machines
-// with one each become one, and nothing starts before the moved replica is gone.
-TEST(Service, SparseReplicasGatherOnOneMachine) {
+// Guards against replicas that stay on underused machines after other work has ended. One of the
+// two replicas, which run on a machine each, is stopped to move to the other machine, and nothing
+// starts before it has exited.
+TEST(Service, SparseReplicasMoveToOneMachine) {
   TestCluster cluster({"a"});
-  auto filler = TestCluster::spec(Shape::array, 3, kQuarter);
+  auto filler = TestCluster::spec(Shape::array, 3, kQuarterMachine);
   filler.id = "req-2";
   filler.priority = Priority::production;
   cluster.submit(filler);
-  cluster.machine("m1", "a");
+  cluster.add_machine("m1", "a");
   cluster.run(Seconds(0.5));
-  auto service = TestCluster::spec(Shape::service, 2, kQuarter);
+  auto service = TestCluster::spec(Shape::service, 2, kQuarterMachine);
   service.priority = Priority::production;
   cluster.submit(service);
   cluster.run(Seconds(0.5));
-  cluster.machine("m2", "a");
+  cluster.add_machine("m2", "a");
   cluster.run(Seconds(2));
-  cluster.all(TaskState::running);
+  cluster.set_all_tasks(TaskState::running);
   cluster.run(Seconds(3));
-  cluster.end("m1", "req-2");
-  cluster.forget_commands();
+  cluster.complete_tasks("m1", "req-2");
+  cluster.clear_commands();
   cluster.run(Seconds(25));
   EXPECT_TRUE(cluster.commands(CommandType::stop).empty());
   cluster.run(Seconds(15));
@@ -282,17 +284,16 @@
   EXPECT_TRUE(cluster.commands(CommandType::start).empty());
 }
 
-// A replica comes before an array of lower priority that took its capacity, and takes no
-// more than that.
-TEST(Preemption, AReplicaTakesThePlaceOfOneTaskOnly) {
+// A replica preempts tasks of an array of lower priority, but no more than it needs.
+TEST(Preemption, ReplicaPreemptsOnlyOneTask) {
   TestCluster cluster({"a"});
-  auto filler = TestCluster::spec(Shape::array, 4, kQuarter);
+  auto filler = TestCluster::spec(Shape::array, 4, kQuarterMachine);
   filler.id = "req-2";
   cluster.submit(filler);
-  cluster.machine("m1", "a");
+  cluster.add_machine("m1", "a");
   cluster.run(Seconds(1));
   ASSERT_EQ(cluster.commands(CommandType::start).size(), 4U);
-  auto service = TestCluster::spec(Shape::service, 1, kQuarter);
+  auto service = TestCluster::spec(Shape::service, 1, kQuarterMachine);
   service.priority = Priority::production;
   cluster.submit(service);
   cluster.run(Seconds(3));
@@ -302,59 +303,61 @@
   EXPECT_EQ(stopped.begin()->job, "req-2");
 }
 
-// Found in bursts of rough days: an array past its deadline came after all others, although an
-// aim for being little late was still to be met.
-TEST(Queue, WhatCanStillBeLittleLateComesBeforeWhatIsLost) {
+// Guards against a job that is placed last because it has missed its deadline, although it can
+// still meet its tardiness objective.
+TEST(CandidateQueue, JobThatCanMeetItsTardinessObjectiveComesBeforeOneThatCannot) {
   TestCluster cluster({"a"});
-  auto lost = TestCluster::spec(Shape::array, 1, kQuarter);
-  lost.id = "req-2";
-  lost.job_class = "c";
-  lost.estimate = Seconds(10);
-  lost.deadline = Seconds(5);  // 1.75 times that is shorter than the work
-  cluster.submit(lost);
-  auto late = lost;
+  auto missed = TestCluster::spec(Shape::array, 1, kQuarterMachine);
+  missed.id = "req-2";
+  missed.job_class = "c";
+  missed.estimate = Seconds(10);
+  // The tardiness objective of 1.75 times the deadline is shorter than the run time.
+  missed.deadline = Seconds(5);
+  cluster.submit(missed);
+  auto late = missed;
   late.id = "req-3";
   late.deadline = Seconds(9);
-  late.tasks = 4;  // more work: without the aim it comes last
+  late.tasks = 4;  // more work, so it comes last without the objective
   cluster.submit(late);
-  cluster.machine("m1", "a");
+  cluster.add_machine("m1", "a");
   cluster.run(Seconds(0.3));
   const auto starts = cluster.commands(CommandType::start);
   ASSERT_EQ(starts.size(), 4U);
   for (const auto& start : starts) EXPECT_EQ(start.task.job, "req-3");
 }
 
-// Found by paired days of vinsamlag (0.745 -> 0.728): scarcity counted by machines made 20 small
-// tasks wait for a holder of their image beside a large machine with capacity for all of them.
-TEST(Queue, AMachineWithCapacityForAllIsNotScarce) {
+// Guards against a count of free machines instead of free slots: 20 small tasks then waited for a
+// machine with their image, although one large machine had capacity for all of them.
+TEST(Scarcity, SlotsAreNotScarceIfOneMachineHasCapacityForAllTasks) {
   TestCluster cluster({"a"});
   auto spec = TestCluster::spec(Shape::array, 20, {1, 0, 1});
   spec.image_gb = 10;  // a fetch of 10 s
   cluster.submit(spec);
-  cluster.machine("m1", "a");
+  cluster.add_machine("m1", "a");
   cluster.run(Seconds(5));
   EXPECT_EQ(cluster.commands(CommandType::start).size(), 20U);
 }
 
-TEST(Guarantee, MayBeInGpusAlone) {
-  // With one machine, the team that has a guarantee in GPUs comes before an older job beyond one.
+TEST(TeamGuarantee, AppliesIfGivenInGpusOnly) {
+  // The small job is within the team's guarantee of 4 GPUs and the older job exceeds it, so the
+  // small job gets the only machine.
   TestCluster cluster({"a"}, {"t", 0, 0, 4, 8});
-  auto large = TestCluster::spec(Shape::array, 12, kQuarter);
+  auto large = TestCluster::spec(Shape::array, 12, kQuarterMachine);
   large.id = "req-2";
   cluster.submit(large);
-  cluster.submit(TestCluster::spec(Shape::array, 4, kQuarter));
-  cluster.machine("m1", "a");
+  cluster.submit(TestCluster::spec(Shape::array, 4, kQuarterMachine));
+  cluster.add_machine("m1", "a");
   cluster.run(Seconds(0.3));
   ASSERT_EQ(cluster.commands(CommandType::start).size(), 4U);
-  cluster.machine("m2", "a");
-  cluster.machine("m3", "a");
+  cluster.add_machine("m2", "a");
+  cluster.add_machine("m3", "a");
   cluster.run(Seconds(1));
   EXPECT_EQ(cluster.commands(CommandType::start).size(), 8U)
-      << "the limit is 8 GPUs, and none of processors";
+      << "the team is limited to 8 GPUs and has no limit of CPUs";
 }
 
-// A job accepted before the failover, and a machine that answers nothing.
-RecoveredState beside_silent(const JobSpec& spec, bool silent_is_spot) {
+// State with a job that was opened before the failover and a machine that is silent since.
+RecoveredState recovered_with_silent_machine(const JobSpec& spec, bool silent_is_spot) {
   JobRecord record;
   record.spec = spec;
   record.revision = 2;
@@ -364,46 +367,47 @@
   return recovered;
 }
 
-// Found in the logs of rough days: spot machines are taken often, so nearly every failover finds
-// one that does not answer, and services and gangs, which never run there, waited for it.
-TEST(Recovery, OnlyMachinesAJobMayRunOnHoldItUp) {
+// Guards against needless waits after a failover: spot machines are often reclaimed, so one of them
+// is usually silent then, and services and gangs, which never run on spot machines, waited for it.
+TEST(Recovery, SilentMachineDelaysOnlyJobsThatMayRunOnIt) {
   for (const bool silent_is_spot : {true, false}) {
     TestCluster cluster({"a"});
-    cluster.become_leader(
-        beside_silent(TestCluster::spec(Shape::service, 2, kQuarter), silent_is_spot));
-    cluster.machine("m1", "a");
+    cluster.become_leader(recovered_with_silent_machine(
+        TestCluster::spec(Shape::service, 2, kQuarterMachine), silent_is_spot));
+    cluster.add_machine("m1", "a");
     cluster.run(Seconds(1));
     EXPECT_EQ(cluster.commands(CommandType::start).size(), silent_is_spot ? 2U : 0U);
   }
 }
 
-// A leader that is cut off may have a successor, which may renew the lease of a machine
-// that is silent here alone: found by seed 1684 of the simulation (ran_twice).
-TEST(Leases, CountAsRunOutOnlyWhileNobodyElseMayRenewThem) {
+// Guards against a task that runs twice: a leader that is cut off may have a successor, which may
+// renew the lease of a machine that is silent only to the old leader.
+TEST(Leases, ExpireOnlyIfNoSuccessorMayRenewThem) {
   for (const bool cut_off : {false, true}) {
     TestCluster cluster({"a"});
-    cluster.machine("m1", "a");
-    cluster.submit(TestCluster::spec(Shape::array, 1, kQuarter));
+    cluster.add_machine("m1", "a");
+    cluster.submit(TestCluster::spec(Shape::array, 1, kQuarterMachine));
     cluster.run(Seconds(1));
     ASSERT_EQ(cluster.commands(CommandType::start).size(), 1U);
-    cluster.all(TaskState::running);
+    cluster.set_all_tasks(TaskState::running);
     cluster.run(Seconds(3));
     cluster.silence("m1");
     cluster.run(Seconds(15));
     if (cut_off) cluster.cut_off();
-    cluster.machine("m2", "a");
+    cluster.add_machine("m2", "a");
     cluster.run(Seconds(20));
     EXPECT_EQ(cluster.commands(CommandType::start).size(), cut_off ? 1U : 2U);
   }
 }
 
-TEST(Leases, OfOlderLeadersTooCountAsRunOutOnlyThen) {
+TEST(Leases, OfFormerLeadersExpireOnlyIfNoSuccessorMayRenewThem) {
   for (const bool cut_off : {false, true}) {
     TestCluster cluster({"a"});
-    cluster.become_leader(beside_silent(TestCluster::spec(Shape::array, 1, kQuarter), false));
+    cluster.become_leader(
+        recovered_with_silent_machine(TestCluster::spec(Shape::array, 1, kQuarterMachine), false));
     cluster.run(Seconds(50));
     if (cut_off) cluster.cut_off();
-    cluster.machine("m1", "a");
+    cluster.add_machine("m1", "a");
     cluster.run(Seconds(20));
     EXPECT_EQ(cluster.commands(CommandType::start).size(), cut_off ? 0U : 1U);
   }
@@ -415,25 +419,25 @@
   bool checkpoints;
 };
 
-// A checkpoint of 5 s is worth it for 10 s of work since the last checkpoint, not for 2 s, and
-// cannot succeed within 4 s.
-TEST(Stops, CheckpointWhereItGainsMoreThanItTakesAndFits) {
+// A checkpoint of 5 s is worthwhile for 10 s of work since the last checkpoint but not for 2 s, and
+// it does not fit into a notice of 4 s.
+TEST(Stops, CheckpointOnlyIfItSavesMoreThanItCostsAndFitsIntoTheNotice) {
   for (const auto& [ran, notice, checkpoints] :
        {Stop{Seconds(10), Seconds(12), true}, Stop{Seconds(17), Seconds(12), false},
         Stop{Seconds(10), Seconds(4), false}}) {
     TestCluster cluster({"a"});
-    auto spec = TestCluster::spec(Shape::array, 1, kQuarter);
+    auto spec = TestCluster::spec(Shape::array, 1, kQuarterMachine);
     spec.spot_allowed = true;
     spec.checkpoint_every = Seconds(15);
     spec.checkpoint_time = Seconds(5);
     cluster.submit(spec);
-    cluster.machine("m1", "a", true);
+    cluster.add_machine("m1", "a", true);
     cluster.run(Seconds(1));
-    ASSERT_NE(cluster.task("m1"), nullptr);
-    cluster.all(TaskState::running);
+    ASSERT_NE(cluster.last_task("m1"), nullptr);
+    cluster.set_all_tasks(TaskState::running);
     cluster.heartbeat("m1");
     cluster.run(ran);
-    cluster.notice("m1", notice);
+    cluster.send_spot_notice("m1", notice);
     cluster.run(Seconds(0.5));
     const auto stops = cluster.commands(CommandType::stop);
     ASSERT_FALSE(stops.empty());
