--- a/src/core/jobs/job.hpp
+++ b/src/core/jobs/job.hpp
@@ -25,11 +25,10 @@
 /// A task of an unfinished job.
 struct Task {
   Phase phase = Phase::waiting;
-  bool restarted = false;  ///< By consolidation or preemption; happens at most once per task.
-  bool persisted = false;  ///< The completion of the task is recorded in the store.
-  MachineId machine;       ///< Empty unless the task is assigned.
-  std::string
-      bound_to;  ///< Scale-out request or booting machine that the task waits for, or empty.
+  bool restarted = false;   ///< By consolidation or preemption; happens at most once per task.
+  bool persisted = false;   ///< The completion of the task is recorded in the store.
+  MachineId machine;        ///< Empty unless the task is assigned.
+  std::string bound_to;     ///< Scale-out request or booting machine that the task waits for.
   Seconds checkpointed{0};  ///< Run time that the last checkpoint covers.
 
   template <class S, class F>
@@ -60,8 +59,8 @@
   /// The machine of each task's last start, by task index, as in the placement record that is
   /// stored or about to be stored. Empty if there is no record.
   std::vector<MachineId> placed_on;
-  bool placements_complete =
-      false;  ///< The placement records of former leaders cover all of their starts.
+  /// The placement records of former leaders cover all of their starts.
+  bool placements_complete = false;
   PlacementVersion placement_version = 0;            ///< Newest version whose write was requested.
   PlacementVersion committed_placement_version = 0;  ///< Newest version that is committed.
   bool has_started = false;  ///< A task of the job has been assigned at least once.
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -29,7 +29,7 @@
   const auto found = jobs_.find(id);
   auto& job = found->second;
   before_change(job);
-  // The transaction of a `FinishJob` in flight deletes the progress records.
+  // Carrying out a `FinishJob` deletes the progress records, so they are left to one in flight.
   if (auto chunks = job.chunks_written(); !chunks.empty() && !job.finishing)
     out_.push_back(DeleteProgress{id, std::move(chunks)});
   progress_dirty_.erase(id);
@@ -83,8 +83,8 @@
   last_persist_ = now;
   for (auto entry = progress_dirty_.begin(); entry != progress_dirty_.end();) {
     const auto found = jobs_.find(*entry);
-    if (found == jobs_.end() ||
-        found->second.complete()) {  // `FinishJob` records the job's end instead
+    // The end of a complete job is recorded by `FinishJob`, so its progress need not be written.
+    if (found == jobs_.end() || found->second.complete()) {
       entry = progress_dirty_.erase(entry);
       continue;
     }
@@ -120,8 +120,8 @@
   auto& job = found->second;
   before_change(job);
   job.chunks_in_flight.erase(record.chunk);
-  job.chunks_stored.insert(
-      record.chunk);  // a write reported as failed may still have reached the store
+  // A write that was reported as failed may still have reached the store.
+  job.chunks_stored.insert(record.chunk);
   if (!ok) {
     progress_changed(job, record.chunk * kProgressChunk);
     return;
--- a/src/core/jobs/run_time_estimator.hpp
+++ b/src/core/jobs/run_time_estimator.hpp
@@ -45,8 +45,8 @@
 
  private:
   static constexpr int kMinTrustedCount = 5;
-  static constexpr int kMaxCount =
-      50;  // bounds the weight of old run times, so that the average follows newer ones
+  /// Bounds the weight of old run times, so that the average follows newer ones.
+  static constexpr int kMaxCount = 50;
   static constexpr double kMinRatio = 0.05;
   static constexpr double kMaxRatio = 20.0;
 
--- a/src/core/scheduling/bin_packer.cpp
+++ b/src/core/scheduling/bin_packer.cpp
@@ -65,7 +65,7 @@
     const auto rank = image_rank(machine, spec.image);
     if (rank < min_image_rank || !may_use(machine)) continue;
     Choices::Entry entry;
-    entry.index = index;
+    entry.machine_index = index;
     entry.image_rank = rank;
     entry.expensive = is_expensive_per_cpu(machine);
     entry.takes_empty_machine = preserve_empty_machines_ && !machine.spot && machine.tasks.empty();
@@ -82,13 +82,13 @@
 // first).
 void BinPacker::Choices::set_bin_order(Entry& entry) const {
   const int own = bin_of(estimate_, packer_.bin_unit_);
-  const int bin = packer_.machines_[entry.index].bin;
+  const int bin = packer_.machines_[entry.machine_index].bin;
   entry.own_bin = bin == own;
   entry.bin_order = bin >= own ? bin - own : kLesserBinsOffset + (own - bin);
 }
 
 bool BinPacker::Choices::has_capacity(const Entry& entry) const {
-  return spec_.per_task.fits_in(packer_.machines_[entry.index].machine->free());
+  return spec_.per_task.fits_in(packer_.machines_[entry.machine_index].machine->free());
 }
 
 bool BinPacker::Choices::is_better(const Entry& a, const Entry& b) const {
@@ -103,8 +103,8 @@
   // (docs/design.md, "Gangs").
   if (a.takes_empty_machine != b.takes_empty_machine) return b.takes_empty_machine;
   if (a.bin_order != b.bin_order) return a.bin_order < b.bin_order;
-  const auto& a_machine = packer_.machines_[a.index];
-  const auto& b_machine = packer_.machines_[b.index];
+  const auto& a_machine = packer_.machines_[a.machine_index];
+  const auto& b_machine = packer_.machines_[b.machine_index];
   if (a.own_bin)
     return std::abs((a_machine.remaining - estimate_).count()) <
            std::abs((b_machine.remaining - estimate_).count());
@@ -124,12 +124,12 @@
     if (best == kNone || is_better(entries_[index], entries_[best])) best = index;
     ++index;
   }
-  return best == kNone ? nullptr : packer_.machines_[entries_[best].index].machine;
+  return best == kNone ? nullptr : packer_.machines_[entries_[best].machine_index].machine;
 }
 
 void BinPacker::Choices::task_placed(Machine& machine) {
   for (auto& entry : entries_) {
-    auto& binned = packer_.machines_[entry.index];
+    auto& binned = packer_.machines_[entry.machine_index];
     if (binned.machine != &machine) continue;
     packer_.update_bin(binned);
     entry.image_rank = image_rank(machine, spec_.image);
--- a/src/core/scheduling/bin_packer.hpp
+++ b/src/core/scheduling/bin_packer.hpp
@@ -42,7 +42,7 @@
     friend class BinPacker;
     struct Entry {
       /// Index into `BinPacker::machines_`.
-      std::size_t index = 0;
+      std::size_t machine_index = 0;
       ImageRank image_rank = ImageRank::absent;
       /// Position of the machine's bin in the order of preference; lower is better.
       int bin_order = 0;
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -195,7 +195,8 @@
   const auto& job = *candidate.job;
   if (job.gang() || job.waiting.empty() || starts_left_ == 0) return false;
   if (!task_starter_.within_limit(job.spec())) return false;
-  // Only the first task of a starving job is prioritized.
+  // Only the first task of a starving job is prioritized; its other tasks take their usual
+  // position.
   if (candidate.starving && job.has_started) return false;
   const bool has_task_assigned = job.waiting.size() < job.tasks.size();
   return !(job.suspected_faulty && has_task_assigned);
--- a/tests/core/scheduling/gangs_and_services_test.cpp
+++ b/tests/core/scheduling/gangs_and_services_test.cpp
@@ -356,7 +356,7 @@
       << "the team is limited to 8 GPUs and has no limit of CPUs";
 }
 
-// State with a job that was opened before the failover and a machine that is silent since.
+// State with a job that was opened before the failover and a machine that has been silent since.
 RecoveredState recovered_with_silent_machine(const JobSpec& spec, bool silent_is_spot) {
   JobRecord record;
   record.spec = spec;
--- a/tests/core/scheduling/starvation_guard_test.cpp
+++ b/tests/core/scheduling/starvation_guard_test.cpp
@@ -191,7 +191,7 @@
 }
 
 // Guards against free capacity that stays unused for minutes on a draining machine: its only task
-// has been restarted done_before, so it may not be moved and runs on.
+// has been restarted before, so it may not be moved and runs on.
 TEST_F(HoldBackLimit, DrainingMachineIsUncordonedForAJobThatHasWaited) {
   progress_ = {{"req-0", 0, {}, {{0, 0}}}};
   begin(2, 1, 1);
@@ -217,7 +217,7 @@
   ASSERT_EQ(task_failures_, 2);
   for (int i = 0; i < 2; ++i) agents_[name(i)].faulty = false;
   run(Seconds(30));
-  EXPECT_FALSE(done_.contains("req-1")) << "the job still avoids both machines";
+  EXPECT_FALSE(done_.contains("req-1")) << "the job tries other machines first";
   run(Seconds(55));
   EXPECT_TRUE(done_.contains("req-1"));
 }
