--- a/src/core/autoscaling/consolidation.cpp
+++ b/src/core/autoscaling/consolidation.cpp
@@ -42,7 +42,7 @@
 // would take none of these tasks, and they would wait for ever.
 bool Consolidation::is_exempt(const Machine& machine) const {
   return !machine.reserved_for.empty() || machine.outbound_partition_since ||
-         bindings_.holds(machine.id);
+         bindings_.has_group(machine.id);
 }
 
 // A start that was never answered, of a job that has ended, does not count as use: only the return
--- a/src/core/dispatch/task_starter.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -65,7 +65,7 @@
     const bool blocked = task.phase == Phase::waiting && job.placements_complete &&
                          blocked_on_reconciliation(job, index);
     if (task.phase != Phase::assigned && !blocked) continue;
-    if (const auto* machine = fleet_.find(blocked ? job.placed[index] : task.machine))
+    if (const auto* machine = fleet_.find(blocked ? job.placed_on[index] : task.machine))
       ++use[machine->zone];
   }
   // Held tasks are assigned to their machines and thus already counted above.
@@ -95,7 +95,7 @@
                                         Attempt attempt, TimePoint now) {
   const auto& spec = job.spec();
   auto assignment = assignment_of(spec, attempt, forecaster_.estimate_left(job, index), now);
-  assignment.saved = job.saved_run_time(index);
+  assignment.saved = job.checkpointed_run_time(index);
   if (image_rank(machine, spec.image) < ImageRank::present)
     assignment.fetch = fetch_time(spec, machine.fetch_gb_per_s);
   if (settings_.tuning.commit_starts && job.records_starts())
--- a/src/core/failover/heartbeat_handler.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -210,13 +210,13 @@
   if (!job.gang()) return;
   if (job.attempt != 0 && job.attempt != status.attempt) {
     // Machines list two attempts of the gang: both are stopped, then the gang is started again.
-    jobs_.note_broken(status.task.job);
+    jobs_.note_broken_gang(status.task.job);
     job.attempt = std::max(job.attempt, status.attempt);
     return;
   }
   job.attempt = status.attempt;
   // After the recovery, tasks that no machine has listed count as ended: the gang is incomplete.
-  if (!recovery_.recovering()) jobs_.note_broken(status.task.job);
+  if (!recovery_.recovering()) jobs_.note_broken_gang(status.task.job);
 }
 
 void HeartbeatHandler::commands_answered(const MachineId& id, const Heartbeat* response,
--- a/src/core/jobs/jobs.cpp
+++ b/src/core/jobs/jobs.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr std::chrono::milliseconds kPersistInterval{1000};
-constexpr std::size_t kMaxPlacements = 400;  // tasks whose machines fit into one record
+constexpr std::size_t kMaxPlacements = 400;  // tasks whose machines fit into one placement record
 
-// Calls `apply(index)` for each index in the ranges below `end`.
+// Calls `apply(index)` for each index of the ranges that is below `end`.
 template <class Apply>
-void each_index(const std::vector<IndexRange>& ranges, std::size_t end, const Apply& apply) {
+void for_each_index(const std::vector<IndexRange>& ranges, std::size_t end, const Apply& apply) {
   for (const auto& [first, last] : ranges)
     for (TaskIndex index = first; index <= last && index < end; ++index) apply(index);
 }
@@ -21,7 +21,7 @@
 void Jobs::open(const JobRecord& record, TimePoint now) {
   const auto [entry, added] = jobs_.try_emplace(record.spec.id, record);
   if (!added) return;
-  entry->second.opened = now;
+  entry->second.opened_at = now;
   out_.request_scheduling_round();
 }
 
@@ -29,7 +29,7 @@
   const auto found = jobs_.find(id);
   auto& job = found->second;
   before_change(job);
-  // A `FinishJob` in flight deletes the progress records itself.
+  // Carrying out a `FinishJob` deletes the progress records, so they are left to one in flight.
   if (auto chunks = job.chunks_written(); !chunks.empty() && !job.finishing)
     out_.push_back(DeleteProgress{id, std::move(chunks)});
   progress_dirty_.erase(id);
@@ -47,12 +47,12 @@
   }
   auto& job = found->second;
   job.chunks_stored.insert(record.chunk);
-  each_index(record.done, job.tasks.size(), [&](TaskIndex index) {
+  for_each_index(record.done, job.tasks.size(), [&](TaskIndex index) {
     task_done(job, index);
     job.tasks[index].persisted = true;
   });
-  each_index(record.restarted, job.tasks.size(),
-             [&](TaskIndex index) { job.tasks[index].restarted = true; });
+  for_each_index(record.restarted, job.tasks.size(),
+                 [&](TaskIndex index) { job.tasks[index].restarted = true; });
 }
 
 void Jobs::restore_placements(const std::vector<PlacementRecord>& records) {
@@ -61,7 +61,7 @@
     const auto found = jobs_.find(record.job);
     if (found == jobs_.end() || !found->second.records_starts()) continue;
     found->second.placements_complete = record.known;
-    found->second.placed = record.machines;
+    found->second.placed_on = record.machines;
   }
   placement_mark_ = PlacementMark::set;
 }
@@ -83,7 +83,8 @@
   last_persist_ = now;
   for (auto entry = progress_dirty_.begin(); entry != progress_dirty_.end();) {
     const auto found = jobs_.find(*entry);
-    if (found == jobs_.end() || found->second.complete()) {  // the job's end is written instead
+    // The end of a complete job is recorded by `FinishJob`, so its progress need not be written.
+    if (found == jobs_.end() || found->second.complete()) {
       entry = progress_dirty_.erase(entry);
       continue;
     }
@@ -94,7 +95,7 @@
   }
 }
 
-// A chunk that is being written stays dirty until that write is answered.
+// A dirty chunk with a write in flight stays dirty and is written again after that write.
 void Jobs::save_dirty_chunks(Job& job) {
   for (auto chunk = job.chunks_dirty.begin(); chunk != job.chunks_dirty.end();) {
     if (job.chunks_in_flight.contains(*chunk)) {
@@ -119,21 +120,22 @@
   auto& job = found->second;
   before_change(job);
   job.chunks_in_flight.erase(record.chunk);
-  job.chunks_stored.insert(record.chunk);  // also a failed write may have reached the store
+  // A write that was reported as failed may still have reached the store.
+  job.chunks_stored.insert(record.chunk);
   if (!ok) {
     progress_changed(job, record.chunk * kProgressChunk);
     return;
   }
-  each_index(record.done, job.tasks.size(),
-             [&](TaskIndex index) { job.tasks[index].persisted = true; });
+  for_each_index(record.done, job.tasks.size(),
+                 [&](TaskIndex index) { job.tasks[index].persisted = true; });
 }
 
 PlacementVersion Jobs::record_start(Job& job, TaskIndex index, const MachineId& machine) {
   before_change(job);
-  job.placed.resize(job.tasks.size());
-  // The version counts batches: all starts until the next write share a version.
+  job.placed_on.resize(job.tasks.size());
+  // The version counts batches: all starts up to the next write share one version.
   if (placements_dirty_.insert(job.spec().id).second) ++job.placement_version;
-  job.placed[index] = machine;
+  job.placed_on[index] = machine;
   return job.placement_version;
 }
 
@@ -168,8 +170,8 @@
 void Jobs::save_dirty_placements() {
   for (const auto& id : placements_dirty_) {
     const auto& job = jobs_.at(id);
-    const bool known = job.placed.size() <= kMaxPlacements;
-    PlacementRecord record{id, known ? job.placed : std::vector<MachineId>{}, known};
+    const bool known = job.placed_on.size() <= kMaxPlacements;
+    PlacementRecord record{id, known ? job.placed_on : std::vector<MachineId>{}, known};
     out_.push_back(SavePlacements{std::move(record), job.placement_version});
   }
   placements_dirty_.clear();
--- a/src/core/scheduling/candidate_queue.cpp
+++ b/src/core/scheduling/candidate_queue.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// Where machines are scarce, the smallest gangs come first, until others have waited for this.
-constexpr Seconds kGangAges{20};
+/// Gangs are sorted by work, so where machines are scarce small gangs come first. A gang that has
+/// waited for longer than this comes first within its priority.
+constexpr Seconds kGangAgingThreshold{20};
 
-/// Whether a team's guarantee covers this use: a guarantee may be in CPUs, in GPUs or in both.
+/// Whether a team's guarantee, which may be in CPUs, in GPUs or in both, covers this use.
 bool covers(const Team& team, const Resources& use) {
   const bool has_guarantee = team.guaranteed_cpus > 0 || team.guaranteed_gpus > 0;
   return has_guarantee &&
@@ -23,8 +24,8 @@
   return std::tie(a->record.submitted, a->spec().id) < std::tie(b->record.submitted, b->spec().id);
 }
 
-/// The design's order is longest first. Before it come priority, for the deadlines, and work
-/// within a team's guarantee (docs/design.md, "Order of the queue").
+/// Compares by starvation, priority, aging, guarantee, deadline forecast and work, in this order
+/// (docs/design.md, "Order of the queue").
 bool scheduled_before(const Candidate& a, const Candidate& b) {
   const auto a_priority = a.job->spec().priority;
   const auto b_priority = b.job->spec().priority;
@@ -51,34 +52,34 @@
   return by_age;
 }
 
-Candidate CandidateQueue::make_candidate(Job& job, Resources& team_claim, bool may_starve,
+Candidate CandidateQueue::make_candidate(Job& job, Resources& team_demand, bool may_prioritize,
                                          TimePoint now) const {
   const auto& spec = job.spec();
   const auto waiting = spec.per_task * static_cast<double>(job.waiting.size());
-  team_claim += waiting;
+  team_demand += waiting;
   const auto team = catalog_.teams().find(spec.team);
   const double size = spec.per_task.gpus > 0 ? waiting.gpus : waiting.cpus;
 
   Candidate candidate;
   candidate.job = &job;
   candidate.estimate = forecaster_.estimate_left(job, *job.waiting.begin());
-  candidate.guaranteed = team != catalog_.teams().end() && covers(team->second, team_claim);
+  candidate.guaranteed = team != catalog_.teams().end() && covers(team->second, team_demand);
   candidate.forecast = forecaster_.forecast(job, now);
   candidate.work = candidate.estimate.count() * size;
-  candidate.aged = job.gang() ? forecaster_.age(job, now) > kGangAges
-                              : starvation_guard_.prioritized_whole(job, now);
-  candidate.starving = may_starve && starvation_guard_.starving(job, now);
+  candidate.aged = job.gang() ? forecaster_.age(job, now) > kGangAgingThreshold
+                              : starvation_guard_.all_tasks_prioritized(job, now);
+  candidate.starving = may_prioritize && starvation_guard_.starving(job, now);
   return candidate;
 }
 
 std::vector<Candidate> CandidateQueue::build(TimePoint now) const {
   std::vector<Candidate> queue;
   auto prioritized_starts_left = starvation_guard_.prioritized_starts_allowed();
-  std::map<std::string, Resources> claimed_by_team;
+  std::map<std::string, Resources> demand_by_team;
   for (auto* job : startable_jobs_by_age(now)) {
     const auto& team = job->spec().team;
-    auto& claim = claimed_by_team.try_emplace(team, fleet_.team_use(team)).first->second;
-    queue.push_back(make_candidate(*job, claim, prioritized_starts_left > 0, now));
+    auto& demand = demand_by_team.try_emplace(team, fleet_.team_use(team)).first->second;
+    queue.push_back(make_candidate(*job, demand, prioritized_starts_left > 0, now));
     if (queue.back().starving) --prioritized_starts_left;
   }
   std::stable_sort(queue.begin(), queue.end(), scheduled_before);
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-/// A reserved machine that boots for longer than this times the boot time of its type, plus the
-/// slack, is no longer waited for.
+/// A reserved machine that has not booted after this multiple of its type's boot time, plus the
+/// slack, leaves the reservation.
 constexpr double kBootLateFactor = 1.5;
 constexpr std::chrono::seconds kBootSlack{2};
-/// How long a machine that is up may take until its registration is committed.
-constexpr std::chrono::seconds kRegistrationTime{5};
-/// A gang that is short in its region may change to another one after this.
-constexpr std::chrono::seconds kMoveAfter{3};
+/// A reserved machine that is up leaves the reservation if its registration is not committed within
+/// this time.
+constexpr std::chrono::seconds kRegistrationTimeout{5};
+/// How long a gang that lacks slots waits before it may change to another placement domain.
+constexpr std::chrono::seconds kDomainChangeDelay{3};
 
 }  // namespace
 
@@ -24,8 +25,9 @@
                           TimePoint now) {
   auto& job = *candidate.job;
   const auto& spec = job.spec();
-  // Every machine that it may be on is accounted for: what is not seen of it is lost.
-  if (job.waiting.size() < job.tasks.size()) jobs_.note_broken(spec.id);
+  // A gang is not queued while an unconfirmed machine may run its tasks. So if only some of its
+  // tasks wait, the others belong to an attempt that has lost a task and must end.
+  if (job.waiting.size() < job.tasks.size()) jobs_.note_broken_gang(spec.id);
   if (!task_starter_.within_limit(spec, job.waiting.size()))
     return reservations_.close(fleet_, spec.id);
   if (job.waiting.size() == job.tasks.size()) {
@@ -35,8 +37,8 @@
   reserve_machines(job, schedulable, now);
 }
 
-// Starts all tasks or none. Everything is checked for the whole gang before the first start, and
-// for each task again where it is started.
+// Starts all tasks or none: every rule is checked for the whole gang before the first start, and
+// again for each task by `TaskStarter::start`.
 bool GangScheduler::start(Job& job, const std::vector<GangSlots>& slots, TimePoint now) {
   if (!can_start(job, slots, now)) return false;
   const auto attempt = task_starter_.next_attempt();
@@ -44,7 +46,7 @@
   for (const auto& entry : slots)
     for (TaskIndex started = 0; started < entry.tasks; ++started, ++index)
       if (!task_starter_.start(job, index, *entry.machine, attempt, now)) {
-        jobs_.note_broken(job.spec().id);
+        jobs_.note_broken_gang(job.spec().id);
         return false;
       }
   jobs_.before_change(job);
@@ -75,75 +77,75 @@
                                      TimePoint now) {
   const auto& spec = job.spec();
   if (pause_if_stalled(job, now)) return;
-  leave_blocked_region(job, now);
-  auto* reservation = find_or_open(job, schedulable, now);
+  leave_blocked_domain(job, now);
+  auto* reservation = find_or_open_reservation(job, schedulable, now);
   if (reservation == nullptr) return;
   GangSlotCount slots(spec);
   count_reserved(spec, *reservation, slots, now);
   count_ending_tasks(job, *reservation, slots, now);
-  reserve_free(job, *reservation, slots, schedulable, now);
+  reserve_free_machines(job, *reservation, slots, schedulable, now);
   const auto covered = reservation->requested + slots.total();
   reservation->missing = spec.tasks > covered ? spec.tasks - covered : 0;
-  if (reservation->is_short() && !offerings_.can_scale_out(spec, reservation->region, now))
+  if (reservation->is_short() && !offerings_.can_scale_out(spec, reservation->domain, now))
     preempt_or_close(job, *reservation, now);
 }
 
-// Other jobs wait beside what the gang reserves: if it gets nothing more, they have a turn.
+// Reserved machines are unavailable to other jobs, so a reservation that stops growing must end.
 bool GangScheduler::pause_if_stalled(Job& job, TimePoint now) {
   const auto& id = job.spec().id;
   const auto* reservation = reservations_.find(id);
   if (reservation == nullptr || !reservation->is_short()) return false;
-  if (now - reservation->grown <= kMaxReservationTime) return false;
+  if (now - reservation->last_reserved <= kMaxReservationTime) return false;
   reservations_.close(fleet_, id);
   jobs_.before_change(job);
   job.backoff_until = now + kReservationPause;
   return true;
 }
 
-void GangScheduler::leave_blocked_region(const Job& job, TimePoint now) {
+void GangScheduler::leave_blocked_domain(const Job& job, TimePoint now) {
   const auto& spec = job.spec();
   const auto* reservation = reservations_.find(spec.id);
   if (reservation == nullptr || !reservation->is_short()) return;
-  const auto& region = reservation->region;
-  if (offerings_.can_scale_out(spec, region, now)) return;
-  const bool may_move = now - reservation->since > kMoveAfter;
-  if (reservations_.another_is_short(region) ||
-      (may_move && can_scale_out_elsewhere(spec, region, now)))
+  const auto& domain = reservation->domain;
+  if (offerings_.can_scale_out(spec, domain, now)) return;
+  const bool may_move = now - reservation->since > kDomainChangeDelay;
+  if (reservations_.another_is_short(domain) ||
+      (may_move && can_scale_out_in_other_domain(spec, domain, now)))
     reservations_.close(fleet_, spec.id);
 }
 
-bool GangScheduler::can_scale_out_elsewhere(const JobSpec& spec, const std::string& region,
-                                            TimePoint now) const {
-  const auto regions = slot_finder_.regions(spec);
-  return std::any_of(regions.begin(), regions.end(), [&](const std::string& candidate) {
-    return candidate != region && offerings_.can_scale_out(spec, candidate, now);
+bool GangScheduler::can_scale_out_in_other_domain(const JobSpec& spec, const std::string& domain,
+                                                  TimePoint now) const {
+  const auto domains = slot_finder_.domains(spec);
+  return std::any_of(domains.begin(), domains.end(), [&](const std::string& candidate) {
+    return candidate != domain && offerings_.can_scale_out(spec, candidate, now);
   });
 }
 
-GangReservation* GangScheduler::find_or_open(const Job& job,
-                                             const std::vector<Machine*>& schedulable,
-                                             TimePoint now) {
+GangReservation* GangScheduler::find_or_open_reservation(const Job& job,
+                                                         const std::vector<Machine*>& schedulable,
+                                                         TimePoint now) {
   const auto& id = job.spec().id;
   if (auto* reservation = reservations_.find(id)) return reservation;
-  const auto region = slot_finder_.choose_region(job, reservations_, schedulable, now);
-  return region ? &reservations_.open(id, *region, now) : nullptr;
+  const auto domain = slot_finder_.choose_domain(job, reservations_, schedulable, now);
+  return domain ? &reservations_.open(id, *domain, now) : nullptr;
 }
 
-// Machines that will not take tasks soon leave the reservation; the others are counted with what
-// their stopping tasks free.
+// Machines that cannot take tasks soon are removed from the reservation. For the others, capacity
+// that stopping tasks are about to free counts as free.
 void GangScheduler::count_reserved(const JobSpec& spec, const GangReservation& reservation,
                                    GangSlotCount& slots, TimePoint now) {
-  const auto machines = reservation.machines;  // a release changes the reservation's own set
+  const auto machines = reservation.machines;  // a copy, since release() changes the set
   for (const auto& id : machines) {
     auto* machine = fleet_.find(id);
     if (is_usable_soon(*machine, now))
-      slots.add(machine->zone, places_on(machine->free_after_stops(), spec));
+      slots.add(machine->zone, slots_in(machine->free_after_stops(), spec));
     else
       reservations_.release(fleet_, *machine);
   }
 }
 
-// Where tasks of a failed attempt still end, their slots become free again.
+// Tasks of a failed attempt that are still ending free their slots, so these count as available.
 void GangScheduler::count_ending_tasks(const Job& job, const GangReservation& reservation,
                                        GangSlotCount& slots, TimePoint now) const {
   for (const auto& task : job.tasks) {
@@ -155,22 +157,23 @@
   }
 }
 
-void GangScheduler::reserve_free(const Job& job, GangReservation& reservation, GangSlotCount& slots,
-                                 const std::vector<Machine*>& schedulable, TimePoint now) {
+void GangScheduler::reserve_free_machines(const Job& job, GangReservation& reservation,
+                                          GangSlotCount& slots,
+                                          const std::vector<Machine*>& schedulable, TimePoint now) {
   const auto& spec = job.spec();
-  for (const auto& free : slot_finder_.free_slots(job, reservation.region, schedulable, now)) {
+  for (const auto& free : slot_finder_.free_slots(job, reservation.domain, schedulable, now)) {
     if (reservation.requested + slots.total() >= spec.tasks) break;
     if (!free.machine->reserved_for.empty()) continue;
-    reservations_.claim(fleet_, spec.id, *free.machine);
-    reservation.grown = now;
+    reservations_.reserve(fleet_, spec.id, *free.machine);
+    reservation.last_reserved = now;
     slots.add(free.machine->zone, free.tasks);
   }
 }
 
 void GangScheduler::preempt_or_close(const Job& job, GangReservation& reservation, TimePoint now) {
-  if (!reservations_.may_be_short(reservation.region, count_zones()))
+  if (!reservations_.may_be_short(reservation.domain, count_zones()))
     return reservations_.close(fleet_, job.spec().id);
-  reservations_.note_short(reservation.region);
+  reservations_.note_short(reservation.domain);
   preemption_.preempt_for_gang(job, reservation, reservations_, now);
 }
 
@@ -180,7 +183,7 @@
   if (machine.up()) {
     const auto up_for = now - machine.up_since.value_or(now);
     return task_starter_.accepts_new_tasks(machine, now) ||
-           (!machine.registered && up_for < kRegistrationTime);
+           (!machine.registered && up_for < kRegistrationTimeout);
   }
   const auto type = catalog_.types().find(machine.type);
   if (type == catalog_.types().end()) return false;
@@ -194,23 +197,24 @@
   return zones.size();
 }
 
-// All tasks of a gang that has lost one must be proven gone before it starts anew: those that have
-// not noticed are stopped. A task that saves a checkpoint is left to finish it.
-void GangScheduler::restart_broken(TimePoint now) {
-  for (const auto& id : jobs_.take_broken()) {
+// A gang that has lost a task may only restart once all of its tasks have provably ended, so the
+// remaining tasks are stopped. A task that is writing a checkpoint may finish it.
+void GangScheduler::stop_broken_gangs(TimePoint now) {
+  for (const auto& id : jobs_.take_broken_gangs()) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end()) continue;
-    each_on_machines(fleet_, found->second,
-                     [&](Machine& machine, const TaskKey&, Assignment& assignment) {
-                       if (assignment.state != TaskState::checkpointing)
-                         commands_.stop(machine, assignment, now);
-                     });
+    for_each_assignment(fleet_, found->second,
+                        [&](Machine& machine, const TaskKey&, Assignment& assignment) {
+                          if (assignment.state != TaskState::checkpointing)
+                            commands_.stop(machine, assignment, now);
+                        });
     out_.request_scheduling_round();
   }
 }
 
-// One task that is done proves that all are, also those on machines that died since.
-void GangScheduler::done(Job& job) {
+// The tasks of a gang complete together, so one done task proves that all are done, also those on
+// machines that have failed since.
+void GangScheduler::complete_gang(Job& job) {
   for (TaskIndex index = 0; index < job.tasks.size(); ++index) {
     jobs_.task_done(job, index);
     if (index % kProgressChunk == 0) jobs_.progress_changed(job, index);
@@ -230,12 +234,12 @@
     reservation->requested -= std::min(reservation->requested, slots);
 }
 
-// A gang that has moved on leaves its machine to any job.
+// If the gang has no reservation any more, or one in another domain, any job may use the machine.
 void GangScheduler::machine_granted(const JobId& gang, Machine& machine) {
   const auto* reservation = reservations_.find(gang);
   if (reservation != nullptr && machine.reserved_for.empty() && machine.tasks.empty() &&
       reservation->covers_zone(machine.zone))
-    reservations_.claim(fleet_, gang, machine);
+    reservations_.reserve(fleet_, gang, machine);
 }
 
 }  // namespace violetpulley::core
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How well a machine suits a replica that takes the capacity of one of its tasks.
+/// How well a machine suits a replica that replaces one of its tasks.
 enum class Suitability { empty_of_replicas, has_replicas, has_image };
 
 Suitability suitability(const Machine& machine, const std::string& image) {
@@ -20,14 +20,13 @@
   return has_replicas ? Suitability::has_replicas : Suitability::empty_of_replicas;
 }
 
-/// Summed in the order of the tasks.
+/// Sums the costs in the order of the machine's tasks.
 Seconds cost_of_stopping_all(const Machine& machine, TimePoint now) {
   Seconds cost{0};
   for (const auto& [key, assignment] : machine.tasks) cost += cost_of_stop(assignment, now);
   return cost;
 }
 
-/// For victims of either kind.
 template <class Victim>
 bool is_cheaper(const Victim& a, const Victim& b) {
   return a.cost < b.cost;
@@ -90,10 +89,11 @@
   const auto& spec = job.spec();
   auto zones = task_starter_.zone_use(job);
   auto needed = task_starter_.startable_tasks(job);
-  const auto coming = std::min(needed, victims.stopping);
-  needed -= coming;
-  victims.stopping -= coming;
-  // First where the image is, then where other replicas are: whole machines stay free.
+  const auto being_freed = std::min(needed, victims.stopping);
+  needed -= being_freed;
+  victims.stopping -= being_freed;
+  // Machines with the image come first, then machines with other replicas, so that replicas
+  // occupy fewer machines.
   for (const auto min_suitability :
        {Suitability::has_image, Suitability::has_replicas, Suitability::empty_of_replicas})
     for (auto& victim : victims.tasks) {
@@ -101,7 +101,7 @@
       if (victim.machine == nullptr) continue;
       auto& machine = *victim.machine;
       if (suitability(machine, spec.image) < min_suitability) continue;
-      if (!may_replace(victim, spec, zones)) continue;
+      if (!fits_in_place_of(victim, spec, zones)) continue;
       ++zones[machine.zone];
       preempt(machine, victim.key, Seconds(0), now);
       victim.machine = nullptr;
@@ -109,8 +109,8 @@
     }
 }
 
-bool Preemption::may_replace(const Victim& victim, const JobSpec& spec,
-                             const ZoneUse& zones) const {
+bool Preemption::fits_in_place_of(const Victim& victim, const JobSpec& spec,
+                                  const ZoneUse& zones) const {
   const auto& machine = *victim.machine;
   const auto& freed = machine.tasks.at(victim.key).resources;
   if (!spec.per_task.fits_in(machine.free() + freed)) return false;
@@ -121,22 +121,22 @@
 
 void Preemption::preempt_for_gang(const Job& job, GangReservation& reservation,
                                   GangReservations& reservations, TimePoint now) {
-  for (const auto& victim : find_gang_victims(job, reservation.region, now)) {
+  for (const auto& victim : find_gang_victims(job, reservation.domain, now)) {
     if (reservation.missing == 0) return;
-    reservations.claim(fleet_, job.spec().id, *victim.machine);
+    reservations.reserve(fleet_, job.spec().id, *victim.machine);
     reservation.missing -= std::min(reservation.missing, victim.slots);
     preempt_all(*victim.machine, now);
   }
 }
 
 std::vector<Preemption::GangVictim> Preemption::find_gang_victims(const Job& job,
-                                                                  const std::string& region,
+                                                                  const std::string& domain,
                                                                   TimePoint now) {
   const auto& spec = job.spec();
   std::vector<GangVictim> victims;
   for (auto& [id, machine] : fleet_.all()) {
-    if (!may_host_gang(machine, job, region, now)) continue;
-    const auto slots = places_on(machine.capacity, spec);
+    if (!may_host_gang(machine, job, domain, now)) continue;
+    const auto slots = slots_in(machine.capacity, spec);
     if (slots > 0 && all_preemptible(machine, spec.priority))
       victims.push_back({&machine, slots, cost_of_stopping_all(machine, now)});
   }
@@ -145,11 +145,11 @@
   return victims;
 }
 
-bool Preemption::may_host_gang(const Machine& machine, const Job& job, const std::string& region,
+bool Preemption::may_host_gang(const Machine& machine, const Job& job, const std::string& domain,
                                TimePoint now) const {
-  if (!region.empty() && machine.zone != region) return false;
+  if (!domain.empty() && machine.zone != domain) return false;
   if (!task_starter_.accepts_new_tasks(machine, now) || !machine.reserved_for.empty()) return false;
-  if (machine.tasks.empty() || bindings_.holds(machine.id)) return false;
+  if (machine.tasks.empty() || bindings_.has_group(machine.id)) return false;
   if (job.avoids(machine.id, now)) return false;
   return allowed_on(job.spec(), machine.type, machine.zone, machine.spot);
 }
@@ -160,7 +160,7 @@
   });
 }
 
-// Over a copy of the keys, since each stop changes the assignments.
+// Iterates over a copy of the keys, since each stop may change the assignments.
 void Preemption::preempt_all(Machine& machine, TimePoint now) {
   std::vector<TaskKey> keys;
   for (const auto& [key, assignment] : machine.tasks) keys.push_back(key);
--- a/tests/store/learned_state_test.cpp
+++ b/tests/store/learned_state_test.cpp
@@ -120,10 +120,10 @@
   const core::TimePoint now{std::chrono::hours(5)};
   core::Controller next(controller, 9, now, now + std::chrono::seconds(60), recovered);
   const auto& job = next.jobs().at("req-saved");
-  EXPECT_EQ(job.tasks[1].saved, Seconds(7));
+  EXPECT_EQ(job.tasks[1].checkpointed, Seconds(7));
   // The job had waited 40 s and 10 s have passed since, but it was submitted only 40 s ago, which
   // limits its waiting time.
-  EXPECT_EQ(Seconds(now - job.opened), Seconds(40));
+  EXPECT_EQ(Seconds(now - job.opened_at), Seconds(40));
   EXPECT_EQ(job.waiting.size(), 4U) << "a task was assumed to be on a machine";
   EXPECT_TRUE(next.fleet().find("m1")->quarantined);
   EXPECT_FALSE(next.fleet().find("m1")->confirmed);
