--- a/src/core/failover/doubt_resolver.hpp
+++ b/src/core/failover/doubt_resolver.hpp
@@ -2,7 +2,7 @@
 /// Returns machines on which a delayed start command may run an ended attempt again, if waiting
 /// jobs depend on that attempt or it must end within a time limit (docs/safety.md, "An attempt that
 /// has ended in doubt"; docs/design.md, "Held back"). A settled machine takes no new tasks and is
-/// returned. Owns no state; decides which machines of `EndedAttemptsTest` are settled for waiting
+/// returned. Owns no state; decides which machines of `EndedAttempts` are settled for waiting
 /// jobs, and when a settled machine is returned.
 #pragma once
 
