--- a/tests/core/autoscaling/scaler_test.cpp
+++ b/tests/core/autoscaling/scaler_test.cpp
@@ -22,7 +22,7 @@
   MachineType large{"large", {64, 0, 512}, 10, 1, 6.0, 2.2, Seconds(30), {"z"}};
   const std::vector<InstanceOffering> offerings{
       {&small, "z", true, 0.3}, {&small, "z", false, 1.0}, {&large, "z", true, 2.2}};
-  auto spec = spec_of(1, 1, Seconds(10));
+  auto spec = make_spec(1, 1, Seconds(10));
   Scaler scaler({{&spec, Seconds(10), {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}}}, offerings);
   auto choice = scaler.choose();
   ASSERT_TRUE(choice);
@@ -34,7 +34,7 @@
   EXPECT_FALSE(scaler.choose());
 
   // A task of 16 CPUs fits only the large type, which is offered only as spot here.
-  auto large_job = spec_of(16, 16, Seconds(10));
+  auto large_job = make_spec(16, 16, Seconds(10));
   large_job.spot_allowed = false;
   EXPECT_FALSE(Scaler({{&large_job, Seconds(10), {0}}}, offerings).choose());
   large_job.spot_allowed = true;
@@ -49,8 +49,8 @@
 TEST(Scaler, TasksOfAnExhaustedOfferingWaitUnlessAnotherOneIsAsCheap) {
   MachineType small{"small", {8, 0, 64}, 10, 1, 1.0, 0.3, Seconds(30), {"y", "z"}};
   MachineType large{"large", {64, 0, 512}, 10, 1, 9.0, 3.0, Seconds(30), {"z"}};
-  auto small_job = spec_of(1, 1, Seconds(10));
-  auto large_job = spec_of(16, 16, Seconds(10));
+  auto small_job = make_spec(1, 1, Seconds(10));
+  auto large_job = make_spec(16, 16, Seconds(10));
   Scaler scaler(
       {{&small_job, Seconds(20), std::vector<TaskIndex>(100)}, {&large_job, Seconds(10), {0, 1}}},
       {{&small, "z", true, 0.3},
@@ -74,7 +74,7 @@
 
 TEST(Consolidation, RestartsTasksOnlyIfTheirRemainingTimeExceedsTheCostOfTheRestart) {
   Fleet fleet;
-  auto& machine = machine_with(fleet, "m", 16, Seconds(100));
+  auto& machine = add_machine(fleet, "m", 16, Seconds(100));
   EXPECT_TRUE(underused(machine, 0.5));
   EXPECT_TRUE(worth_restarting(machine, kNow, Seconds(30), Seconds(20)));
   // After 60 s the remaining 40 s are less than the 60 s of run time that a restart would lose.
@@ -89,7 +89,7 @@
   for (const bool spot_allowed : {false, true}) {
     MachineType type{"small", {8, 0, 64}, 10, 1, 1.0, 0.3, Seconds(30), {"z"}};
     JobRecord record;
-    record.spec = spec_of(4, 4, Seconds(20));
+    record.spec = make_spec(4, 4, Seconds(20));
     record.spec.spot_allowed = spot_allowed;
     record.revision = 9;
     ControllerSettings settings{{{"t", 0, 0, 0, 0}}, AgentTimes{}, Tuning{}, 1.0,
--- a/tests/core/jobs/job_test.cpp
+++ b/tests/core/jobs/job_test.cpp
@@ -11,7 +11,7 @@
 
 TEST(JobProgress, ChunkRecordsListDoneTasksAsRanges) {
   JobRecord record;
-  record.spec = spec_of(1, 1, Seconds(1));
+  record.spec = make_spec(1, 1, Seconds(1));
   record.spec.tasks = 2500;
   Job job(record);
   for (const TaskIndex i : {0U, 1U, 2U, 7U, 1000U}) job.set_done(i);
--- a/tests/core/machines/ended_attempts_test.cpp
+++ b/tests/core/machines/ended_attempts_test.cpp
@@ -23,9 +23,9 @@
   void start_without_responses(const JobRecord& record) {
     answer_commands(false);
     controller_->job_opened(record, now_);
-    run(Seconds(4));
+    run_for(Seconds(4));
     answer_commands(true);
-    run(Seconds(4));
+    run_for(Seconds(4));
   }
   void answer_commands(bool answers) {
     for (auto& [id, agent] : agents_) agent.answers_commands = answers;
@@ -50,113 +50,113 @@
         }));
   }
   JobRecord narrow_job(const JobId& id, TaskIndex tasks) const {
-    auto record = job(id, tasks);
+    auto record = job_record(id, tasks);
     record.spec.team = "narrow";  // its limit is 8 CPUs, and each task takes 4
     return record;
   }
 };
 
 TEST_F(EndedAttemptsTest, ADoneTaskThatMayBeStartedAgainCountsAgainstItsTeamsLimit) {
-  begin(3, 0);
-  run(Seconds(2));
+  elect_leader(3, 0);
+  run_for(Seconds(2));
   start_without_responses(narrow_job("req-1", 2));
-  ASSERT_EQ(running(), 2U);
+  ASSERT_EQ(running_tasks(), 2U);
   auto& agent = machine_of({"req-1", 0})->second;
   const auto delayed = end_task(agent, {"req-1", 0});
-  run(Seconds(4));
+  run_for(Seconds(4));
   controller_->job_opened(narrow_job("req-2", 2), now_);
-  run(Seconds(4));
+  run_for(Seconds(4));
   restart_agent_and_deliver(agent, {delayed});
-  EXPECT_LE(running(), 2U) << "quota: 8 CPUs at most, and each task takes 4";
+  EXPECT_LE(running_tasks(), 2U) << "quota: 8 CPUs at most, and each task takes 4";
 }
 
 TEST_F(EndedAttemptsTest, ATeamAtItsLimitStartsNewTasksOnceMachinesWithEndedAttemptsAreReturned) {
-  begin(3, 0);
-  run(Seconds(2));
+  elect_leader(3, 0);
+  run_for(Seconds(2));
   start_without_responses(narrow_job("req-1", 2));
-  ASSERT_EQ(running(), 2U);
+  ASSERT_EQ(running_tasks(), 2U);
   for (const TaskIndex index : {0U, 1U})
     end_task(machine_of({"req-1", index})->second, {"req-1", index});
-  run(Seconds(4));
-  ASSERT_TRUE(done_.contains("req-1"));
-  EXPECT_TRUE(returned_.empty()) << release_causes_;
+  run_for(Seconds(4));
+  ASSERT_TRUE(finished_jobs_.contains("req-1"));
+  EXPECT_TRUE(returned_machines_.empty()) << scale_in_causes_;
   controller_->job_opened(narrow_job("req-2", 2), now_);
-  run(Seconds(40));
-  EXPECT_EQ(running(), 2U) << "no task may wait for 90 s while there is free capacity";
+  run_for(Seconds(40));
+  EXPECT_EQ(running_tasks(), 2U) << "no task may wait for 90 s while there is free capacity";
 }
 
 TEST_F(EndedAttemptsTest, DoneTasksTakeNoCapacityAndReturnNoMachineBelowTheTeamLimit) {
-  begin(3, 0);
-  run(Seconds(2));
-  start_without_responses(job("req-1", 8));
-  ASSERT_EQ(running(), 8U);
+  elect_leader(3, 0);
+  run_for(Seconds(2));
+  start_without_responses(job_record("req-1", 8));
+  ASSERT_EQ(running_tasks(), 8U);
   for (TaskIndex index = 0; index < 8; ++index)
     end_task(machine_of({"req-1", index})->second, {"req-1", index});
-  run(Seconds(4));
-  ASSERT_EQ(running(), 0U);
-  controller_->job_opened(job("req-2", 12), now_);
-  run(Seconds(60));
-  EXPECT_EQ(running(), 12U) << "ended attempts take no capacity";
-  EXPECT_TRUE(returned_.empty()) << release_causes_;
+  run_for(Seconds(4));
+  ASSERT_EQ(running_tasks(), 0U);
+  controller_->job_opened(job_record("req-2", 12), now_);
+  run_for(Seconds(60));
+  EXPECT_EQ(running_tasks(), 12U) << "ended attempts take no capacity";
+  EXPECT_TRUE(returned_machines_.empty()) << scale_in_causes_;
 }
 
 TEST_F(EndedAttemptsTest, ACancelledTaskThatHasEndedIsNotRunAgainByADelayedStart) {
-  begin(4, 0);
-  run(Seconds(2));
-  start_without_responses(job("req-1", 1));
+  elect_leader(4, 0);
+  run_for(Seconds(2));
+  start_without_responses(job_record("req-1", 1));
   auto& agent = machine_of({"req-1", 0})->second;
   const Command delayed{
       CommandType::start, {"req-1", 0}, agent.tasks.begin()->second.attempt, Seconds(0)};
   controller_->job_closed("req-1", now_);
   // The cancellation may have been confirmed up to cancel - lease before this leader learned of it.
-  run(times_.lease * 0.6);
+  run_for(agent_times_.lease * 0.6);
   restart_agent_and_deliver(agent, {delayed});
   EXPECT_EQ(copies_of({"req-1", 0}), 0U) << "ran_cancelled";
 }
 
 TEST_F(EndedAttemptsTest, ADoneTaskOfAJobThatIsCancelledLaterIsNotRunAgain) {
-  begin(4, 0);
-  run(Seconds(2));
-  start_without_responses(job("req-1", 2));
+  elect_leader(4, 0);
+  run_for(Seconds(2));
+  start_without_responses(job_record("req-1", 2));
   auto& agent = machine_of({"req-1", 0})->second;
   const auto delayed = end_task(agent, {"req-1", 0});
-  run(Seconds(30));
+  run_for(Seconds(30));
   controller_->job_closed("req-1", now_);
-  run(times_.lease * 0.6);
+  run_for(agent_times_.lease * 0.6);
   restart_agent_and_deliver(agent, {delayed});
   EXPECT_EQ(copies_of({"req-1", 0}), 0U) << "ran_cancelled";
 }
 
 // The finish of the job was requested, but refused because the job was cancelled before.
 TEST_F(EndedAttemptsTest, ADoneTaskOfAJobWhoseFinishWasRefusedIsNotRunAgain) {
-  begin(4, 0);
-  run(Seconds(2));
-  start_without_responses(job("req-1", 1));
+  elect_leader(4, 0);
+  run_for(Seconds(2));
+  start_without_responses(job_record("req-1", 1));
   auto& agent = machine_of({"req-1", 0})->second;
   const auto delayed = end_task(agent, {"req-1", 0});
-  run(Seconds(4));
-  ASSERT_TRUE(done_.contains("req-1"));
+  run_for(Seconds(4));
+  ASSERT_TRUE(finished_jobs_.contains("req-1"));
   controller_->finish_answered("req-1", now_ + seconds(2), now_);
-  run(times_.lease * 0.6);
+  run_for(agent_times_.lease * 0.6);
   restart_agent_and_deliver(agent, {delayed});
   EXPECT_EQ(copies_of({"req-1", 0}), 0U) << "ran_cancelled";
 }
 
 TEST_F(EndedAttemptsTest, AGangRestartsOnlyWhenNoEarlierAttemptCanRunAgain) {
-  begin(4, 0);
-  run(Seconds(2));
-  auto gang = job("req-1", 2);
+  elect_leader(4, 0);
+  run_for(Seconds(2));
+  auto gang = job_record("req-1", 2);
   gang.spec.shape = Shape::gang;
   gang.spec.per_task = {16, 0, 16};
   start_without_responses(gang);
-  ASSERT_EQ(running(), 2U);
+  ASSERT_EQ(running_tasks(), 2U);
   const auto first = machine_of({"req-1", 0})->first;
   const auto second = machine_of({"req-1", 1})->first;
   const std::vector<Command> delayed{end_task(agents_[first], {"req-1", 0}, true)};
   const std::vector<Command> other{end_task(agents_[second], {"req-1", 1}, true)};
-  run(Seconds(3));  // both ends are reported
+  run_for(Seconds(3));  // both ends are reported
   for (int step = 0; step < 30; ++step) {
-    run(Seconds(1));
+    run_for(Seconds(1));
     const auto before = agents_;
     restart_agent_and_deliver(agents_[first], delayed);
     restart_agent_and_deliver(agents_[second], other);
@@ -164,145 +164,145 @@
     ASSERT_LE(copies_of({"req-1", 1}), 1U) << "ran_twice after " << step << " s";
     agents_ = before;
   }
-  EXPECT_EQ(running(), 2U) << "the gang runs on other machines";
+  EXPECT_EQ(running_tasks(), 2U) << "the gang runs on other machines";
 }
 
 TEST_F(EndedAttemptsTest, AReplicaIsReplacedOnlyWhenItsEarlierAttemptCannotRunAgain) {
-  begin(4, 0);
-  run(Seconds(2));
-  auto service = job("req-1", 1);
+  elect_leader(4, 0);
+  run_for(Seconds(2));
+  auto service = job_record("req-1", 1);
   service.spec.shape = Shape::service;
   start_without_responses(service);
   const auto first = machine_of({"req-1", 0})->first;
   const std::vector<Command> delayed{end_task(agents_[first], {"req-1", 0})};
-  run(Seconds(3));  // the end is reported
+  run_for(Seconds(3));  // the end is reported
   for (int step = 0; step < 30; ++step) {
-    run(Seconds(1));
+    run_for(Seconds(1));
     const auto before = agents_;
     restart_agent_and_deliver(agents_[first], delayed);
     ASSERT_LE(copies_of({"req-1", 0}), 1U) << "ran_twice after " << step << " s";
     agents_ = before;
   }
-  EXPECT_EQ(running(), 1U);
+  EXPECT_EQ(running_tasks(), 1U);
 }
 
 // The machine reports no tasks before the delayed start arrives. This does not prove that the start
 // has no effect, so the task stays held.
 TEST_F(EndedAttemptsTest, AHeldTaskStaysHeldWhenItsMachineReportsNoTasks) {
-  begin(3, 0);
-  run(Seconds(2));
-  start_without_responses(job("req-1", 8));
+  elect_leader(3, 0);
+  run_for(Seconds(2));
+  start_without_responses(job_record("req-1", 8));
   const auto first = machine_of({"req-1", 0});
   const std::vector<Command> delayed{end_task(first->second, {"req-1", 0}, true)};
-  run(Seconds(3));
+  run_for(Seconds(3));
   first->second.ended.clear();
-  run(Seconds(5));
+  run_for(Seconds(5));
   restart_agent_and_deliver(first->second, delayed);
   EXPECT_LE(copies_of({"req-1", 0}), 1U) << "ran_twice";
-  run(Seconds(15));
-  EXPECT_EQ(running(), 8U);
+  run_for(Seconds(15));
+  EXPECT_EQ(running_tasks(), 8U);
 }
 
 // The machine also runs long tasks. It is returned before they end, so that the held task does not
 // wait for them; they lose at most the run time since their last checkpoint.
 TEST_F(EndedAttemptsTest, AHeldTaskRestartsWithinHalfALeaseDespiteLongTasksOnItsMachine) {
-  begin(3, 0);
-  run(Seconds(2));
-  start_without_responses(job("req-1", 8));
-  ASSERT_EQ(running(), 8U);
+  elect_leader(3, 0);
+  run_for(Seconds(2));
+  start_without_responses(job_record("req-1", 8));
+  ASSERT_EQ(running_tasks(), 8U);
   end_task(machine_of({"req-1", 0})->second, {"req-1", 0}, true);
-  run(heartbeat_interval_ + times_.lease / 2 + Seconds(5));
-  EXPECT_EQ(running(), 8U);
+  run_for(heartbeat_interval_ + agent_times_.lease / 2 + Seconds(5));
+  EXPECT_EQ(running_tasks(), 8U);
 }
 
 TEST_F(EndedAttemptsTest, ANewAgentEpochReleasesTheHeldTaskAtOnce) {
-  begin(3, 0);
-  run(Seconds(2));
-  start_without_responses(job("req-1", 5));
+  elect_leader(3, 0);
+  run_for(Seconds(2));
+  start_without_responses(job_record("req-1", 5));
   const auto first = machine_of({"req-1", 0});
   end_task(first->second, {"req-1", 0}, true);
-  run(Seconds(3.5));
+  run_for(Seconds(3.5));
   ++first->second.epoch;
   first->second.tasks.clear();
   first->second.ended.clear();
-  run(Seconds(8));
-  EXPECT_EQ(running(), 5U);
-  EXPECT_TRUE(returned_.empty()) << release_causes_;
+  run_for(Seconds(8));
+  EXPECT_EQ(running_tasks(), 5U);
+  EXPECT_TRUE(returned_machines_.empty()) << scale_in_causes_;
 }
 
 // Only the return of the machine excludes the delayed start, so the task waits while the cloud does
 // not answer and restarts soon after it does.
 TEST_F(EndedAttemptsTest, AHeldTaskWaitsWhileTheCloudDoesNotAnswer) {
-  begin(3, 0);
-  run(Seconds(2));
-  start_without_responses(job("req-1", 1));
+  elect_leader(3, 0);
+  run_for(Seconds(2));
+  start_without_responses(job_record("req-1", 1));
   const auto first = machine_of({"req-1", 0});
   const std::vector<Command> delayed{end_task(first->second, {"req-1", 0}, true)};
   cloud_answers_ = false;
-  run(Seconds(60));
-  EXPECT_EQ(running(), 0U);
+  run_for(Seconds(60));
+  EXPECT_EQ(running_tasks(), 0U);
   cloud_answers_ = true;
-  run(Seconds(10));
-  EXPECT_EQ(running(), 1U);
-  EXPECT_TRUE(returned_.contains(first->first));
+  run_for(Seconds(10));
+  EXPECT_EQ(running_tasks(), 1U);
+  EXPECT_TRUE(returned_machines_.contains(first->first));
 }
 
 // The machine of the done task runs no other task of the cancelled job.
 TEST_F(EndedAttemptsTest, ADoneTaskOfACancelledJobIsNotRunAgainOnAMachineWithoutOtherTasks) {
-  begin(3, 0);
-  run(Seconds(2));
-  start_without_responses(job("req-1", 5));
+  elect_leader(3, 0);
+  run_for(Seconds(2));
+  start_without_responses(job_record("req-1", 5));
   const auto alone = std::find_if(agents_.begin(), agents_.end(),
                                   [](const auto& entry) { return entry.second.tasks.size() == 1; });
   ASSERT_NE(alone, agents_.end());
   const auto task = alone->second.tasks.begin()->first;
   const auto delayed = end_task(alone->second, task);
-  run(Seconds(4));
+  run_for(Seconds(4));
   controller_->job_closed("req-1", now_);
-  run(times_.lease * 0.6);
+  run_for(agent_times_.lease * 0.6);
   restart_agent_and_deliver(alone->second, {delayed});
   EXPECT_EQ(copies_of(task), 0U) << "ran_cancelled";
 }
 
 TEST_F(EndedAttemptsTest, NothingStartsOnARetiringMachine) {
-  begin(2, 0);
-  run(Seconds(2));
-  start_without_responses(job("req-1", 4));
+  elect_leader(2, 0);
+  run_for(Seconds(2));
+  start_without_responses(job_record("req-1", 4));
   const auto settled = machine_of({"req-1", 0})->first;
   end_task(agents_[settled], {"req-1", 0}, true);
-  run(Seconds(4));
+  run_for(Seconds(4));
   starts_sent_.clear();
-  controller_->job_opened(job("req-2", 8), now_);
-  run(Seconds(8));
-  ASSERT_FALSE(returned_.contains(settled)) << "its other tasks have some time left";
+  controller_->job_opened(job_record("req-2", 8), now_);
+  run_for(Seconds(8));
+  ASSERT_FALSE(returned_machines_.contains(settled)) << "its other tasks have some time left";
   EXPECT_EQ(starts_sent_[settled], 0);
-  EXPECT_GT(running(), 3U) << "the other machine is used";
+  EXPECT_GT(running_tasks(), 3U) << "the other machine is used";
 }
 
 // A delayed start would fix the zone of the job's waiting tasks, so the machine is returned.
 TEST_F(EndedAttemptsTest, AMachineIsReturnedIfItsEndedAttemptRestrictsTheZoneOfWaitingTasks) {
-  begin(2, 0);
-  run(Seconds(2));
-  auto bound = job("req-1", 10);
+  elect_leader(2, 0);
+  run_for(Seconds(2));
+  auto bound = job_record("req-1", 10);
   bound.spec.same_zone = true;
   start_without_responses(bound);
-  ASSERT_EQ(running(), 8U);
+  ASSERT_EQ(running_tasks(), 8U);
   const auto first = machine_of({"req-1", 0})->first;
   end_task(agents_[first], {"req-1", 0});
-  run(heartbeat_interval_ + times_.lease / 2 + Seconds(2));
-  EXPECT_TRUE(returned_.contains(first)) << release_causes_;
+  run_for(heartbeat_interval_ + agent_times_.lease / 2 + Seconds(2));
+  EXPECT_TRUE(returned_machines_.contains(first)) << scale_in_causes_;
 }
 
 // Agents remember each attempt in doubt and list it in every heartbeat, so its number is bounded.
 TEST_F(EndedAttemptsTest, AMachineWithTooManyAttemptsInDoubtIsReturned) {
-  begin(1, 0);
-  run(Seconds(2));
-  auto small = job("req-1", 240);
+  elect_leader(1, 0);
+  run_for(Seconds(2));
+  auto small = job_record("req-1", 240);
   small.spec.per_task = {0.05, 0, 0.05};
   start_without_responses(small);
-  ASSERT_EQ(running(), 240U);
-  run(times_.lease / 2 + Seconds(2));
-  EXPECT_EQ(returned_.size(), 1U) << release_causes_;
+  ASSERT_EQ(running_tasks(), 240U);
+  run_for(agent_times_.lease / 2 + Seconds(2));
+  EXPECT_EQ(returned_machines_.size(), 1U) << scale_in_causes_;
 }
 
 }  // namespace
--- a/tests/core/scheduling/bin_packer_test.cpp
+++ b/tests/core/scheduling/bin_packer_test.cpp
@@ -26,12 +26,12 @@
 
 TEST(BinPacker, PrefersOwnBinByClosestTimeThenGreaterThenLesserBinsByFreeCapacity) {
   Fleet fleet;
-  auto& far = machine_with(fleet, "far", 8, Seconds(15.5));  // the bin of the 10 s task: [8, 16)
-  auto& near = machine_with(fleet, "near", 8, Seconds(9));   // the same bin, closer to 10 s
-  auto& greater = machine_with(fleet, "greater", 8, Seconds(40));
-  auto& large = machine_with(fleet, "large", 16, Seconds(50));  // greater bin, more free CPUs
-  auto& lesser = machine_with(fleet, "lesser", 32, Seconds(3));
-  const auto spec = spec_of(1, 1, Seconds(10));
+  auto& far = add_machine(fleet, "far", 8, Seconds(15.5));  // the bin of the 10 s task: [8, 16)
+  auto& near = add_machine(fleet, "near", 8, Seconds(9));   // the same bin, closer to 10 s
+  auto& greater = add_machine(fleet, "greater", 8, Seconds(40));
+  auto& large = add_machine(fleet, "large", 16, Seconds(50));  // greater bin, more free CPUs
+  auto& lesser = add_machine(fleet, "lesser", 32, Seconds(3));
+  const auto spec = make_spec(1, 1, Seconds(10));
   BinPacker packer(Seconds(1), kNow);
   for (auto* machine : {&far, &near, &greater, &large, &lesser}) packer.add_machine(*machine);
   std::set<MachineId> excluded;
@@ -49,9 +49,9 @@
 
 TEST(BinPacker, PrefersAMachineThatHoldsTheImage) {
   Fleet fleet;
-  auto& closest = machine_with(fleet, "closest", 8, Seconds(10), false);
-  auto& holder = machine_with(fleet, "holder", 8, Seconds(40), true);
-  const auto spec = spec_of(1, 1, Seconds(10));
+  auto& closest = add_machine(fleet, "closest", 8, Seconds(10), false);
+  auto& holder = add_machine(fleet, "holder", 8, Seconds(40), true);
+  const auto spec = make_spec(1, 1, Seconds(10));
   BinPacker packer(Seconds(1), kNow);
   packer.add_machine(closest);
   packer.add_machine(holder);
--- a/tests/end_to_end/loopback_test.cpp
+++ b/tests/end_to_end/loopback_test.cpp
@@ -35,7 +35,7 @@
       why_[name] = port();
       nodes[name] = public_[name];
     }
-    cloud_.set_nodes(nodes);
+    cloud_.set_node_addresses(nodes);
     taken.clear();
     for (const auto& [name, address] : public_) start(name);
   }
@@ -204,7 +204,7 @@
 TEST_F(Loopback, RunsCancelsRefusesAndSurvivesKills) {
   submit("n-0", "req-1", 6);
   wait_done("n-1", "req-1");
-  EXPECT_EQ(cloud_.starts(), 6U);
+  EXPECT_EQ(cloud_.executed_starts(), 6U);
   EXPECT_EQ(ask("n-2", "POST", "/v1/jobs", job("req-1", 6)).status, 200);
 
   // A known id is answered before the rest of the submission is validated.
--- a/tests/golden/golden_exchange_test.cpp
+++ b/tests/golden/golden_exchange_test.cpp
@@ -14,23 +14,23 @@
 using core::Seconds;
 using std::chrono::milliseconds;
 
-using Finish = std::function<void(Json result)>;
+using ResultHandler = std::function<void(Json result)>;
 
 /// Runs each case of a file against a peer that gives the recorded answers, and compares what was
 /// sent and what the answers were understood as.
 void check_exchanges(const std::string& file, asio::io_context& io, RecordingPeer& peer,
-                     const std::function<void(const Json&, const Finish&)>& run) {
+                     const std::function<void(const Json&, const ResultHandler&)>& run_case) {
   for (const auto& item : cases_of(file)) {
-    SCOPED_TRACE(text_at(item, "name"));
-    peer.set_answers(item.at("answers"));
+    SCOPED_TRACE(text_field(item, "name"));
+    peer.set_responses(item.at("answers"));
     bool finished = false;
     Json result;
-    run(item, [&](Json understood) {
-      result = std::move(understood);
+    run_case(item, [&](Json parsed) {
+      result = std::move(parsed);
       finished = true;
     });
-    const auto sent = item.at("sent").size();
-    fakes::run_until(io, [&] { return finished && peer.requests().size() >= sent; });
+    const auto expected_requests = item.at("sent").size();
+    fakes::run_until(io, [&] { return finished && peer.requests().size() >= expected_requests; });
     EXPECT_EQ(peer.take_requests(), item.at("sent"));
     EXPECT_EQ(result, item.at("result"));
   }
@@ -63,9 +63,9 @@
   store::Transaction transaction;
   for (const auto& condition : request.at("conditions"))
     transaction.conditions.push_back(
-        {text_at(condition, "key"), condition.at("revision").get<store::Revision>()});
+        {text_field(condition, "key"), condition.at("revision").get<store::Revision>()});
   for (const auto& item : request.at("writes")) {
-    store::Write write{text_at(item, "key"), item.at("value"), std::nullopt};
+    store::Write write{text_field(item, "key"), item.at("value"), std::nullopt};
     if (item.at("value") == "<delete>") write.value.reset();
     if (!item.at("lease").is_null()) write.lease = item.at("lease").get<std::uint64_t>();
     transaction.writes.push_back(std::move(write));
@@ -73,87 +73,91 @@
   return transaction;
 }
 
-void run_store_request(store::StoreClient& client, const Json& item, const Finish& finish) {
+void run_store_request(store::StoreClient& client, const Json& item,
+                       const ResultHandler& on_result) {
   using store::RequestPriority;
-  const auto operation = text_at(item, "operation");
+  const auto operation = text_field(item, "operation");
   const auto& request = item.at("request");
-  const auto report_outcome = [finish](store::Outcome outcome) {
-    finish({{"outcome", static_cast<int>(outcome)}});
+  const auto report_outcome = [on_result](store::Outcome outcome) {
+    on_result({{"outcome", static_cast<int>(outcome)}});
   };
   if (operation == "get") {
-    client.get(
-        text_at(request, "key"), RequestPriority::safety, [finish](const store::GetResult& result) {
-          finish({{"outcome", static_cast<int>(result.outcome)}, {"item", json_of(result.item)}});
-        });
+    client.get(text_field(request, "key"), RequestPriority::safety,
+               [on_result](const store::GetResult& result) {
+                 on_result({{"outcome", static_cast<int>(result.outcome)},
+                            {"item", json_of(result.item)}});
+               });
   } else if (operation == "list") {
-    client.list(text_at(request, "prefix"), RequestPriority::safety,
-                [finish](const store::ListResult& result) { finish(json_of(result)); });
+    client.list(text_field(request, "prefix"), RequestPriority::safety,
+                [on_result](const store::ListResult& result) { on_result(json_of(result)); });
   } else if (operation == "changes") {
-    client.changes(text_at(request, "prefix"), request.at("since").get<store::Revision>(),
+    client.changes(text_field(request, "prefix"), request.at("since").get<store::Revision>(),
                    milliseconds(request.at("block_ms").get<int>()), RequestPriority::safety,
-                   [finish](const store::ChangesResult& result) { finish(json_of(result)); });
+                   [on_result](const store::ChangesResult& result) { on_result(json_of(result)); });
   } else if (operation == "commit") {
     client.commit(transaction_of(request), RequestPriority::safety,
-                  [finish](const store::TransactionResult& result) {
-                    finish({{"outcome", static_cast<int>(result.outcome)},
-                            {"revision", result.revision},
-                            {"failed", result.failed_conditions}});
+                  [on_result](const store::TransactionResult& result) {
+                    on_result({{"outcome", static_cast<int>(result.outcome)},
+                               {"revision", result.revision},
+                               {"failed", result.failed_conditions}});
                   });
   } else if (operation == "create_lease") {
     client.create_lease(
-        milliseconds(request.at("ttl_ms").get<int>()), [finish](const store::LeaseResult& result) {
-          finish({{"outcome", static_cast<int>(result.outcome)}, {"lease", result.lease}});
+        milliseconds(request.at("ttl_ms").get<int>()),
+        [on_result](const store::LeaseResult& result) {
+          on_result({{"outcome", static_cast<int>(result.outcome)}, {"lease", result.lease}});
         });
   } else if (operation == "extend_lease") {
     client.extend_lease(request.at("lease").get<std::uint64_t>(), report_outcome);
   } else {
     ASSERT_EQ(operation, "revoke_lease");
     client.revoke_lease(request.at("lease").get<std::uint64_t>());
-    finish(nullptr);
+    on_result(nullptr);
   }
 }
 
-TEST(GoldenStore, RequestsAndAnswersAreAsBefore) {
+TEST(GoldenStore, RequestsAndParsedResponsesMatchTheGoldenFile) {
   asio::io_context io;
   RecordingPeer peer(io);
   store::StoreClient client(io, peer.endpoint(), {1000, 1000}, 1);
-  check_exchanges("store.json", io, peer, [&](const Json& item, const Finish& finish) {
-    run_store_request(client, item, finish);
+  check_exchanges("store.json", io, peer, [&](const Json& item, const ResultHandler& on_result) {
+    run_store_request(client, item, on_result);
   });
 }
 
-void run_cloud_request(cloud::CloudClient& client, const Json& item, const Finish& finish) {
-  const auto operation = text_at(item, "operation");
+void run_cloud_request(cloud::CloudClient& client, const Json& item,
+                       const ResultHandler& on_result) {
+  const auto operation = text_field(item, "operation");
   if (operation == "catalog") {
-    client.catalog([finish](const std::optional<cloud::CloudClient::Catalog>& catalog) {
-      finish(catalog ? Json{{"types", packed_hex(catalog->types)}, {"body", catalog->body}}
-                     : Json());
+    client.catalog([on_result](const std::optional<cloud::CloudClient::Catalog>& catalog) {
+      on_result(catalog ? Json{{"types", pack_to_hex(catalog->types)}, {"body", catalog->body}}
+                        : Json());
     });
   } else if (operation == "request_machines") {
     client.request_machines(
-        unpacked_hex<core::ScaleOut>(item.at("request")),
-        [finish](const core::ScaleOutResult& result) { finish(packed_hex(result)); });
+        unpack_from_hex<core::ScaleOut>(item.at("request")),
+        [on_result](const core::ScaleOutResult& result) { on_result(pack_to_hex(result)); });
   } else if (operation == "release") {
     client.release(item.at("request").get<std::vector<core::MachineId>>(),
-                   [finish](bool accepted) { finish(accepted); });
+                   [on_result](bool accepted) { on_result(accepted); });
   } else {
     ASSERT_EQ(operation, "list");
-    client.list([finish](const std::optional<std::vector<core::ListedMachine>>& machines) {
-      finish(machines ? Json(packed_hex(*machines)) : Json());
+    client.list([on_result](const std::optional<std::vector<core::ListedMachine>>& machines) {
+      on_result(machines ? Json(pack_to_hex(*machines)) : Json());
     });
   }
 }
 
-TEST(GoldenCloud, RequestsAndAnswersAreAsBefore) {
+TEST(GoldenCloud, RequestsAndParsedResponsesMatchTheGoldenFile) {
   asio::io_context io;
   RecordingPeer peer(io);
   cloud::CloudClient client(io, peer.endpoint(), 1000);
-  check_exchanges("cloud.json", io, peer, [&](const Json& item, const Finish& finish) {
-    run_cloud_request(client, item, finish);
+  check_exchanges("cloud.json", io, peer, [&](const Json& item, const ResultHandler& on_result) {
+    run_cloud_request(client, item, on_result);
   });
 }
 
-Json submission(const std::string& id, const char* shape, int tasks) {
+Json submission_body(const std::string& id, const char* shape, int tasks) {
   return {{"id", id},
           {"lot", "c"},
           {"owner", "team"},
@@ -175,10 +179,11 @@
 
 /// The state service of the recorded conversations with users: one open job, two ended ones, and
 /// jobs whose transaction conflicts or is refused.
-std::optional<net::Response> answer_user_api(const net::Request& request) {
+std::optional<net::Response> respond_as_state_service(const net::Request& request) {
   const auto& target = request.target;
   if (target.starts_with("/store?")) {
-    const Json record{{"job", submission("req-7", "array", 4)}, {"submitted_ms", 1764633600123}};
+    const Json record{{"job", submission_body("req-7", "array", 4)},
+                      {"submitted_ms", 1764633600123}};
     const Json rows = Json::array({{{"k", "job/req-7"}, {"v", record}, {"stamp", 40}}});
     return net::Response{
         200, Json{{"rows", rows}, {"truncated", false}, {"ledger", 50}}.dump(), {}};
@@ -199,11 +204,11 @@
   return net::Response{200, R"({"ledger":60})", {}};
 }
 
-net::Response ask(asio::io_context& io, net::HttpClient& client, net::Request request) {
+net::Response send_and_wait(asio::io_context& io, net::HttpClient& client, net::Request request) {
   std::optional<net::Response> response;
   bool answered = false;
-  client.request(std::move(request), std::chrono::seconds(5), [&](auto given) {
-    response = std::move(given);
+  client.request(std::move(request), std::chrono::seconds(5), [&](auto received) {
+    response = std::move(received);
     answered = true;
   });
   fakes::run_until(io, [&] { return answered; });
@@ -211,60 +216,61 @@
 }
 
 /// What was sent to the store without the watch, which is asked again at any time.
-Json without_watches(const Json& requests) {
+Json without_watch_requests(const Json& requests) {
   Json out = Json::array();
   for (const auto& request : requests)
-    if (text_at(request, "target").find("block_ms=10000") == std::string::npos)
+    if (text_field(request, "target").find("block_ms=10000") == std::string::npos)
       out.push_back(request);
   return out;
 }
 
-TEST(GoldenUsers, AnswersAndTransactionsAreAsBefore) {
+TEST(GoldenUsers, ResponsesAndTransactionsMatchTheGoldenFile) {
   asio::io_context io;
-  RecordingPeer state(io);
-  state.set_route(answer_user_api);
-  store::StoreClient client(io, state.endpoint(), {1000, 1000}, 1);
+  RecordingPeer state_service(io);
+  state_service.set_handler(respond_as_state_service);
+  store::StoreClient client(io, state_service.endpoint(), {1000, 1000}, 1);
   store::JobReplica replica(io, client, {[](const core::JobRecord&) {}, [](const core::JobId&) {}});
   const std::vector<core::MachineType> types{
       {"small", {8, 0, 32}, 20, 0.6, 0.4, 0.1, Seconds(8), {"z1"}}};
   const auto counts = [](const core::JobId& id) {
     return id == "req-7" ? core::JobCounts{1, 2} : core::JobCounts{0, 0};
   };
-  api::UserApi users(io, client, replica,
-                     {{{"team", 0, 40, 0, 0}},
-                      {"z1"},
-                      [&]() -> const std::vector<core::MachineType>& { return types; },
-                      counts});
-  const std::string jobs = "/v1/jobs";
-  const std::string withdraw = "/withdraw";
-  net::HttpServer front(io, fakes::any_port(), {},
-                        [&](net::Request&& request, const net::Responder& respond) {
-                          if (request.method == "POST" && request.target == jobs)
-                            return users.submit(request, respond);
-                          auto id = request.target.substr(jobs.size() + 1);
-                          if (!id.ends_with(withdraw)) return users.poll(id, respond);
-                          users.cancel(id.substr(0, id.size() - withdraw.size()), respond);
-                        });
+  api::UserApi user_api(io, client, replica,
+                        {{{"team", 0, 40, 0, 0}},
+                         {"z1"},
+                         [&]() -> const std::vector<core::MachineType>& { return types; },
+                         counts});
+  const std::string jobs_path = "/v1/jobs";
+  const std::string withdraw_suffix = "/withdraw";
+  net::HttpServer user_server(
+      io, fakes::any_port(), {}, [&](net::Request&& request, const net::Responder& respond) {
+        if (request.method == "POST" && request.target == jobs_path)
+          return user_api.submit(request, respond);
+        auto id = request.target.substr(jobs_path.size() + 1);
+        if (!id.ends_with(withdraw_suffix)) return user_api.poll(id, respond);
+        user_api.cancel(id.substr(0, id.size() - withdraw_suffix.size()), respond);
+      });
   replica.start();
   fakes::run_until(io, [&] { return replica.synced(); });
-  for (int round = 0; round < 20; ++round) io.run_one_for(milliseconds(20));
-  state.take_requests();
-  net::HttpClient user(io, front.local_endpoint(), 1);
+  for (int i = 0; i < 20; ++i) io.run_one_for(milliseconds(20));
+  state_service.take_requests();
+  net::HttpClient user_client(io, user_server.local_endpoint(), 1);
   for (const auto& item : cases_of("users.json")) {
-    SCOPED_TRACE(text_at(item, "name"));
-    const auto response =
-        ask(io, user, {text_at(item, "method"), text_at(item, "target"), text_at(item, "body")});
+    SCOPED_TRACE(text_field(item, "name"));
+    const auto response = send_and_wait(
+        io, user_client,
+        {text_field(item, "method"), text_field(item, "target"), text_field(item, "body")});
     EXPECT_EQ(response.status, item.at("status").get<int>());
-    EXPECT_EQ(response.body, text_at(item, "answer"));
-    EXPECT_EQ(without_watches(state.take_requests()), item.at("sent_to_store"));
+    EXPECT_EQ(response.body, text_field(item, "answer"));
+    EXPECT_EQ(without_watch_requests(state_service.take_requests()), item.at("sent_to_store"));
   }
 }
 
 /// One controller on loopback with a state service, a cloud and agents.
-class OneController {
+class ControllerWithFakes {
  public:
-  OneController() : state_(io_), cloud_(io_, {}), public_address_(free_address()) {
-    cloud_.set_nodes({{"n-0", public_address_}});
+  ControllerWithFakes() : state_(io_), cloud_(io_, {}), public_address_(free_address()) {
+    cloud_.set_node_addresses({{"n-0", public_address_}});
     config::Settings settings;
     settings.member = "n-0";
     settings.zone = "z1";
@@ -287,48 +293,49 @@
     history.home = config::HistoryHome::state_service;
     history.log.snapshot_interval = Seconds(1);
     node_ = std::make_unique<Node>(io_, settings, operators, history);
-    user_ = std::make_unique<net::HttpClient>(io_, net::parse_endpoint(public_address_), 1);
+    user_client_ = std::make_unique<net::HttpClient>(io_, net::parse_endpoint(public_address_), 1);
   }
 
   /// Repeats the request until `accepted` says so.
-  void ask_until(const net::Request& request,
-                 const std::function<bool(const net::Response&)>& accepted) {
+  void send_until(const net::Request& request,
+                  const std::function<bool(const net::Response&)>& accepted) {
     for (int attempt = 0; attempt < 600; ++attempt) {
-      if (accepted(ask(io_, *user_, request))) return;
+      if (accepted(send_and_wait(io_, *user_client_, request))) return;
       run_for(milliseconds(50));
     }
     ADD_FAILURE() << request.target << " never got the answer";
   }
   void submit(const std::string& id, const char* shape) {
-    ask_until({"POST", "/v1/jobs", submission(id, shape, 3).dump()},
-              [](const net::Response& response) { return response.status == 201; });
+    send_until({"POST", "/v1/jobs", submission_body(id, shape, 3).dump()},
+               [](const net::Response& response) { return response.status == 201; });
   }
-  void wait_done(const std::string& id) {
-    ask_until({"GET", "/v1/jobs/" + id, ""}, [](const net::Response& response) {
+  void wait_until_done(const std::string& id) {
+    send_until({"GET", "/v1/jobs/" + id, ""}, [](const net::Response& response) {
       return response.status == 200 && Json::parse(response.body).at("status") == "done";
     });
   }
-  void run_for(milliseconds time) {
-    asio::steady_timer pause(io_, time);
-    bool over = false;
-    pause.async_wait([&](const asio::error_code&) { over = true; });
-    while (!over) io_.run_one();
+  void run_for(milliseconds duration) {
+    asio::steady_timer timer(io_, duration);
+    bool expired = false;
+    timer.async_wait([&](const asio::error_code&) { expired = true; });
+    while (!expired) io_.run_one();
   }
   /// The first value that was written under each key.
-  std::map<std::string, Json> first_values() {
+  std::map<std::string, Json> first_written_values() {
     net::HttpClient client(io_, net::parse_endpoint(state_.address()), 1);
-    const auto response = ask(io_, client, {"GET", "/changes?prefix=&since=0&block_ms=0", ""});
+    const auto response =
+        send_and_wait(io_, client, {"GET", "/changes?prefix=&since=0&block_ms=0", ""});
     std::map<std::string, Json> out;
     const auto body = Json::parse(response.body);
     for (const auto& change : body.at("news"))
-      if (change.contains("write")) out.emplace(text_at(change, "write"), change.at("v"));
+      if (change.contains("write")) out.emplace(text_field(change, "write"), change.at("v"));
     return out;
   }
 
  private:
   std::string free_address() {
-    asio::ip::tcp::acceptor taken(io_, fakes::any_port());
-    return net::text_of(taken.local_endpoint());
+    asio::ip::tcp::acceptor acceptor(io_, fakes::any_port());
+    return net::text_of(acceptor.local_endpoint());
   }
 
   asio::io_context io_;
@@ -336,24 +343,24 @@
   fakes::Cloud cloud_;
   std::string public_address_;
   std::unique_ptr<Node> node_;
-  std::unique_ptr<net::HttpClient> user_;
+  std::unique_ptr<net::HttpClient> user_client_;
 };
 
-TEST(GoldenController, KeysAndValuesInTheStateServiceAreAsBefore) {
+TEST(GoldenController, KeysAndValuesInTheStateServiceMatchTheGoldenFile) {
   const auto expected = read_json("controller_keys.json");
-  OneController controller;
+  ControllerWithFakes controller;
   controller.submit("req-1", "array");
-  controller.wait_done("req-1");
+  controller.wait_until_done("req-1");
   controller.submit("req-5", "gang");
-  controller.wait_done("req-5");
+  controller.wait_until_done("req-5");
   controller.submit("req-91", "service");
-  controller.ask_until({"GET", "/v1/jobs/req-91", ""}, [](const net::Response& response) {
+  controller.send_until({"GET", "/v1/jobs/req-91", ""}, [](const net::Response& response) {
     return response.status == 200 && Json::parse(response.body).value("running", 0) == 3;
   });
-  controller.ask_until({"POST", "/v1/jobs/req-91/withdraw", ""},
-                       [](const net::Response& response) { return response.status == 200; });
+  controller.send_until({"POST", "/v1/jobs/req-91/withdraw", ""},
+                        [](const net::Response& response) { return response.status == 200; });
   controller.run_for(std::chrono::seconds(2));
-  const auto values = controller.first_values();
+  const auto values = controller.first_written_values();
 
   std::set<std::string> prefixes;
   for (const auto& [key, value] : values)
--- a/tests/golden/golden_files.hpp
+++ b/tests/golden/golden_files.hpp
@@ -43,34 +43,34 @@
 }
 
 inline std::string to_hex(std::string_view bytes) {
-  constexpr std::string_view kDigits = "0123456789abcdef";
+  constexpr std::string_view kHexDigits = "0123456789abcdef";
   std::string out;
   for (const unsigned char byte : bytes) {
-    out.push_back(kDigits[byte >> 4U]);
-    out.push_back(kDigits[byte & 15U]);
+    out.push_back(kHexDigits[byte >> 4U]);
+    out.push_back(kHexDigits[byte & 15U]);
   }
   return out;
 }
 
 inline std::string from_hex(const std::string& digits) {
   std::string out;
-  for (std::size_t at = 0; at + 1 < digits.size(); at += 2)
-    out.push_back(static_cast<char>(std::stoi(digits.substr(at, 2), nullptr, 16)));
+  for (std::size_t index = 0; index + 1 < digits.size(); index += 2)
+    out.push_back(static_cast<char>(std::stoi(digits.substr(index, 2), nullptr, 16)));
   return out;
 }
 
 /// A value in the history's msgpack form, as hexadecimal digits.
 template <class T>
-std::string packed_hex(const T& value) {
+std::string pack_to_hex(const T& value) {
   return to_hex(history::packed(value));
 }
 
 template <class T>
-T unpacked_hex(const Json& digits) {
+T unpack_from_hex(const Json& digits) {
   return history::unpacked<T>(from_hex(digits.get<std::string>()));
 }
 
-inline std::string text_at(const Json& value, const char* field) {
+inline std::string text_field(const Json& value, const char* field) {
   return value.at(field).get<std::string>();
 }
 
--- a/tests/golden/golden_history_test.cpp
+++ b/tests/golden/golden_history_test.cpp
@@ -12,7 +12,7 @@
 using history::FileKind;
 
 /// Where a frame holds how much of its file was synced: behind its length and its checksum.
-constexpr std::size_t kSyncedOffset = 12;
+constexpr std::size_t kSyncedBytesOffset = 12;
 
 bool is_signed(const std::string& name) { return name.find("unsigned") == std::string::npos; }
 
@@ -20,18 +20,18 @@
  protected:
   GoldenHistory()
       : expected_(read_json(GetParam() + ".json")),
-        agreement_(agreement_of(GetParam())),
-        files_(existing_directory(), false),
-        reader_(files_, key()) {}
+        agreement_(read_agreement(GetParam())),
+        directory_(path_of_existing_directory(), false),
+        reader_(directory_, key()) {}
 
-  static std::string existing_directory() {
+  static std::string path_of_existing_directory() {
     const auto path = path_of(GetParam());
     if (!std::filesystem::is_directory(path))
       throw std::runtime_error("golden history " + GetParam() + " is missing");
     return path.string();
   }
   /// Up to which records a later program that decides otherwise agrees; null: to the end.
-  static Json agreement_of(const std::string& name) {
+  static Json read_agreement(const std::string& name) {
     const auto file = name + "-agreement.json";
     return std::filesystem::exists(path_of(file)) ? read_json(file) : Json{};
   }
@@ -44,8 +44,9 @@
   }
 
   /// Writes the payloads of a file again, each through `rewrite`, with the syncs of the original.
-  template <class Rewrite>
-  static std::string written_again(const std::string& name, FileKind kind, Rewrite rewrite) {
+  template <class ReencodePayload>
+  static std::string reencoded_file(const std::string& name, FileKind kind,
+                                    ReencodePayload reencode_payload) {
     const auto bytes = bytes_of(name);
     history::FrameReader frames(name, bytes, kind, key());
     history::FrameWriter writer(kind, key());
@@ -53,58 +54,59 @@
     std::uint64_t synced = 0;
     auto begin = frames.offset();
     while (const auto payload = frames.next()) {
-      const auto synced_before = little_endian(bytes, begin + kSyncedOffset);
+      const auto synced_before = read_little_endian(bytes, begin + kSyncedBytesOffset);
       if (synced_before != synced) {
         out += writer.take();
         EXPECT_EQ(out.size(), synced_before);
         writer.synced();
         synced = synced_before;
       }
-      writer.add(rewrite(*payload));
+      writer.add(reencode_payload(*payload));
       begin = frames.offset();
     }
     return out + writer.take();
   }
-  static std::uint64_t little_endian(const std::string& bytes, std::size_t at) {
+  static std::uint64_t read_little_endian(const std::string& bytes, std::size_t offset) {
     std::uint64_t value = 0;
     for (std::size_t index = 8; index-- > 0;)
-      value = value << 8U | static_cast<unsigned char>(bytes.at(at + index));
+      value = value << 8U | static_cast<unsigned char>(bytes.at(offset + index));
     return value;
   }
 
   /// Replays `contents` to the end, or up to where the decisions agree with those recorded.
-  void expect_replayed(const history::Contents& contents, bool from_start) {
+  void expect_replay_matches(const history::Contents& contents, bool from_start) {
     const std::string mode = from_start ? "from_start" : "from_snapshot";
     const bool agrees_to_end = agreement_.is_null();
     const auto& expected = (agrees_to_end ? expected_ : agreement_).at(mode);
     const auto events = expected.at("events").get<std::uint64_t>();
     history::Replay replay;
     reader_.replay(contents, replay, from_start, events);
-    expect_same(replay, expected);
-    if (!agrees_to_end) expect_difference(contents, from_start, expected);
+    expect_matches(replay, expected);
+    if (!agrees_to_end) expect_first_difference(contents, from_start, expected);
   }
   /// The whole replay differs first at the named record.
-  void expect_difference(const history::Contents& contents, bool from_start, const Json& expected) {
-    history::Replay whole;
-    reader_.replay(contents, whole, from_start);
-    EXPECT_EQ(whole.events(), contents.events());
-    ASSERT_TRUE(whole.difference());
-    EXPECT_EQ(whole.difference()->record, expected.at("differs_at").get<std::uint64_t>());
+  void expect_first_difference(const history::Contents& contents, bool from_start,
+                               const Json& expected) {
+    history::Replay full_replay;
+    reader_.replay(contents, full_replay, from_start);
+    EXPECT_EQ(full_replay.events(), contents.events());
+    ASSERT_TRUE(full_replay.difference());
+    EXPECT_EQ(full_replay.difference()->record, expected.at("differs_at").get<std::uint64_t>());
   }
-  static void expect_same(const history::Replay& replay, const Json& expected) {
+  static void expect_matches(const history::Replay& replay, const Json& expected) {
     EXPECT_FALSE(replay.difference());
     EXPECT_EQ(replay.events(), expected.at("events").get<std::uint64_t>());
-    EXPECT_EQ(history::hex(replay.actions_digest()), text_at(expected, "actions_digest"));
-    EXPECT_EQ(history::hex(replay.state_digest()), text_at(expected, "state_digest"));
+    EXPECT_EQ(history::hex(replay.actions_digest()), text_field(expected, "actions_digest"));
+    EXPECT_EQ(history::hex(replay.state_digest()), text_field(expected, "state_digest"));
   }
 
   Json expected_;
   Json agreement_;
-  history::Directory files_;
+  history::Directory directory_;
   history::Reader reader_;
 };
 
-TEST_P(GoldenHistory, IsWhole) {
+TEST_P(GoldenHistory, HasTheRecordedSegmentsAndSnapshots) {
   const auto contents = reader_.check();
   EXPECT_EQ(contents.history, "golden");
   EXPECT_EQ(contents.events(), expected_.at("events").get<std::uint64_t>());
@@ -126,37 +128,38 @@
   EXPECT_EQ(snapshots.size(), 2U);
 }
 
-TEST_P(GoldenHistory, IsReplayedToTheSameStatesAndActions) {
+TEST_P(GoldenHistory, ReplaysReachTheRecordedStatesAndActions) {
   const auto contents = reader_.check();
-  expect_replayed(contents, true);
-  expect_replayed(contents, false);
+  expect_replay_matches(contents, true);
+  expect_replay_matches(contents, false);
 }
 
 // The last snapshot before the first decision that is made otherwise now.
-TEST_P(GoldenHistory, AReplayReachesTheStateOfTheLastSnapshot) {
+TEST_P(GoldenHistory, AReplayReachesTheStateOfTheLastAgreedSnapshot) {
   const auto contents = reader_.check();
-  const auto agreed = agreement_.is_null()
-                          ? contents.events()
-                          : agreement_.at("from_start").at("events").get<std::uint64_t>();
-  const Json* last = nullptr;
+  const auto agreed_events = agreement_.is_null()
+                                 ? contents.events()
+                                 : agreement_.at("from_start").at("events").get<std::uint64_t>();
+  const Json* last_agreed_snapshot = nullptr;
   for (const auto& snapshot : expected_.at("snapshots"))
-    if (snapshot.at("events").get<std::uint64_t>() <= agreed) last = &snapshot;
-  ASSERT_NE(last, nullptr);
+    if (snapshot.at("events").get<std::uint64_t>() <= agreed_events)
+      last_agreed_snapshot = &snapshot;
+  ASSERT_NE(last_agreed_snapshot, nullptr);
   history::Replay replay;
-  reader_.replay(contents, replay, true, last->at("events").get<std::uint64_t>());
-  EXPECT_EQ(history::hex(replay.state_digest()), text_at(*last, "state_digest"));
+  reader_.replay(contents, replay, true, last_agreed_snapshot->at("events").get<std::uint64_t>());
+  EXPECT_EQ(history::hex(replay.state_digest()), text_field(*last_agreed_snapshot, "state_digest"));
 }
 
-TEST_P(GoldenHistory, EventsAreWrittenAgainWithTheSameBytes) {
+TEST_P(GoldenHistory, ReencodedEventsHaveTheSameBytes) {
   std::size_t records = 0;
   for (const auto& segment : expected_.at("segments")) {
-    const auto name = text_at(segment, "name");
-    bool header = true;
+    const auto name = text_field(segment, "name");
+    bool is_header = true;
     history::HeartbeatChangesReader heartbeat_reader;
     history::HeartbeatChangesWriter heartbeat_writer;
-    const auto again =
-        written_again(name, FileKind::events, [&](std::string_view payload) -> std::string {
-          if (std::exchange(header, false))
+    const auto reencoded =
+        reencoded_file(name, FileKind::events, [&](std::string_view payload) -> std::string {
+          if (std::exchange(is_header, false))
             return history::packed(history::unpacked<history::SegmentHeader>(payload));
           ++records;
           auto record = heartbeat_reader.whole(history::unpacked<history::WrittenRecord>(payload));
@@ -174,18 +177,18 @@
           }
           return history::packed(written);
         });
-    EXPECT_EQ(again, bytes_of(name)) << name;
+    EXPECT_EQ(reencoded, bytes_of(name)) << name;
   }
   EXPECT_GT(records, 1000U);
 }
 
-TEST_P(GoldenHistory, SnapshotsAreWrittenAgainWithTheSameBytes) {
+TEST_P(GoldenHistory, ReencodedSnapshotsHaveTheSameBytes) {
   for (const auto& snapshot : expected_.at("snapshots")) {
-    const auto name = text_at(snapshot, "name");
+    const auto name = text_field(snapshot, "name");
     history::Parts parts;
     std::optional<history::SnapshotHeader> header;
-    const auto again =
-        written_again(name, FileKind::snapshot, [&](std::string_view payload) -> std::string {
+    const auto reencoded =
+        reencoded_file(name, FileKind::snapshot, [&](std::string_view payload) -> std::string {
           auto piece = history::unpacked<history::SnapshotPiece>(payload);
           if (const auto* head = std::get_if<history::SnapshotHeader>(&piece)) header = *head;
           if (const auto* slice = std::get_if<history::SnapshotSlice>(&piece)) {
@@ -195,13 +198,13 @@
           }
           return history::packed(piece);
         });
-    EXPECT_EQ(again, bytes_of(name)) << name;
+    EXPECT_EQ(reencoded, bytes_of(name)) << name;
     // The state itself, read into a controller and written again.
     ASSERT_TRUE(header);
     history::Replay replay;
     replay.restore(*header, parts);
     EXPECT_EQ(history::parts_of(*replay.controller()), parts) << name;
-    EXPECT_EQ(history::hex(replay.state_digest()), text_at(snapshot, "state_digest")) << name;
+    EXPECT_EQ(history::hex(replay.state_digest()), text_field(snapshot, "state_digest")) << name;
   }
 }
 
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -17,24 +17,25 @@
 using core::Seconds;
 using std::chrono::milliseconds;
 
-TEST(GoldenJobs, SubmissionsAndRecordsAreReadAndWrittenAsBefore) {
+TEST(GoldenJobs, SubmissionsAndRecordsDecodeAndEncodeAsInTheGoldenFile) {
   for (const auto& item : cases_of("jobs.json")) {
-    SCOPED_TRACE(text_at(item, "name"));
-    const auto spec = codec::parse_job(Json::parse(text_at(item, "submission")));
-    EXPECT_EQ(packed_hex(spec), text_at(item, "spec"));
-    EXPECT_EQ(codec::job_to_json(spec).dump(), text_at(item, "spec_as_json"));
+    SCOPED_TRACE(text_field(item, "name"));
+    const auto spec = codec::parse_job(Json::parse(text_field(item, "submission")));
+    EXPECT_EQ(pack_to_hex(spec), text_field(item, "spec"));
+    EXPECT_EQ(codec::job_to_json(spec).dump(), text_field(item, "spec_as_json"));
     const core::JobRecord record{spec, core::WallTime(milliseconds(1764633600123)), 77};
-    EXPECT_EQ(store::encode_job_record(record).dump(), text_at(item, "record"));
-    const auto read = store::decode_job_record(Json::parse(text_at(item, "record")), 77);
-    EXPECT_EQ(packed_hex(read), text_at(item, "record_spec"));
-    EXPECT_EQ(packed_hex(unpacked_hex<core::JobSpec>(item.at("spec"))), text_at(item, "spec"));
+    EXPECT_EQ(store::encode_job_record(record).dump(), text_field(item, "record"));
+    const auto decoded = store::decode_job_record(Json::parse(text_field(item, "record")), 77);
+    EXPECT_EQ(pack_to_hex(decoded), text_field(item, "record_spec"));
+    EXPECT_EQ(pack_to_hex(unpack_from_hex<core::JobSpec>(item.at("spec"))),
+              text_field(item, "spec"));
   }
 }
 
-TEST(GoldenJobs, TheFieldsOfASubmissionHaveTheirMeaning) {
+TEST(GoldenJobs, EachSubmissionFieldIsReadIntoItsMember) {
   const auto item = cases_of("jobs.json").at(1);
-  ASSERT_EQ(text_at(item, "name"), "array_with_all_fields");
-  const auto spec = codec::parse_job(Json::parse(text_at(item, "submission")));
+  ASSERT_EQ(text_field(item, "name"), "array_with_all_fields");
+  const auto spec = codec::parse_job(Json::parse(text_field(item, "submission")));
   EXPECT_EQ(spec.id, "req-000412");
   EXPECT_EQ(spec.job_class, "render");
   EXPECT_EQ(spec.team, "blue");
@@ -57,38 +58,38 @@
   EXPECT_EQ(spec.deadline, Seconds(600.125));
 }
 
-TEST(GoldenJobs, RecordsOfAnOlderProgramAreReadAsBefore) {
+TEST(GoldenJobs, RecordsWithoutOptionalFieldsDecodeAsInTheGoldenFile) {
   for (const auto& item : cases_of("jobs.json", "older_records")) {
-    const auto record = store::decode_job_record(Json::parse(text_at(item, "record")),
+    const auto record = store::decode_job_record(Json::parse(text_field(item, "record")),
                                                  item.at("revision").get<core::Revision>());
-    EXPECT_EQ(packed_hex(record), text_at(item, "record_spec"));
+    EXPECT_EQ(pack_to_hex(record), text_field(item, "record_spec"));
   }
 }
 
-TEST(GoldenJobs, MalformedSubmissionsAreRefusedWithTheSameText) {
+TEST(GoldenJobs, MalformedSubmissionsAreRefusedWithTheRecordedText) {
   for (const auto& item : cases_of("jobs.json", "refused")) {
-    SCOPED_TRACE(text_at(item, "input"));
+    SCOPED_TRACE(text_field(item, "input"));
     try {
-      codec::parse_job(Json::parse(text_at(item, "input")));
+      codec::parse_job(Json::parse(text_field(item, "input")));
       ADD_FAILURE() << "not refused";
-    } catch (const codec::MalformedJob& problem) {
-      EXPECT_EQ(problem.what(), text_at(item, "error"));
+    } catch (const codec::MalformedJob& error) {
+      EXPECT_EQ(error.what(), text_field(item, "error"));
     }
   }
 }
 
-TEST(GoldenAgents, HeartbeatsAreReadAsBefore) {
+TEST(GoldenAgents, HeartbeatsDecodeAsInTheGoldenFile) {
   for (const auto& item : cases_of("heartbeats.json")) {
-    SCOPED_TRACE(text_at(item, "name"));
-    const auto heartbeat = agent::parse_heartbeat(text_at(item, "body"));
-    EXPECT_EQ(packed_hex(heartbeat), text_at(item, "heartbeat"));
+    SCOPED_TRACE(text_field(item, "name"));
+    const auto heartbeat = agent::parse_heartbeat(text_field(item, "body"));
+    EXPECT_EQ(pack_to_hex(heartbeat), text_field(item, "heartbeat"));
   }
 }
 
-TEST(GoldenAgents, TheFieldsOfAHeartbeatHaveTheirMeaning) {
+TEST(GoldenAgents, EachHeartbeatFieldIsReadIntoItsMember) {
   const auto item = cases_of("heartbeats.json").at(0);
-  ASSERT_EQ(text_at(item, "name"), "every_state_and_cause");
-  const auto heartbeat = agent::parse_heartbeat(text_at(item, "body"));
+  ASSERT_EQ(text_field(item, "name"), "every_state_and_cause");
+  const auto heartbeat = agent::parse_heartbeat(text_field(item, "body"));
   EXPECT_EQ(heartbeat.machine, "m-1");
   EXPECT_EQ(heartbeat.endpoint, "10.0.0.1:9000");
   EXPECT_EQ(heartbeat.type, "small");
@@ -120,68 +121,70 @@
 
 TEST(GoldenAgents, MalformedHeartbeatsAreRefused) {
   for (const auto& item : cases_of("heartbeats.json", "refused"))
-    EXPECT_ANY_THROW(agent::parse_heartbeat(text_at(item, "input"))) << text_at(item, "input");
+    EXPECT_ANY_THROW(agent::parse_heartbeat(text_field(item, "input")))
+        << text_field(item, "input");
 }
 
-TEST(GoldenAgents, CommandsAreWrittenAsBefore) {
+TEST(GoldenAgents, CommandsEncodeAsInTheGoldenFile) {
   for (const auto& item : cases_of("commands.json")) {
-    const auto commands = unpacked_hex<std::vector<core::Command>>(item.at("commands"));
-    EXPECT_EQ(packed_hex(commands), text_at(item, "commands"));
+    const auto commands = unpack_from_hex<std::vector<core::Command>>(item.at("commands"));
+    EXPECT_EQ(pack_to_hex(commands), text_field(item, "commands"));
     const auto token = item.at("token").get<core::FencingToken>();
-    EXPECT_EQ(agent::response_body(token, commands), text_at(item, "response_body"));
+    EXPECT_EQ(agent::response_body(token, commands), text_field(item, "response_body"));
     EXPECT_EQ(agent::commands_body(token, item.at("epoch").get<std::uint64_t>(), commands),
-              text_at(item, "commands_body"));
+              text_field(item, "commands_body"));
   }
 }
 
-TEST(GoldenOperators, ExplanationsAreWrittenAsBefore) {
+TEST(GoldenOperators, ExplanationTextsMatchTheGoldenFile) {
   const auto texts = read_json("users.json").at("why");
-  EXPECT_EQ(api::explanation_text({}), text_at(texts, "empty"));
-  diagnostics::PlacementExplanation advice;
-  advice.job = "req-7";
-  advice.waiting = 3;
-  advice.on_machines = 1;
-  advice.done = 2;
-  advice.bound = 1;
-  advice.impossible = true;
-  advice.causes = {{"no_room", "there is no room"}, {"zone", "only in a"}};
-  advice.fits_in = Seconds(12.345);
-  advice.machines = 7;
-  advice.set_aside = {{"draining", 2}, {"silent", 1}};
-  advice.rentable_types = {"small", "large"};
-  EXPECT_EQ(api::explanation_text(advice), text_at(texts, "full"));
+  EXPECT_EQ(api::explanation_text({}), text_field(texts, "empty"));
+  diagnostics::PlacementExplanation explanation;
+  explanation.job = "req-7";
+  explanation.waiting = 3;
+  explanation.on_machines = 1;
+  explanation.done = 2;
+  explanation.bound = 1;
+  explanation.impossible = true;
+  explanation.causes = {{"no_room", "there is no room"}, {"zone", "only in a"}};
+  explanation.fits_in = Seconds(12.345);
+  explanation.machines = 7;
+  explanation.set_aside = {{"draining", 2}, {"silent", 1}};
+  explanation.rentable_types = {"small", "large"};
+  EXPECT_EQ(api::explanation_text(explanation), text_field(texts, "full"));
 }
 
-TEST(GoldenRecords, MachinesAreReadAndWrittenAsBefore) {
+TEST(GoldenRecords, MachineRecordsDecodeAndEncodeAsInTheGoldenFile) {
   for (const auto& item : cases_of("records.json", "machines")) {
-    const auto record = unpacked_hex<core::MachineRecord>(item.at("record"));
-    EXPECT_EQ(record.id, text_at(item, "id"));
-    EXPECT_EQ(store::machine_to_json(record).dump(), text_at(item, "value"));
-    const auto read = store::machine_from_json(record.id, Json::parse(text_at(item, "value")));
-    EXPECT_EQ(packed_hex(read), text_at(item, "read"));
+    const auto record = unpack_from_hex<core::MachineRecord>(item.at("record"));
+    EXPECT_EQ(record.id, text_field(item, "id"));
+    EXPECT_EQ(store::machine_to_json(record).dump(), text_field(item, "value"));
+    const auto decoded =
+        store::machine_from_json(record.id, Json::parse(text_field(item, "value")));
+    EXPECT_EQ(pack_to_hex(decoded), text_field(item, "read"));
   }
 }
 
-TEST(GoldenRecords, ProgressIsReadAndWrittenAsBefore) {
+TEST(GoldenRecords, ProgressRecordsDecodeAndEncodeAsInTheGoldenFile) {
   for (const auto& item : cases_of("records.json", "progress")) {
-    const auto record = unpacked_hex<core::ProgressRecord>(item.at("record"));
+    const auto record = unpack_from_hex<core::ProgressRecord>(item.at("record"));
     const auto tasks = item.at("tasks_in_chunk").get<std::size_t>();
     const auto name = store::progress_name(record.job, record.chunk);
-    EXPECT_EQ(name, text_at(item, "name"));
-    EXPECT_EQ(store::progress_to_json(record, tasks).dump(), text_at(item, "value"));
-    const auto read = store::progress_from_json(name, Json::parse(text_at(item, "value")));
-    EXPECT_EQ(packed_hex(read), text_at(item, "read"));
+    EXPECT_EQ(name, text_field(item, "name"));
+    EXPECT_EQ(store::progress_to_json(record, tasks).dump(), text_field(item, "value"));
+    const auto decoded = store::progress_from_json(name, Json::parse(text_field(item, "value")));
+    EXPECT_EQ(pack_to_hex(decoded), text_field(item, "read"));
     EXPECT_EQ(store::progress_bytes(name, tasks), item.at("reserved_bytes").get<std::size_t>());
   }
 }
 
-TEST(GoldenRecords, PlacementsAreReadAndWrittenAsBefore) {
+TEST(GoldenRecords, PlacementRecordsDecodeAndEncodeAsInTheGoldenFile) {
   for (const auto& item : cases_of("records.json", "placements")) {
-    const auto record = unpacked_hex<core::PlacementRecord>(item.at("record"));
-    EXPECT_EQ(store::placements_to_json(record).dump(), text_at(item, "value"));
-    const auto read =
-        store::placements_from_json(text_at(item, "job"), Json::parse(text_at(item, "value")));
-    EXPECT_EQ(packed_hex(read), text_at(item, "read"));
+    const auto record = unpack_from_hex<core::PlacementRecord>(item.at("record"));
+    EXPECT_EQ(store::placements_to_json(record).dump(), text_field(item, "value"));
+    const auto decoded = store::placements_from_json(text_field(item, "job"),
+                                                     Json::parse(text_field(item, "value")));
+    EXPECT_EQ(pack_to_hex(decoded), text_field(item, "read"));
     EXPECT_EQ(store::placements_bytes(record), item.at("reserved_bytes").get<std::size_t>());
   }
   EXPECT_EQ(store::kPlacementsMark,
@@ -206,9 +209,9 @@
   return batch;
 }
 
-TEST(GoldenRecords, PagesAreWrittenAsBefore) {
+TEST(GoldenRecords, PagesAndPageSizesMatchTheGoldenFile) {
   for (const auto& item : cases_of("records.json", "pages")) {
-    const auto batch = pages_of_sample_table(text_at(item, "prefix"));
+    const auto batch = pages_of_sample_table(text_field(item, "prefix"));
     Json conditions = Json::array();
     for (const auto& condition : batch.conditions)
       conditions.push_back({{"key", condition.key}, {"revision", condition.revision}});
@@ -233,12 +236,13 @@
   return settings;
 }
 
-TEST(GoldenRecords, LearnedStateIsReadAndWrittenAsBefore) {
+TEST(GoldenRecords, LearnedStateDecodesAndEncodesAsInTheGoldenFile) {
   for (const auto& set : cases_of("learned_state.json", "sets")) {
     const auto settings = learned_state_settings(set);
-    const auto learned_state = unpacked_hex<core::LearnedState>(set.at("learned_state"));
-    const auto written = store::encode_learned_state(
-        learned_state, text_at(set, "slot"), set.at("token").get<core::FencingToken>(), settings);
+    const auto learned_state = unpack_from_hex<core::LearnedState>(set.at("learned_state"));
+    const auto written =
+        store::encode_learned_state(learned_state, text_field(set, "slot"),
+                                    set.at("token").get<core::FencingToken>(), settings);
     Json items = Json::array();
     for (const auto& piece : written.pieces)
       items.push_back({{"key", piece.key}, {"value", piece.value.value().dump()}});
@@ -246,18 +250,18 @@
     EXPECT_EQ(items, set.at("items"));
     std::vector<store::Item> stored;
     for (const auto& item : set.at("items"))
-      stored.push_back({text_at(item, "key"), Json::parse(text_at(item, "value")), 1});
+      stored.push_back({text_field(item, "key"), Json::parse(text_field(item, "value")), 1});
     const auto wall = learned_state.as_of + std::chrono::seconds(5);
     const auto decoded = store::decode_learned_state(stored, settings, wall);
     ASSERT_TRUE(decoded.learned_state) << decoded.problem;
-    EXPECT_EQ(decoded.slot, text_at(set, "slot"));
-    EXPECT_EQ(packed_hex(*decoded.learned_state), text_at(set, "read"));
+    EXPECT_EQ(decoded.slot, text_field(set, "slot"));
+    EXPECT_EQ(pack_to_hex(*decoded.learned_state), text_field(set, "read"));
   }
 }
 
-TEST(GoldenRecords, TheFieldsOfLearnedStateHaveTheirMeaning) {
+TEST(GoldenRecords, EachLearnedStateFieldIsReadIntoItsMember) {
   const auto set = cases_of("learned_state.json", "sets").at(0);
-  const auto state = unpacked_hex<core::LearnedState>(set.at("learned_state"));
+  const auto state = unpack_from_hex<core::LearnedState>(set.at("learned_state"));
   EXPECT_EQ(state.as_of, core::WallTime(milliseconds(1764633600123)));
   core::JobSpec spec;
   spec.job_class = "render";
@@ -285,40 +289,40 @@
 peers::Status status_of(const Json& item) {
   peers::Status status;
   status.version = item.at("version").get<std::uint32_t>();
-  status.member = text_at(item, "member");
+  status.member = text_field(item, "member");
   status.store_silence_ms = item.at("store_silence_ms").get<std::uint64_t>();
   status.token = item.at("token").get<std::uint64_t>();
   for (const auto& count : item.at("counts"))
-    status.counts.push_back({text_at(count, "job"), count.at("done").get<std::uint32_t>(),
+    status.counts.push_back({text_field(count, "job"), count.at("done").get<std::uint32_t>(),
                              count.at("running").get<std::uint32_t>()});
   status.followed_token = item.at("follows").get<std::uint64_t>();
   status.agents_silence_ms = item.at("agents_silence_ms").get<std::uint64_t>();
   return status;
 }
 
-TEST(GoldenPeers, StatusMessagesAreReadAndWrittenAsBefore) {
+TEST(GoldenPeers, StatusMessagesDecodeAndEncodeAsInTheGoldenFile) {
   for (const auto& item : cases_of("peers.json")) {
-    SCOPED_TRACE(text_at(item, "name"));
-    EXPECT_EQ(to_hex(peers::encode(status_of(item))), text_at(item, "frame"));
-    const auto frame = from_hex(text_at(item, "frame"));
-    const auto read = peers::decode(frame.data() + 4, frame.size() - 4);
-    EXPECT_EQ(to_hex(peers::encode(read)), text_at(item, "frame"));
-    EXPECT_EQ(read.member, text_at(item, "member"));
-    EXPECT_EQ(read.token, item.at("token").get<std::uint64_t>());
+    SCOPED_TRACE(text_field(item, "name"));
+    EXPECT_EQ(to_hex(peers::encode(status_of(item))), text_field(item, "frame"));
+    const auto frame = from_hex(text_field(item, "frame"));
+    const auto decoded = peers::decode(frame.data() + 4, frame.size() - 4);
+    EXPECT_EQ(to_hex(peers::encode(decoded)), text_field(item, "frame"));
+    EXPECT_EQ(decoded.member, text_field(item, "member"));
+    EXPECT_EQ(decoded.token, item.at("token").get<std::uint64_t>());
   }
 }
 
-TEST(GoldenPeers, OlderFormsAreReadAsBefore) {
+TEST(GoldenPeers, StatusMessagesWithoutLaterFieldsDecodeAsInTheGoldenFile) {
   for (const auto& item : cases_of("peers.json", "older_forms")) {
-    const auto message = from_hex(text_at(item, "message"));
-    const auto read = peers::decode(message.data(), message.size());
-    EXPECT_EQ(to_hex(peers::encode(read)), text_at(item, "read_and_written_again"));
-    EXPECT_EQ(read.followed_token, item.at("fields").get<int>() > 5 ? 8U : 0U);
-    EXPECT_EQ(read.agents_silence_ms, peers::kNeverHeard);
+    const auto message = from_hex(text_field(item, "message"));
+    const auto decoded = peers::decode(message.data(), message.size());
+    EXPECT_EQ(to_hex(peers::encode(decoded)), text_field(item, "read_and_written_again"));
+    EXPECT_EQ(decoded.followed_token, item.at("fields").get<int>() > 5 ? 8U : 0U);
+    EXPECT_EQ(decoded.agents_silence_ms, peers::kNeverHeard);
   }
 }
 
-TEST(GoldenPeers, OtherMessagesAreRefused) {
+TEST(GoldenPeers, OtherVersionsAndMalformedMessagesAreRefused) {
   for (const auto& item : cases_of("peers.json", "refused")) {
     const auto message = from_hex(item.get<std::string>());
     EXPECT_ANY_THROW(peers::decode(message.data(), message.size())) << item;
--- a/tests/golden/recording_peer.hpp
+++ b/tests/golden/recording_peer.hpp
@@ -15,20 +15,20 @@
 class RecordingPeer {
  public:
   /// No answer leaves the request open.
-  using Route = std::function<std::optional<net::Response>(const net::Request&)>;
+  using Handler = std::function<std::optional<net::Response>(const net::Request&)>;
 
   explicit RecordingPeer(asio::io_context& io)
       : server_(io, {asio::ip::make_address("127.0.0.1"), 0}, {},
                 [this](net::Request&& request, const net::Responder& respond) {
                   record(request);
-                  if (const auto response = answer(request)) respond(*response);
+                  if (const auto response = next_response(request)) respond(*response);
                 }) {}
 
   asio::ip::tcp::endpoint endpoint() const { return server_.local_endpoint(); }
-  void set_route(Route route) { route_ = std::move(route); }
+  void set_handler(Handler handler) { handler_ = std::move(handler); }
   /// A list of {status, body}, given in this order.
-  void set_answers(const nlohmann::json& answers) {
-    answers_.assign(answers.begin(), answers.end());
+  void set_responses(const nlohmann::json& responses) {
+    responses_.assign(responses.begin(), responses.end());
   }
 
   const nlohmann::json& requests() const { return requests_; }
@@ -38,27 +38,28 @@
   void record(const net::Request& request) {
     requests_.push_back({{"method", request.method},
                          {"target", request.target},
-                         {"body", without_submission_time(request.body)}});
+                         {"body", mask_submission_time(request.body)}});
   }
-  std::optional<net::Response> answer(const net::Request& request) {
-    if (route_) return route_(request);
-    if (answers_.empty()) return std::nullopt;
-    const auto next = std::move(answers_.front());
-    answers_.pop_front();
-    return net::Response{next.at("status").get<int>(), next.at("body").get<std::string>(), {}};
+  std::optional<net::Response> next_response(const net::Request& request) {
+    if (handler_) return handler_(request);
+    if (responses_.empty()) return std::nullopt;
+    const auto response = std::move(responses_.front());
+    responses_.pop_front();
+    return net::Response{
+        response.at("status").get<int>(), response.at("body").get<std::string>(), {}};
   }
   /// The time of day in a job's record is the run's own.
-  static std::string without_submission_time(std::string body) {
+  static std::string mask_submission_time(std::string body) {
     const std::string field = "\"submitted_ms\":";
-    const auto at = body.find(field);
-    if (at == std::string::npos) return body;
-    const auto from = at + field.size();
-    return body.replace(from, body.find_first_not_of("0123456789", from) - from, "0");
+    const auto position = body.find(field);
+    if (position == std::string::npos) return body;
+    const auto begin = position + field.size();
+    return body.replace(begin, body.find_first_not_of("0123456789", begin) - begin, "0");
   }
 
   nlohmann::json requests_ = nlohmann::json::array();
-  std::deque<nlohmann::json> answers_;
-  Route route_;
+  std::deque<nlohmann::json> responses_;
+  Handler handler_;
   net::HttpServer server_;
 };
 
--- a/tests/store/election_test.cpp
+++ b/tests/store/election_test.cpp
@@ -112,13 +112,13 @@
 TEST_F(ElectionTest, ALeaderKeyTransactionExecutedLateDoesNotEndTheCurrentLeadership) {
   const auto endpoint = state_.add_endpoint();
   Process process(io_, state_.address(endpoint), "n-0");
-  state_.execute_late(endpoint, milliseconds(2500));
+  state_.set_execution_delay(endpoint, milliseconds(2500));
   process.election.start();
   until([&] { return process.store.silent(core::Clock::now()); });
-  state_.execute_late(endpoint, milliseconds(0));
+  state_.set_execution_delay(endpoint, milliseconds(0));
   until([&] { return process.won == 1; });
   const auto token = process.leadership.token();
-  until([&] { return state_.executed_late() > 0; });
+  until([&] { return state_.late_execution_count() > 0; });
   std::optional<bool> proven;
   process.election.prove_leadership([&](bool result) { proven = result; });
   until([&] { return proven.has_value(); });
--- a/tests/store/read_barrier_outages_test.cpp
+++ b/tests/store/read_barrier_outages_test.cpp
@@ -67,20 +67,20 @@
       auto* leader = deployment_.leader();
       if (leader == nullptr) return next_fault(milliseconds(100));
       refused_ = leader->endpoint;
-      deployment_.state.answer_late(
+      deployment_.state.set_response_delay(
           refused_, between(0, 1) < 0.5 ? random_duration(0.3, 1.2) : milliseconds(0));
       schedule(fault_timer_, random_duration(0, 1), [this] {
-        deployment_.state.refuse(refused_, true);
+        deployment_.state.set_refused(refused_, true);
         schedule(fault_timer_, random_duration(0.1, 2.6), [this] {
           // In some faults the refusal ends shortly before the outage, so that the key can be
           // renewed.
-          if (between(0, 1) < 0.4) deployment_.state.refuse(refused_, false);
+          if (between(0, 1) < 0.4) deployment_.state.set_refused(refused_, false);
           schedule(fault_timer_, random_duration(0, 0.9), [this] {
-            deployment_.state.outage(true);
-            deployment_.state.refuse(refused_, false);
-            deployment_.state.answer_late(refused_, milliseconds(0));
+            deployment_.state.set_outage(true);
+            deployment_.state.set_refused(refused_, false);
+            deployment_.state.set_response_delay(refused_, milliseconds(0));
             schedule(fault_timer_, random_duration(0.2, 5), [this] {
-              deployment_.state.outage(false);
+              deployment_.state.set_outage(false);
               next_fault(random_duration(0, 2));
             });
           });
--- a/tests/store/read_barrier_test.cpp
+++ b/tests/store/read_barrier_test.cpp
@@ -53,13 +53,13 @@
 TEST_F(ReadBarrierTest, ARenewedLeaderKeyWithoutAReadBarrierDoesNotLetTheLeaderServe) {
   auto& leader = wait_for_leader();
   submit_and_replicate("req-1");
-  deployment_.state.refuse(leader.endpoint, true);
+  deployment_.state.set_refused(leader.endpoint, true);
   const auto confirmed = cancel_and_wait(deployment_.other(leader), "req-1");
   // The outage begins before the lease has expired, so the key survives it. The watch reports
   // nothing.
-  deployment_.state.outage(true);
-  deployment_.state.refuse(leader.endpoint, false);
-  deployment_.state.outage(false);
+  deployment_.state.set_outage(true);
+  deployment_.state.set_refused(leader.endpoint, false);
+  deployment_.state.set_outage(false);
   bool renewed = false;
   leader.election.prove_leadership([&](bool proven) { renewed = proven; });
   until([&] {
@@ -82,7 +82,7 @@
 TEST_F(ReadBarrierTest, FreshnessCountsFromTheSendingOfABarrierAndOnlyOnceItsResponseIsApplied) {
   auto& leader = wait_for_leader();
   submit_and_replicate("req-1");
-  deployment_.state.answer_late(leader.endpoint, milliseconds(300));
+  deployment_.state.set_response_delay(leader.endpoint, milliseconds(300));
   // The barrier in flight may have been sent before the cancellation; the next barrier is not.
   cancel_and_wait(deployment_.other(leader), "req-1");
   const auto asked = Clock::now();
@@ -102,14 +102,14 @@
 TEST_F(ReadBarrierTest, AResponseWithALowerRevisionIsRejected) {
   auto& leader = wait_for_leader();
   submit_and_replicate("req-1");
-  deployment_.state.go_backward(1);
+  deployment_.state.set_revision_lag(1);
   const auto since = Clock::now();
   std::optional<bool> fresh;
   leader.job_replica.read_barrier(RequestPriority::safety, [&](bool ok) { fresh = ok; });
   until([&] { return fresh.has_value(); });
   EXPECT_FALSE(*fresh);
   EXPECT_LT(*leader.leadership.fresh_until(), since);
-  deployment_.state.go_backward(0);
+  deployment_.state.set_revision_lag(0);
   until([&] { return leader.leadership.fresh_until() > since; });
 }
 
@@ -122,16 +122,16 @@
   replica.start();
   until([&] { return replica.find("req-1") != nullptr; });
   // The replica reads all jobs again, as after a failed watch.
-  deployment_.state.hold_lists(true);
+  deployment_.state.set_lists_held(true);
   replica.start();
-  until([&] { return deployment_.state.lists_held() > 0; });
+  until([&] { return deployment_.state.held_list_count() > 0; });
   cancel_and_wait(leader, "req-1");
   std::optional<bool> fresh;
   replica.read_barrier(RequestPriority::safety, [&](bool ok) { fresh = ok; });
   until([&] { return fresh.has_value(); });
   ASSERT_TRUE(*fresh);
   ASSERT_EQ(replica.find("req-1"), nullptr);
-  deployment_.state.hold_lists(false);
+  deployment_.state.set_lists_held(false);
   submit(client_, "req-2");
   until([&] { return replica.find("req-2") != nullptr; });
   EXPECT_EQ(replica.find("req-1"), nullptr) << "a finished job was reopened";
@@ -143,7 +143,7 @@
   auto& leader = wait_for_leader();
   const auto endpoint = deployment_.state.add_endpoint();
   StoreClient late(io_, net::parse_endpoint(deployment_.state.address(endpoint)), {1000, 1000}, 9);
-  deployment_.state.execute_late(endpoint, milliseconds(1800));
+  deployment_.state.set_execution_delay(endpoint, milliseconds(1800));
   std::optional<bool> taken;
   submit(late, "req-1", [&](bool ok) { taken = ok; });
   submit_and_replicate("req-1");
@@ -158,7 +158,7 @@
               RequestPriority::safety,
               [&](const TransactionResult& result) { ended = result.outcome; });
   cancel_and_wait(deployment_.other(leader), "req-1");
-  until([&] { return deployment_.state.executed_late() == 2; });
+  until([&] { return deployment_.state.late_execution_count() == 2; });
   ASSERT_TRUE(taken && ended);
   EXPECT_FALSE(*taken);
   EXPECT_EQ(*ended, Outcome::unknown);
--- a/tests/support/fake_cloud.hpp
+++ b/tests/support/fake_cloud.hpp
@@ -12,11 +12,11 @@
 /// time.
 class Agent {
  public:
-  Agent(asio::io_context& io, std::string id, std::map<std::string, std::string> nodes)
+  Agent(asio::io_context& io, std::string id, std::map<std::string, std::string> node_addresses)
       : io_(io),
         id_(std::move(id)),
-        nodes_(std::move(nodes)),
-        node_(nodes_.begin()->first),
+        node_addresses_(std::move(node_addresses)),
+        current_node_(node_addresses_.begin()->first),
         timer_(io),
         server_(io, any_port(), {}, [this](Request&& request, const Responder& respond) {
           receive_commands(Json::parse(request.body), respond);
@@ -24,26 +24,26 @@
     send_heartbeat();
   }
 
-  std::size_t starts() const { return starts_; }
+  std::size_t executed_starts() const { return executed_starts_; }
 
  private:
   struct Task {
     std::string state = "fetching";
     std::string cause;
-    std::chrono::steady_clock::time_point ends{};
+    std::chrono::steady_clock::time_point ends_at{};
   };
 
   Json heartbeat_body() {
     const auto now = std::chrono::steady_clock::now();
     Json tasks = Json::array();
     for (auto& [key, task] : tasks_) {
-      if (task.state != "exited" && now >= task.ends) {
+      if (task.state != "exited" && now >= task.ends_at) {
         task.state = "exited";
         task.cause = "done";
       }
-      Json entry{{"cut", key.first}, {"try", key.second}, {"status", task.state}};
-      if (!task.cause.empty()) entry["cause"] = task.cause;
-      tasks.push_back(entry);
+      Json status{{"cut", key.first}, {"try", key.second}, {"status", task.state}};
+      if (!task.cause.empty()) status["cause"] = task.cause;
+      tasks.push_back(status);
     }
     return {{"rig", id_},           {"endpoint", text_of(server_.local_endpoint())},
             {"bench", "small"},     {"district", "z1"},
@@ -58,7 +58,7 @@
                           command.at("try").get<std::uint64_t>()};
       const auto type = command.at("verb").get<std::string>();
       if (type == "start" && !tasks_.contains(key)) {
-        ++starts_;
+        ++executed_starts_;
         tasks_[key] = {
             "running", "",
             std::chrono::steady_clock::now() +
@@ -82,7 +82,8 @@
   }
 
   void send_heartbeat() {
-    client_ = std::make_unique<net::HttpClient>(io_, net::parse_endpoint(nodes_.at(node_)), 1);
+    client_ = std::make_unique<net::HttpClient>(
+        io_, net::parse_endpoint(node_addresses_.at(current_node_)), 1);
     client_->request({"POST", "/agent/beat", heartbeat_body().dump()}, std::chrono::seconds(2),
                      [this](const std::optional<net::Response>& response) {
                        if (response && response->status == 200) {
@@ -104,24 +105,24 @@
   void choose_next_node(const std::optional<net::Response>& response) {
     if (response && response->status == 421) {
       const auto body = Json::parse(response->body);
-      const auto named = body.value("foreman", std::string());
-      if (nodes_.contains(named) && named != node_) {
-        node_ = named;
+      const auto leader = body.value("foreman", std::string());
+      if (node_addresses_.contains(leader) && leader != current_node_) {
+        current_node_ = leader;
         return;
       }
     }
-    auto next = std::next(nodes_.find(node_));
-    node_ = next == nodes_.end() ? nodes_.begin()->first : next->first;
+    auto next = std::next(node_addresses_.find(current_node_));
+    current_node_ = next == node_addresses_.end() ? node_addresses_.begin()->first : next->first;
   }
 
   asio::io_context& io_;
   std::string id_;
-  std::map<std::string, std::string> nodes_;
-  std::string node_;
+  std::map<std::string, std::string> node_addresses_;
+  std::string current_node_;
   std::map<std::pair<std::string, std::uint64_t>, Task> tasks_;
   std::uint64_t token_ = 0;
   std::uint64_t sequence_ = 0;
-  std::size_t starts_ = 0;
+  std::size_t executed_starts_ = 0;
   asio::steady_timer timer_;
   net::HttpServer server_;
   std::unique_ptr<net::HttpClient> client_;
@@ -130,17 +131,19 @@
 /// The cloud: one machine type in one zone, at most six machines at once.
 class Cloud {
  public:
-  Cloud(asio::io_context& io, std::map<std::string, std::string> nodes)
+  Cloud(asio::io_context& io, std::map<std::string, std::string> node_addresses)
       : io_(io),
-        nodes_(std::move(nodes)),
+        node_addresses_(std::move(node_addresses)),
         server_(io, any_port(), {},
                 [this](Request&& request, const Responder& respond) { route(request, respond); }) {}
 
   std::string address() const { return text_of(server_.local_endpoint()); }
-  void set_nodes(std::map<std::string, std::string> nodes) { nodes_ = std::move(nodes); }
-  std::size_t starts() const {
-    std::size_t total = starts_of_returned_;
-    for (const auto& [id, agent] : agents_) total += agent->starts();
+  void set_node_addresses(std::map<std::string, std::string> node_addresses) {
+    node_addresses_ = std::move(node_addresses);
+  }
+  std::size_t executed_starts() const {
+    std::size_t total = starts_of_returned_machines_;
+    for (const auto& [id, agent] : agents_) total += agent->executed_starts();
     return total;
   }
 
@@ -158,8 +161,8 @@
       const auto body = Json::parse(request.body);
       Json ids = Json::array();
       for (int i = 0; i < body.at("number").get<int>() && agents_.size() < kMaxMachines; ++i) {
-        const auto id = "m-" + std::to_string(100000 + ++counter_);
-        agents_[id] = std::make_unique<Agent>(io_, id, nodes_);
+        const auto id = "m-" + std::to_string(100000 + ++last_machine_number_);
+        agents_[id] = std::make_unique<Agent>(io_, id, node_addresses_);
         ids.push_back(id);
       }
       if (ids.empty()) return respond({503, R"({"error":"no capacity"})", {}});
@@ -169,9 +172,9 @@
       for (const auto& id : Json::parse(request.body).at("rigs")) {
         const auto found = agents_.find(id.get<std::string>());
         if (found == agents_.end()) continue;
-        starts_of_returned_ += found->second->starts();
+        starts_of_returned_machines_ += found->second->executed_starts();
         // The agent may be answering a request right now: it is destroyed afterwards.
-        asio::post(io_, [old = std::shared_ptr<Agent>(std::move(found->second))] {});
+        asio::post(io_, [returned_agent = std::shared_ptr<Agent>(std::move(found->second))] {});
         agents_.erase(found);
       }
       return respond({200, "{}", {}});
@@ -180,10 +183,10 @@
   }
 
   asio::io_context& io_;
-  std::map<std::string, std::string> nodes_;
+  std::map<std::string, std::string> node_addresses_;
   std::map<std::string, std::unique_ptr<Agent>> agents_;
-  std::size_t starts_of_returned_ = 0;
-  int counter_ = 0;
+  std::size_t starts_of_returned_machines_ = 0;
+  int last_machine_number_ = 0;
   net::HttpServer server_;
 };
 
--- a/tests/support/fake_state_service.hpp
+++ b/tests/support/fake_state_service.hpp
@@ -29,59 +29,59 @@
     return text_of(endpoints_.at(endpoint).server->local_endpoint());
   }
   /// 503 to every request here; open watches stay silent, also for some time afterwards.
-  void refuse(std::size_t endpoint, bool on) { endpoints_.at(endpoint).refused = on; }
+  void set_refused(std::size_t endpoint, bool on) { endpoints_.at(endpoint).refused = on; }
   /// The same at all endpoints. Leases do not expire, and have their full time afterwards.
-  void outage(bool on) {
+  void set_outage(bool on) {
     if (outage_ && !on)
-      for (auto& [id, lease] : std::map(leases_)) extend(id, lease.ttl);
+      for (auto& [id, lease] : std::map(leases_)) extend_lease(id, lease.ttl);
     outage_ = on;
   }
   /// Requests are executed when they arrive, and answered so much later.
-  void answer_late(std::size_t endpoint, std::chrono::milliseconds by) {
-    endpoints_.at(endpoint).answer_delay = by;
+  void set_response_delay(std::size_t endpoint, std::chrono::milliseconds delay) {
+    endpoints_.at(endpoint).response_delay = delay;
   }
   /// While `on`, lists are read when they are asked for, and answered when this is switched off.
-  void hold_lists(bool on) {
+  void set_lists_held(bool on) {
     lists_on_hold_ = on;
     if (!on)
-      for (auto& answer : std::exchange(held_lists_, {})) answer();
+      for (auto& send_list : std::exchange(held_lists_, {})) send_list();
   }
-  std::size_t lists_held() const { return held_lists_.size(); }
+  std::size_t held_list_count() const { return held_lists_.size(); }
   /// From here on answers to watches name a revision that is too small by so much; 0: as usual.
-  void go_backward(std::uint64_t by) { backward_ = by; }
+  void set_revision_lag(std::uint64_t lag) { revision_lag_ = lag; }
   /// Transactions are executed so much later, and never answered; 0: as usual.
-  void execute_late(std::size_t endpoint, std::chrono::milliseconds by) {
-    endpoints_.at(endpoint).execution_delay = by;
+  void set_execution_delay(std::size_t endpoint, std::chrono::milliseconds delay) {
+    endpoints_.at(endpoint).execution_delay = delay;
   }
-  std::size_t executed_late() const { return executed_late_; }
+  std::size_t late_execution_count() const { return late_executions_; }
 
  private:
-  using Answer = std::function<void(const net::Response&)>;
+  using ResponseCallback = std::function<void(const net::Response&)>;
   struct Endpoint {
     std::unique_ptr<net::HttpServer> server;
     bool refused = false;
-    std::chrono::milliseconds answer_delay{0};
+    std::chrono::milliseconds response_delay{0};
     std::chrono::milliseconds execution_delay{0};
   };
-  bool refuses(std::size_t endpoint) const { return outage_ || endpoints_.at(endpoint).refused; }
-  void after(std::chrono::milliseconds wait, std::function<void()> action) {
-    auto timer = std::make_shared<asio::steady_timer>(io_, wait);
+  bool is_refused(std::size_t endpoint) const { return outage_ || endpoints_.at(endpoint).refused; }
+  void schedule(std::chrono::milliseconds delay, std::function<void()> action) {
+    auto timer = std::make_shared<asio::steady_timer>(io_, delay);
     timer->async_wait([timer, action = std::move(action)](const asio::error_code&) { action(); });
   }
-  void receive(std::size_t endpoint, const Request& request, const Answer& respond) {
-    if (refuses(endpoint)) return respond({503, R"({"error":"trouble"})", {}});
-    const auto& at = endpoints_.at(endpoint);
-    if (at.execution_delay.count() > 0 && request.target == "/txn") {
-      after(at.execution_delay, [this, body = Json::parse(request.body)] {
+  void receive(std::size_t endpoint, const Request& request, const ResponseCallback& respond) {
+    if (is_refused(endpoint)) return respond({503, R"({"error":"trouble"})", {}});
+    const auto& endpoint_state = endpoints_.at(endpoint);
+    if (endpoint_state.execution_delay.count() > 0 && request.target == "/txn") {
+      schedule(endpoint_state.execution_delay, [this, body = Json::parse(request.body)] {
         transact(body, [](const net::Response&) {});
-        ++executed_late_;
+        ++late_executions_;
       });
       return;
     }
-    if (at.answer_delay.count() == 0) return route(endpoint, request, respond);
+    if (endpoint_state.response_delay.count() == 0) return route(endpoint, request, respond);
     route(endpoint, request,
-          [this, delay = at.answer_delay, respond](const net::Response& response) {
-            after(delay, [respond, response] { respond(response); });
+          [this, delay = endpoint_state.response_delay, respond](const net::Response& response) {
+            schedule(delay, [respond, response] { respond(response); });
           });
   }
 
@@ -94,14 +94,14 @@
     std::size_t endpoint;
     std::string prefix;
     std::uint64_t since;
-    Answer respond;
+    ResponseCallback respond;
     std::shared_ptr<asio::steady_timer> timer;
   };
 
-  void route(std::size_t endpoint, const Request& request, const Answer& respond) {
+  void route(std::size_t endpoint, const Request& request, const ResponseCallback& respond) {
     const auto path = request.target.substr(0, request.target.find('?'));
     if (path == "/txn") return transact(Json::parse(request.body), respond);
-    if (path == "/changes") return watch(endpoint, request.target, respond);
+    if (path == "/changes") return start_watch(endpoint, request.target, respond);
     if (path == "/store") return list(request.target, respond);
     if (path.starts_with("/store/")) {
       const auto found = entries_.find(path.substr(7));
@@ -114,27 +114,28 @@
     }
     if (path == "/holds") {
       const auto lease = ++last_lease_;
-      extend(lease, std::chrono::milliseconds(Json::parse(request.body).at("ttl_ms").get<int>()));
+      extend_lease(lease,
+                   std::chrono::milliseconds(Json::parse(request.body).at("ttl_ms").get<int>()));
       return respond({200, Json{{"tenure", lease}}.dump(), {}});
     }
     const auto lease = std::stoull(path.substr(7));
     if (!leases_.contains(lease)) return respond({404, "{}", {}});
     if (request.method == "DELETE")
-      end(lease);
+      end_lease(lease);
     else
-      extend(lease, leases_.at(lease).ttl);
+      extend_lease(lease, leases_.at(lease).ttl);
     respond({200, "{}", {}});
   }
 
-  void extend(std::uint64_t lease, std::chrono::milliseconds ttl) {
+  void extend_lease(std::uint64_t lease, std::chrono::milliseconds ttl) {
     auto timer = std::make_shared<asio::steady_timer>(io_, ttl);
     timer->async_wait([this, lease](const asio::error_code& error) {
-      if (!error && !outage_) end(lease);
+      if (!error && !outage_) end_lease(lease);
     });
     leases_[lease] = {ttl, timer};
   }
 
-  void end(std::uint64_t lease) {
+  void end_lease(std::uint64_t lease) {
     leases_.erase(lease);
     ++revision_;
     for (auto entry = entries_.begin(); entry != entries_.end();)
@@ -144,10 +145,10 @@
       } else {
         ++entry;
       }
-    wake();
+    notify_watches();
   }
 
-  void transact(const Json& body, const Answer& respond) {
+  void transact(const Json& body, const ResponseCallback& respond) {
     Json failed = Json::array();
     for (const auto& condition : body.at("if")) {
       const auto found = entries_.find(condition.at("k").get<std::string>());
@@ -172,57 +173,62 @@
       }
     }
     respond({200, Json{{"ledger", revision_}}.dump(), {}});
-    wake();
+    notify_watches();
   }
 
-  void list(const std::string& target, const Answer& respond) {
+  void list(const std::string& target, const ResponseCallback& respond) {
     Json rows = Json::array();
     for (const auto& [key, entry] : entries_)
-      if (key.starts_with(query(target, "prefix")) && key > query(target, "since"))
+      if (key.starts_with(query_parameter(target, "prefix")) &&
+          key > query_parameter(target, "since"))
         rows.push_back({{"k", key}, {"v", entry.value}, {"stamp", entry.revision}});
-    const net::Response answer{
+    const net::Response response{
         200, Json{{"rows", rows}, {"truncated", false}, {"ledger", revision_}}.dump(), {}};
-    if (!lists_on_hold_) return respond(answer);
-    held_lists_.push_back([respond, answer] { respond(answer); });
+    if (!lists_on_hold_) return respond(response);
+    held_lists_.push_back([respond, response] { respond(response); });
   }
 
-  bool answer(const std::string& prefix, std::uint64_t since, bool now, const Answer& respond) {
+  bool send_changes(const std::string& prefix, std::uint64_t since, bool even_if_empty,
+                    const ResponseCallback& respond) {
     Json changes = Json::array();
     for (const auto& change : changes_) {
       const auto key = change.value(change.contains("write") ? "write" : "delete", std::string());
       if (change.at("stamp").get<std::uint64_t>() > since && key.starts_with(prefix))
         changes.push_back(change);
     }
-    if (changes.empty() && !now) return false;
-    respond({200, Json{{"ledger", revision_ - backward_}, {"news", changes}}.dump(), {}});
+    if (changes.empty() && !even_if_empty) return false;
+    respond({200, Json{{"ledger", revision_ - revision_lag_}, {"news", changes}}.dump(), {}});
     return true;
   }
 
-  void watch(std::size_t endpoint, const std::string& target, const Answer& respond) {
-    const auto prefix = query(target, "prefix");
-    const auto since = std::stoull(query(target, "since"));
-    const std::chrono::milliseconds block(std::stoul(query(target, "block_ms")));
-    if (answer(prefix, since, block.count() == 0, respond)) return;
-    auto timer = std::make_shared<asio::steady_timer>(io_, block);
-    expire(endpoint, prefix, since, respond, timer);
+  void start_watch(std::size_t endpoint, const std::string& target,
+                   const ResponseCallback& respond) {
+    const auto prefix = query_parameter(target, "prefix");
+    const auto since = std::stoull(query_parameter(target, "since"));
+    const std::chrono::milliseconds max_wait(std::stoul(query_parameter(target, "block_ms")));
+    if (send_changes(prefix, since, max_wait.count() == 0, respond)) return;
+    auto timer = std::make_shared<asio::steady_timer>(io_, max_wait);
+    await_expiry(endpoint, prefix, since, respond, timer);
     watches_.push_back({endpoint, prefix, since, respond, timer});
   }
-  void expire(std::size_t endpoint, const std::string& prefix, std::uint64_t since,
-              const Answer& respond, const std::shared_ptr<asio::steady_timer>& timer) {
+  void await_expiry(std::size_t endpoint, const std::string& prefix, std::uint64_t since,
+                    const ResponseCallback& respond,
+                    const std::shared_ptr<asio::steady_timer>& timer) {
     timer->async_wait([=, this](const asio::error_code& error) {
       if (error) return;
-      if (!refuses(endpoint)) return void(answer(prefix, since, true, respond));
+      if (!is_refused(endpoint)) return void(send_changes(prefix, since, true, respond));
       timer->expires_after(std::chrono::milliseconds(100));
-      expire(endpoint, prefix, since, respond, timer);
+      await_expiry(endpoint, prefix, since, respond, timer);
     });
   }
 
   // A change that happens while a watch is refused is not reported to the watch, also not when the
   // refusal ends: the watch stays silent until the next change or until its time is over.
-  void wake() {
+  void notify_watches() {
     std::erase_if(watches_, [&](const Watch& watch) {
       if (watch.timer->expiry() < std::chrono::steady_clock::now()) return true;
-      if (refuses(watch.endpoint) || !answer(watch.prefix, watch.since, false, watch.respond))
+      if (is_refused(watch.endpoint) ||
+          !send_changes(watch.prefix, watch.since, false, watch.respond))
         return false;
       watch.timer->cancel();
       return true;
@@ -240,8 +246,8 @@
   std::map<std::uint64_t, Lease> leases_;
   std::uint64_t revision_ = 0;
   std::uint64_t last_lease_ = 0;
-  std::uint64_t backward_ = 0;
-  std::size_t executed_late_ = 0;
+  std::uint64_t revision_lag_ = 0;
+  std::size_t late_executions_ = 0;
   bool outage_ = false;
   bool lists_on_hold_ = false;
   std::vector<std::function<void()>> held_lists_;
--- a/tests/support/fake_support.hpp
+++ b/tests/support/fake_support.hpp
@@ -22,19 +22,19 @@
 
 /// Runs until `done` holds. The bound, which no working program meets, makes a failure of a hang.
 inline void run_until(asio::io_context& io, const std::function<bool()>& done) {
-  const auto bound = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
   while (!done()) {
-    ASSERT_LT(std::chrono::steady_clock::now(), bound) << "what is waited for does not come";
+    ASSERT_LT(std::chrono::steady_clock::now(), deadline) << "what is waited for does not come";
     io.run_one_for(std::chrono::milliseconds(100));
   }
 }
 
 /// The value of a query parameter; empty: it is absent.
-inline std::string query(const std::string& target, const std::string& name) {
-  const auto at = target.find(name + "=");
-  if (at == std::string::npos) return "";
-  const auto from = at + name.size() + 1;
-  return target.substr(from, target.find('&', from) - from);
+inline std::string query_parameter(const std::string& target, const std::string& name) {
+  const auto position = target.find(name + "=");
+  if (position == std::string::npos) return "";
+  const auto begin = position + name.size() + 1;
+  return target.substr(begin, target.find('&', begin) - begin);
 }
 
 }  // namespace violetpulley::fakes
--- a/tests/support/leader_with_agents.hpp
+++ b/tests/support/leader_with_agents.hpp
@@ -42,14 +42,15 @@
   };
 
   /// Elects the leader with registered machines m100, m101, ... and jobs req-0, req-1, ...
-  void begin(int machines, int jobs = 1, TaskIndex tasks = 4) {
+  void elect_leader(int machines, int jobs = 1, TaskIndex tasks = 4) {
     RecoveredState recovered;
     for (int i = 0; i < machines; ++i) {
-      const auto id = name(i);
+      const auto id = machine_id(i);
       recovered.machines.push_back({id, id, "bench", "a", true, {}});
       agents_[id].lease_renewed_at = now_;
     }
-    for (int i = 0; i < jobs; ++i) recovered.jobs.push_back(job("req-" + std::to_string(i), tasks));
+    for (int i = 0; i < jobs; ++i)
+      recovered.jobs.push_back(job_record("req-" + std::to_string(i), tasks));
     ControllerSettings settings;
     settings.teams = {{"t", 0, 0, 0, 0}, {"narrow", 0, 8, 0, 0}};
     settings.cloud_calls_per_s = 10;
@@ -57,17 +58,17 @@
     settings.wall_at_start = wall_now();
     settings.resigns_when_isolated = resigns_when_isolated_;
     settings.tuning.idle_wait = idle_wait_;
-    recovered.progress = progress_;
+    recovered.progress = recovered_progress_;
     controller_ =
         std::make_unique<Controller>(settings, kToken, now_, now_ + seconds(60), recovered);
     controller_->set_catalog({{"bench", {16, 0, 128}, 60, 0.5, 1.1, 0.39, Seconds(30), {"a"}}});
     heartbeats_start_ = now_;
   }
-  static MachineId name(int i) { return std::to_string(100 + i).insert(0, 1, 'm'); }
+  static MachineId machine_id(int i) { return std::to_string(100 + i).insert(0, 1, 'm'); }
   WallTime wall_now() const {
     return WallTime(std::chrono::duration_cast<milliseconds>(now_.time_since_epoch()));
   }
-  JobRecord job(const JobId& id, TaskIndex tasks) const {
+  JobRecord job_record(const JobId& id, TaskIndex tasks) const {
     JobRecord record;
     record.submitted = wall_now();
     record.spec.id = id;
@@ -113,7 +114,7 @@
     const bool fails = agent.faulty || faulty_jobs_.contains(command.task.job);
     agent.tasks[command.task] = {command.attempt,
                                  now_ + (fails ? seconds(1) : to_duration(run_time)), fails};
-    began_.try_emplace(command.task.job, now_);
+    first_start_times_.try_emplace(command.task.job, now_);
   }
   /// Ends the tasks whose time is over.
   void end_tasks(Agent& agent) {
@@ -132,7 +133,7 @@
   void send_heartbeat(const MachineId& id) {
     auto& agent = agents_[id];
     end_tasks(agent);
-    if (now_ - agent.lease_renewed_at > to_duration(times_.lease)) {
+    if (now_ - agent.lease_renewed_at > to_duration(agent_times_.lease)) {
       ++agent.epoch;
       agent.tasks.clear();
       agent.ended.clear();
@@ -149,8 +150,8 @@
     execute(agent, commands);
   }
   /// Passes time: heartbeats, missed responses and the actions of the leader.
-  void run(Seconds length) {
-    for (const auto end = now_ + to_duration(length); now_ < end; now_ += milliseconds(100)) {
+  void run_for(Seconds duration) {
+    for (const auto end = now_ + to_duration(duration); now_ < end; now_ += milliseconds(100)) {
       send_due_heartbeats();
       report_missed_responses();
       controller_->tick(now_, serving_, now_);
@@ -161,10 +162,10 @@
   void send_due_heartbeats() {
     std::size_t i = 0;
     for (auto& [id, agent] : agents_) {
-      const auto every = to_duration(heartbeat_interval_);
+      const auto interval = to_duration(heartbeat_interval_);
       const auto phase =
-          milliseconds(100) * static_cast<int>(i++ * 7 % (every / milliseconds(100)));
-      if (!agent.returned && (now_ - heartbeats_start_ + phase) % every == Duration::zero())
+          milliseconds(100) * static_cast<int>(i++ * 7 % (interval / milliseconds(100)));
+      if (!agent.returned && (now_ - heartbeats_start_ + phase) % interval == Duration::zero())
         send_heartbeat(id);
     }
   }
@@ -186,12 +187,12 @@
     } else if (const auto* progress = std::get_if<SaveProgress>(&action)) {
       controller_->progress_saved(*progress, true);
     } else if (const auto* finish = std::get_if<FinishJob>(&action)) {
-      done_.insert(finish->job);
+      finished_jobs_.insert(finish->job);
       controller_->job_closed(finish->job, now_);
     } else if (const auto* scale_in = std::get_if<ScaleIn>(&action)) {
       return_machines(*scale_in);
     } else if (const auto* resign = std::get_if<Resign>(&action)) {
-      if (!resigned_) resigned_ = {now_, resign->cause};
+      if (!first_resignation_) first_resignation_ = {now_, resign->cause};
     } else if (std::holds_alternative<JobSuspected>(action)) {
       ++suspicions_;
     } else if (const auto* scale_out = std::get_if<ScaleOut>(&action)) {
@@ -221,16 +222,16 @@
     controller_->commands_answered(batch.machine, &heartbeat, now_);
   }
   void return_machines(const ScaleIn& request) {
-    release_causes_ += request.cause + "; ";
+    scale_in_causes_ += request.cause + "; ";
     if (!cloud_answers_) return controller_->scale_in_answered(request.machines, false, now_);
     for (const auto& id : request.machines) {
-      returned_.insert(id);
+      returned_machines_.insert(id);
       agents_[id].returned = true;
     }
     controller_->scale_in_answered(request.machines, true, now_);
   }
   void grant_machines(const ScaleOut& request) {
-    ++scale_outs_;
+    ++scale_out_requests_;
     const bool is_granted = !available_machines_.empty();
     const auto kind =
         is_granted ? ScaleOutResult::Kind::granted : ScaleOutResult::Kind::no_capacity;
@@ -238,18 +239,18 @@
                                     now_);
   }
   /// Tasks that run on machines that are not returned.
-  std::size_t running() const {
-    std::size_t tasks = 0;
-    for (const auto& [id, agent] : agents_) tasks += agent.returned ? 0 : agent.tasks.size();
-    return tasks;
+  std::size_t running_tasks() const {
+    std::size_t count = 0;
+    for (const auto& [id, agent] : agents_) count += agent.returned ? 0 : agent.tasks.size();
+    return count;
   }
 
-  AgentTimes times_;
+  AgentTimes agent_times_;
   Seconds heartbeat_interval_{3};
   TimePoint now_ = TimePoint{} + std::chrono::hours(1);
   TimePoint heartbeats_start_{};
   Seconds idle_wait_{10'000};
-  std::vector<ProgressRecord> progress_;  ///< what the leader recovers
+  std::vector<ProgressRecord> recovered_progress_;  ///< what the leader recovers
   bool serving_ = true;
   bool resigns_when_isolated_ = true;
   std::unique_ptr<Controller> controller_;
@@ -258,18 +259,19 @@
   std::map<MachineId, int> starts_sent_;
   std::map<MachineId, int> stops_sent_;  ///< and acknowledgements
   bool cloud_answers_ = true;
-  std::map<JobId, TimePoint> began_;  ///< first start of a job
-  std::set<JobId> done_;              ///< finished jobs
-  std::set<JobId> faulty_jobs_;       ///< every task fails
+  std::map<JobId, TimePoint> first_start_times_;  ///< first start of a job
+  std::set<JobId> finished_jobs_;                 ///< finished jobs
+  std::set<JobId> faulty_jobs_;                   ///< every task fails
   int task_failures_ = 0;
   std::size_t suspicions_ = 0;  ///< JobSuspected actions
-  std::size_t scale_outs_ = 0;
+  std::size_t scale_out_requests_ = 0;
   std::vector<MachineId> available_machines_;  ///< granted to the next request; none: sold out
   bool store_answers_ = true;                  ///< to registrations of machines
   std::set<MachineId> saved_machines_;
-  std::set<MachineId> returned_;                               ///< to the cloud
-  std::string release_causes_;                                 ///< of all ScaleIn actions
-  std::optional<std::pair<TimePoint, std::string>> resigned_;  ///< first time, and the cause
+  std::set<MachineId> returned_machines_;  ///< to the cloud
+  std::string scale_in_causes_;            ///< of all ScaleIn actions
+  std::optional<std::pair<TimePoint, std::string>>
+      first_resignation_;  ///< first time, and the cause
 };
 
 }  // namespace violetpulley::core
--- a/tests/support/sample_jobs.hpp
+++ b/tests/support/sample_jobs.hpp
@@ -12,11 +12,11 @@
 inline const TimePoint kNow = TimePoint{} + std::chrono::hours(1);
 
 /// A job of one task that may use spot machines.
-JobSpec spec_of(double cpus, double memory, Seconds estimate, std::string image = "i");
+JobSpec make_spec(double cpus, double memory_gb, Seconds estimate, std::string image = "i");
 
 /// Adds a machine to the fleet; with a task if `remaining` is positive, with the image "i" if
 /// `image`.
-Machine& machine_with(Fleet& fleet, const MachineId& id, double cpus, Seconds remaining,
-                      bool image = true);
+Machine& add_machine(Fleet& fleet, const MachineId& id, double cpus, Seconds remaining,
+                     bool has_image = true);
 
 }  // namespace violetpulley::core
