--- a/tests/support/fake_cloud.hpp
+++ b/tests/support/fake_cloud.hpp
@@ -1,5 +1,7 @@
 /// @file
-/// In-process fakes of the cloud and of one agent for each machine, written from their protocols.
+/// In-process fakes of the cloud and of the agent of each machine. They implement the HTTP
+/// protocols independently of the code under test. The cloud owns the agents of the machines it has
+/// granted.
 #pragma once
 
 #include <map>
@@ -8,8 +10,8 @@
 
 namespace violetpulley::fakes {
 
-/// The agent of one machine: sends heartbeats, executes commands, and runs every task for a short
-/// time.
+/// The agent of one machine: sends a heartbeat every 100 ms, executes commands, and runs each task
+/// for 100 ms; tasks of jobs whose name begins with req-9 run for 600 s.
 class Agent {
  public:
   Agent(asio::io_context& io, std::string id, std::map<std::string, std::string> node_addresses)
@@ -24,6 +26,7 @@
     send_heartbeat();
   }
 
+  /// Number of start commands that began a new attempt.
   std::size_t executed_starts() const { return executed_starts_; }
 
  private:
@@ -102,6 +105,7 @@
                      });
   }
 
+  /// Turns to the leader that a 421 response names, otherwise to the next node.
   void choose_next_node(const std::optional<net::Response>& response) {
     if (response && response->status == 421) {
       const auto body = Json::parse(response->body);
@@ -128,7 +132,7 @@
   std::unique_ptr<net::HttpClient> client_;
 };
 
-/// The cloud: one machine type in one zone, at most six machines at once.
+/// The cloud: offers one machine type in one zone and grants at most six machines at a time.
 class Cloud {
  public:
   Cloud(asio::io_context& io, std::map<std::string, std::string> node_addresses)
@@ -141,6 +145,7 @@
   void set_node_addresses(std::map<std::string, std::string> node_addresses) {
     node_addresses_ = std::move(node_addresses);
   }
+  /// Sum over all agents, including those of returned machines.
   std::size_t executed_starts() const {
     std::size_t total = starts_of_returned_machines_;
     for (const auto& [id, agent] : agents_) total += agent->executed_starts();
@@ -173,7 +178,8 @@
         const auto found = agents_.find(id.get<std::string>());
         if (found == agents_.end()) continue;
         starts_of_returned_machines_ += found->second->executed_starts();
-        // The agent may be answering a request right now: it is destroyed afterwards.
+        // The agent may be answering a request, so its destruction is deferred until that has
+        // ended.
         asio::post(io_, [returned_agent = std::shared_ptr<Agent>(std::move(found->second))] {});
         agents_.erase(found);
       }
--- a/tests/support/fake_services.hpp
+++ b/tests/support/fake_services.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// In-process fakes of all outside systems.
+/// In-process fakes of all external services: the cloud with its agents, and the state service.
 #pragma once
 
 #include "support/fake_cloud.hpp"
--- a/tests/support/fake_state_service.hpp
+++ b/tests/support/fake_state_service.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// In-process fake of the state service, written from its protocol, with faults that a test
-/// switches on and off.
+/// In-process fake of the state service. It implements the HTTP protocol independently of the
+/// store client under test, and owns the stored entries, leases, watches and injected faults.
 #pragma once
 
 #include <deque>
@@ -10,12 +10,13 @@
 
 namespace violetpulley::fakes {
 
-/// The state service, with faults that a test switches on and off.
+/// The state service, with faults that a test switches on and off, most of them by endpoint.
 class StateService {
  public:
   explicit StateService(asio::io_context& io) : io_(io) { add_endpoint(); }
 
-  /// Each caller may have an endpoint of its own, and be refused or answered late there alone.
+  /// Adds an endpoint and returns its index. A client with an endpoint of its own can be given
+  /// faults that affect no other client.
   std::size_t add_endpoint() {
     const auto index = endpoints_.size();
     endpoints_.emplace_back().server = std::make_unique<net::HttpServer>(
@@ -28,28 +29,32 @@
   std::string address(std::size_t endpoint = 0) const {
     return text_of(endpoints_.at(endpoint).server->local_endpoint());
   }
-  /// 503 to every request here; open watches stay silent, also for some time afterwards.
+  /// While `on`, the endpoint answers every request with 503. Changes made meanwhile are not sent
+  /// to its open watches; these respond at the next change or when they expire.
   void set_refused(std::size_t endpoint, bool on) { endpoints_.at(endpoint).refused = on; }
-  /// The same at all endpoints. Leases do not expire, and have their full time afterwards.
+  /// While `on`, all endpoints refuse requests. Leases do not expire during the outage and have
+  /// their full duration again afterwards.
   void set_outage(bool on) {
     if (outage_ && !on)
       for (auto& [id, lease] : std::map(leases_)) extend_lease(id, lease.ttl);
     outage_ = on;
   }
-  /// Requests are executed when they arrive, and answered so much later.
+  /// Requests to the endpoint are executed at once, and their responses are sent after `delay`.
   void set_response_delay(std::size_t endpoint, std::chrono::milliseconds delay) {
     endpoints_.at(endpoint).response_delay = delay;
   }
-  /// While `on`, lists are read when they are asked for, and answered when this is switched off.
+  /// While `on`, lists are read when they are requested, but their responses are held back until
+  /// this is switched off.
   void set_lists_held(bool on) {
     lists_on_hold_ = on;
     if (!on)
       for (auto& send_list : std::exchange(held_lists_, {})) send_list();
   }
   std::size_t held_list_count() const { return held_lists_.size(); }
-  /// From here on answers to watches name a revision that is too small by so much; 0: as usual.
+  /// Responses to requests for changes report a revision that is `lag` too low; 0 ends the fault.
   void set_revision_lag(std::uint64_t lag) { revision_lag_ = lag; }
-  /// Transactions are executed so much later, and never answered; 0: as usual.
+  /// Transactions sent to the endpoint are executed after `delay` and never answered; 0 ends the
+  /// fault.
   void set_execution_delay(std::size_t endpoint, std::chrono::milliseconds delay) {
     endpoints_.at(endpoint).execution_delay = delay;
   }
@@ -188,6 +193,8 @@
     held_lists_.push_back([respond, response] { respond(response); });
   }
 
+  /// Responds with the changes after `since`. Returns false without a response if there are none,
+  /// unless `even_if_empty`.
   bool send_changes(const std::string& prefix, std::uint64_t since, bool even_if_empty,
                     const ResponseCallback& respond) {
     Json changes = Json::array();
@@ -211,6 +218,7 @@
     await_expiry(endpoint, prefix, since, respond, timer);
     watches_.push_back({endpoint, prefix, since, respond, timer});
   }
+  /// Answers the watch when its maximum wait is over, or once its endpoint accepts requests again.
   void await_expiry(std::size_t endpoint, const std::string& prefix, std::uint64_t since,
                     const ResponseCallback& respond,
                     const std::shared_ptr<asio::steady_timer>& timer) {
@@ -222,8 +230,8 @@
     });
   }
 
-  // A change that happens while a watch is refused is not reported to the watch, also not when the
-  // refusal ends: the watch stays silent until the next change or until its time is over.
+  // Sends new changes to the open watches. Watches of an endpoint that refuses requests get no
+  // response, not even when the refusal ends, but only at the next change or when they expire.
   void notify_watches() {
     std::erase_if(watches_, [&](const Watch& watch) {
       if (watch.timer->expiry() < std::chrono::steady_clock::now()) return true;
--- a/tests/support/fake_support.hpp
+++ b/tests/support/fake_support.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What the fakes of the outside systems share.
+/// Helpers shared by the fakes of the external services and by the tests that use them: loopback
+/// endpoints, waiting with a time limit, and query parameters.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,20 +17,22 @@
 using net::Request;
 using net::Responder;
 
+/// A loopback endpoint whose port the system chooses when a server listens on it.
 inline asio::ip::tcp::endpoint any_port() { return {asio::ip::make_address("127.0.0.1"), 0}; }
 
 using net::text_of;
 
-/// Runs until `done` holds. The bound, which no working program meets, makes a failure of a hang.
+/// Runs the event loop until `done` returns true. Fails the test after 20 s, far more than a
+/// working program needs, instead of hanging.
 inline void run_until(asio::io_context& io, const std::function<bool()>& done) {
   const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
   while (!done()) {
-    ASSERT_LT(std::chrono::steady_clock::now(), deadline) << "what is waited for does not come";
+    ASSERT_LT(std::chrono::steady_clock::now(), deadline) << "condition not met within 20 s";
     io.run_one_for(std::chrono::milliseconds(100));
   }
 }
 
-/// The value of a query parameter; empty: it is absent.
+/// The value of a query parameter; empty if the parameter is absent.
 inline std::string query_parameter(const std::string& target, const std::string& name) {
   const auto position = target.find(name + "=");
   if (position == std::string::npos) return "";
--- a/tests/support/leader_with_agents.hpp
+++ b/tests/support/leader_with_agents.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// Test fixture: a controller that leads, and agents that send heartbeats, carry out commands and
-/// run tasks for the estimated time. Faults of the network and of machines are switched on by
-/// agent.
+/// Test fixture: a controller that leads, and agents that send heartbeats, execute commands and run
+/// each task for its estimated run time. Network and machine faults are switched on per agent.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,8 +14,8 @@
 
 inline constexpr FencingToken kToken = 40;
 
-/// Drives the controller in steps of 100 ms. Owns the clock, the agents and a record of what the
-/// leader requested.
+/// Drives the controller in steps of 100 ms. Owns the clock, the simulated agents, store and cloud,
+/// and a record of the actions that the leader requested.
 class LeaderWithAgents : public ::testing::Test {
  protected:
   /// A task that runs on an agent.
@@ -30,12 +29,12 @@
     std::uint64_t epoch = 1;
     std::uint64_t heartbeat_sequence = 0;
     FencingToken token = 0;
-    bool sends_heartbeats = true;       ///< its heartbeats arrive
-    bool outbound_partitioned = false;  ///< sends no heartbeats, answers commands
-    bool receives_commands = true;      ///< commands and answers arrive
+    bool sends_heartbeats = true;       ///< false: its heartbeats and command responses are lost
+    bool outbound_partitioned = false;  ///< sends no heartbeats but answers commands
+    bool receives_commands = true;      ///< false: commands and heartbeat responses are lost
     bool returned = false;              ///< to the cloud
     bool faulty = false;                ///< every task fails
-    bool answers_commands = true;       ///< false: commands are carried out, the response is lost
+    bool answers_commands = true;       ///< false: commands are executed, their responses are lost
     TimePoint lease_renewed_at{};
     std::map<TaskKey, RunningTask> tasks;
     std::map<TaskKey, TaskStatus> ended;
@@ -80,7 +79,7 @@
     record.revision = kToken + 1;
     return record;
   }
-  /// The next heartbeat of an agent; takes a sequence number.
+  /// Builds the next heartbeat of an agent and advances its sequence number.
   Heartbeat heartbeat_of(const MachineId& id) {
     auto& agent = agents_[id];
     Heartbeat heartbeat{
@@ -90,7 +89,7 @@
     for (const auto& [key, entry] : agent.ended) heartbeat.tasks.push_back(entry);
     return heartbeat;
   }
-  /// Carries out commands as an agent does.
+  /// Executes commands as an agent does.
   void execute(Agent& agent, const std::vector<Command>& commands) {
     for (const auto& command : commands) {
       const TaskStatus stopped{command.task, command.attempt, TaskState::exited, ExitCause::stopped,
@@ -102,13 +101,14 @@
       if (command.type == CommandType::acknowledge) agent.ended.erase(command.task);
     }
   }
-  /// How long a task of the job runs; a job that has ended is still known to the agents.
+  /// How long a task of the job runs. Without bound for a service, and for a job that the
+  /// controller no longer has, since a delayed start of that job may still arrive at an agent.
   Seconds run_time_of(const JobId& id) const {
     const auto found = controller_->jobs().find(id);
     if (found == controller_->jobs().end()) return kUnboundedRunTime;
     return found->second.service() ? kUnboundedRunTime : found->second.spec().estimate;
   }
-  /// Runs a task for its estimate, or for a second if it fails.
+  /// Starts a task that runs for its estimated run time, or for one second if it fails.
   void start_task(Agent& agent, const Command& command) {
     const auto run_time = run_time_of(command.task.job);
     const bool fails = agent.faulty || faulty_jobs_.contains(command.task.job);
@@ -116,7 +116,7 @@
                                  now_ + (fails ? seconds(1) : to_duration(run_time)), fails};
     first_start_times_.try_emplace(command.task.job, now_);
   }
-  /// Ends the tasks whose time is over.
+  /// Ends the tasks whose run time is over.
   void end_tasks(Agent& agent) {
     for (auto task = agent.tasks.begin(); task != agent.tasks.end();) {
       if (now_ < task->second.ends) {
@@ -129,7 +129,8 @@
       task = agent.tasks.erase(task);
     }
   }
-  /// Ends the tasks of an agent whose lease has run out, then sends its heartbeat.
+  /// Clears the tasks of an agent whose lease has expired and raises its epoch, then sends its
+  /// heartbeat and executes the commands in the response.
   void send_heartbeat(const MachineId& id) {
     auto& agent = agents_[id];
     end_tasks(agent);
@@ -149,7 +150,8 @@
     agent.lease_renewed_at = now_;
     execute(agent, commands);
   }
-  /// Passes time: heartbeats, missed responses and the actions of the leader.
+  /// Advances the clock by `duration`; in each step delivers heartbeats, reports missed responses
+  /// and executes the actions of the leader.
   void run_for(Seconds duration) {
     for (const auto end = now_ + to_duration(duration); now_ < end; now_ += milliseconds(100)) {
       send_due_heartbeats();
@@ -158,7 +160,7 @@
       for (auto& action : controller_->take_actions()) execute(action);
     }
   }
-  /// Heartbeats of the agents are spread over the heartbeat interval.
+  /// Sends the heartbeats that are due. The agents are spread over the heartbeat interval.
   void send_due_heartbeats() {
     std::size_t i = 0;
     for (auto& [id, agent] : agents_) {
@@ -169,6 +171,7 @@
         send_heartbeat(id);
     }
   }
+  /// Reports to the leader the commands whose response timeout has passed.
   void report_missed_responses() {
     while (!missed_responses_.empty() && missed_responses_.begin()->first <= now_) {
       const auto id = missed_responses_.begin()->second;
@@ -176,7 +179,7 @@
       controller_->commands_answered(id, nullptr, now_);
     }
   }
-  /// Carries out an action of the leader as the agents, the store and the cloud do.
+  /// Executes an action of the leader as the agents, the store and the cloud do.
   void execute(const Action& action) {
     if (const auto* batch = std::get_if<SendCommands>(&action)) {
       deliver(*batch);
@@ -199,7 +202,8 @@
       grant_machines(*scale_out);
     }
   }
-  /// Delivers a command batch to its agent, and the response to the leader unless one is lost.
+  /// Delivers a command batch to its agent and the response to the leader, unless a fault of the
+  /// agent loses either of them.
   void deliver(const SendCommands& batch) {
     for (const auto& command : batch.commands)
       ++(command.type == CommandType::start ? starts_sent_ : stops_sent_)[batch.machine];
@@ -238,7 +242,7 @@
     controller_->scale_out_answered(request.name, {kind, std::exchange(available_machines_, {})},
                                     now_);
   }
-  /// Tasks that run on machines that are not returned.
+  /// Number of tasks on machines that have not been returned to the cloud.
   std::size_t running_tasks() const {
     std::size_t count = 0;
     for (const auto& [id, agent] : agents_) count += agent.returned ? 0 : agent.tasks.size();
@@ -250,28 +254,27 @@
   TimePoint now_ = TimePoint{} + std::chrono::hours(1);
   TimePoint heartbeats_start_{};
   Seconds idle_wait_{10'000};
-  std::vector<ProgressRecord> recovered_progress_;  ///< what the leader recovers
+  std::vector<ProgressRecord> recovered_progress_;  ///< progress records that the leader recovers
   bool serving_ = true;
   bool resigns_when_isolated_ = true;
   std::unique_ptr<Controller> controller_;
   std::map<MachineId, Agent> agents_;
-  std::multimap<TimePoint, MachineId> missed_responses_;  ///< when the leader notices
+  std::multimap<TimePoint, MachineId> missed_responses_;  ///< by the time of the timeout
   std::map<MachineId, int> starts_sent_;
-  std::map<MachineId, int> stops_sent_;  ///< and acknowledgements
+  std::map<MachineId, int> stops_sent_;  ///< stop and acknowledge commands
   bool cloud_answers_ = true;
-  std::map<JobId, TimePoint> first_start_times_;  ///< first start of a job
-  std::set<JobId> finished_jobs_;                 ///< finished jobs
-  std::set<JobId> faulty_jobs_;                   ///< every task fails
+  std::map<JobId, TimePoint> first_start_times_;
+  std::set<JobId> finished_jobs_;
+  std::set<JobId> faulty_jobs_;  ///< jobs whose every task fails
   int task_failures_ = 0;
-  std::size_t suspicions_ = 0;  ///< JobSuspected actions
+  std::size_t suspicions_ = 0;  ///< number of JobSuspected actions
   std::size_t scale_out_requests_ = 0;
-  std::vector<MachineId> available_machines_;  ///< granted to the next request; none: sold out
-  bool store_answers_ = true;                  ///< to registrations of machines
+  std::vector<MachineId> available_machines_;  ///< granted to the next request; empty: no capacity
+  bool store_answers_ = true;                  ///< false: no SaveMachine is answered
   std::set<MachineId> saved_machines_;
-  std::set<MachineId> returned_machines_;  ///< to the cloud
-  std::string scale_in_causes_;            ///< of all ScaleIn actions
-  std::optional<std::pair<TimePoint, std::string>>
-      first_resignation_;  ///< first time, and the cause
+  std::set<MachineId> returned_machines_;
+  std::string scale_in_causes_;  ///< causes of all ScaleIn actions, each followed by "; "
+  std::optional<std::pair<TimePoint, std::string>> first_resignation_;  ///< time and cause
 };
 
 }  // namespace violetpulley::core
--- a/tests/support/sample_jobs.hpp
+++ b/tests/support/sample_jobs.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Small jobs and machines for tests of the core's parts.
+/// Small jobs and machines for unit tests of the core.
 #pragma once
 
 #include <string>
@@ -8,14 +8,14 @@
 
 namespace violetpulley::core {
 
-/// The present in these tests.
+/// The current time in these tests.
 inline const TimePoint kNow = TimePoint{} + std::chrono::hours(1);
 
-/// A job of one task that may use spot machines.
+/// The specification of a job of one task that may use spot machines.
 JobSpec make_spec(double cpus, double memory_gb, Seconds estimate, std::string image = "i");
 
-/// Adds a machine to the fleet; with a task if `remaining` is positive, with the image "i" if
-/// `image`.
+/// Adds a machine to the fleet. If `remaining` is positive, the machine runs a task with that
+/// remaining run time; if `has_image`, its cache holds the image "i".
 Machine& add_machine(Fleet& fleet, const MachineId& id, double cpus, Seconds remaining,
                      bool has_image = true);
 
