--- a/tests/golden/golden_exchange_test.cpp
+++ b/tests/golden/golden_exchange_test.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// Requests and answers: the clients of the store and of the cloud, the users' interface and one
-/// controller send the same bytes and understand answers as before December 2026.
+/// Tests that the wire formats have not changed: the clients of the store and of the cloud, the
+/// user API and a complete controller send the same bytes, and parse responses to the same values,
+/// as the program that wrote the golden files before December 2026.
 #include "api/user_api.hpp"
 #include "cloud/cloud_client.hpp"
 #include "golden/golden_files.hpp"
@@ -16,8 +17,8 @@
 
 using ResultHandler = std::function<void(Json result)>;
 
-/// Runs each case of a file against a peer that gives the recorded answers, and compares what was
-/// sent and what the answers were understood as.
+/// Runs each case of a golden file against a peer that gives the recorded responses. Compares the
+/// requests sent and the values parsed from the responses with those of the file.
 void check_exchanges(const std::string& file, asio::io_context& io, RecordingPeer& peer,
                      const std::function<void(const Json&, const ResultHandler&)>& run_case) {
   for (const auto& item : cases_of(file)) {
@@ -177,8 +178,8 @@
           {"stow_s", 0.0}};
 }
 
-/// The state service of the recorded conversations with users: one open job, two ended ones, and
-/// jobs whose transaction conflicts or is refused.
+/// The state service for the cases of users.json: it holds an open job and two ended ones. Reads or
+/// transactions of some further jobs conflict or fail with 503.
 std::optional<net::Response> respond_as_state_service(const net::Request& request) {
   const auto& target = request.target;
   if (target.starts_with("/store?")) {
@@ -215,7 +216,7 @@
   return response.value_or(net::Response{0, "", {}});
 }
 
-/// What was sent to the store without the watch, which is asked again at any time.
+/// The requests to the store except long polls for changes, which may be repeated at any time.
 Json without_watch_requests(const Json& requests) {
   Json out = Json::array();
   for (const auto& request : requests)
@@ -266,7 +267,7 @@
   }
 }
 
-/// One controller on loopback with a state service, a cloud and agents.
+/// A complete controller on loopback with the fakes of the state service, the cloud and its agents.
 class ControllerWithFakes {
  public:
   ControllerWithFakes() : state_(io_), cloud_(io_, {}), public_address_(free_address()) {
@@ -296,14 +297,15 @@
     user_client_ = std::make_unique<net::HttpClient>(io_, net::parse_endpoint(public_address_), 1);
   }
 
-  /// Repeats the request until `accepted` says so.
+  /// Repeats the request until `accepted` returns true for the response; fails the test after 600
+  /// attempts.
   void send_until(const net::Request& request,
                   const std::function<bool(const net::Response&)>& accepted) {
     for (int attempt = 0; attempt < 600; ++attempt) {
       if (accepted(send_and_wait(io_, *user_client_, request))) return;
       run_for(milliseconds(50));
     }
-    ADD_FAILURE() << request.target << " never got the answer";
+    ADD_FAILURE() << request.target << ": no accepted response after 600 attempts";
   }
   void submit(const std::string& id, const char* shape) {
     send_until({"POST", "/v1/jobs", submission_body(id, shape, 3).dump()},
@@ -320,7 +322,7 @@
     timer.async_wait([&](const asio::error_code&) { expired = true; });
     while (!expired) io_.run_one();
   }
-  /// The first value that was written under each key.
+  /// The value of the first write to each key.
   std::map<std::string, Json> first_written_values() {
     net::HttpClient client(io_, net::parse_endpoint(state_.address()), 1);
     const auto response =
@@ -366,7 +368,7 @@
   for (const auto& [key, value] : values)
     prefixes.insert(key.substr(0, key.find('/') + 1 == 0 ? key.size() : key.find('/') + 1));
   EXPECT_EQ(Json(prefixes), expected.at("prefixes"));
-  // The port and the revisions are the run's own.
+  // The port and the revisions differ from run to run and are masked.
   for (const auto& [key, text] : expected.at("values").items()) {
     ASSERT_TRUE(values.contains(key)) << key;
     auto value = values.at(key);
--- a/tests/golden/golden_files.hpp
+++ b/tests/golden/golden_files.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// Access to the golden files: bytes that the program wrote before its names were changed in
-/// December 2026 (README.md in this directory). A file that is missing fails the test that needs
-/// it.
+/// Access to the golden files: bytes that the program wrote before its identifiers were renamed in
+/// December 2026 (README.md in this directory). A missing file fails the test that reads it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -33,8 +32,8 @@
 
 inline Json read_json(const std::string& name) { return Json::parse(read_file(name)); }
 
-/// The list `field` of a golden file. Throws std::runtime_error if it is empty, since a test over
-/// no case would pass.
+/// The list `field` of a golden file. Throws std::runtime_error if the list is empty, since a test
+/// that loops over no case would pass.
 inline Json cases_of(const std::string& name, const std::string& field = "cases") {
   auto cases = read_json(name).at(field);
   if (!cases.is_array() || cases.empty())
@@ -59,17 +58,19 @@
   return out;
 }
 
-/// A value in the history's msgpack form, as hexadecimal digits.
+/// Encodes a value in the history's msgpack form, as hexadecimal digits.
 template <class T>
 std::string pack_to_hex(const T& value) {
   return to_hex(history::packed(value));
 }
 
+/// Decodes a value from the form that `pack_to_hex` writes.
 template <class T>
 T unpack_from_hex(const Json& digits) {
   return history::unpacked<T>(from_hex(digits.get<std::string>()));
 }
 
+/// The string member `field` of a JSON object. Throws nlohmann::json::exception if it is absent.
 inline std::string text_field(const Json& value, const char* field) {
   return value.at(field).get<std::string>();
 }
--- a/tests/golden/golden_history_test.cpp
+++ b/tests/golden/golden_history_test.cpp
@@ -1,7 +1,9 @@
 /// @file
-/// Recorded histories: whole, replayed to the same states and actions, and written again with the
-/// same bytes. Those of before December 2026 meet faults that were mended since: they are replayed
-/// up to the record before the first of them, and differ at the named decision and not before.
+/// Tests that recorded histories pass the checks of the reader, replay to the same states and
+/// actions, and are re-encoded to the same bytes. The histories from before December 2026 contain
+/// decisions affected by a fault that has been fixed since. They must replay identically up to the
+/// last record before the first such decision and differ at exactly the record named in their
+/// agreement file.
 #include "golden/golden_files.hpp"
 #include "history/heartbeat_changes.hpp"
 #include "history/reader.hpp"
@@ -11,7 +13,8 @@
 
 using history::FileKind;
 
-/// Where a frame holds how much of its file was synced: behind its length and its checksum.
+/// Offset in bytes of a frame's field that holds how many bytes of the file had been synced. The
+/// field follows the length and the checksum of the frame.
 constexpr std::size_t kSyncedBytesOffset = 12;
 
 bool is_signed(const std::string& name) { return name.find("unsigned") == std::string::npos; }
@@ -30,7 +33,8 @@
       throw std::runtime_error("golden history " + GetParam() + " is missing");
     return path.string();
   }
-  /// Up to which records a later program that decides otherwise agrees; null: to the end.
+  /// The number of events up to which the current program makes the recorded decisions, with the
+  /// digests there; null if it does so to the end of the history.
   static Json read_agreement(const std::string& name) {
     const auto file = name + "-agreement.json";
     return std::filesystem::exists(path_of(file)) ? read_json(file) : Json{};
@@ -43,7 +47,8 @@
     return read_file(GetParam() + "/" + name);
   }
 
-  /// Writes the payloads of a file again, each through `rewrite`, with the syncs of the original.
+  /// Re-encodes a file: passes each payload through `reencode_payload` and marks syncs at the same
+  /// positions as the original.
   template <class ReencodePayload>
   static std::string reencoded_file(const std::string& name, FileKind kind,
                                     ReencodePayload reencode_payload) {
@@ -73,7 +78,8 @@
     return value;
   }
 
-  /// Replays `contents` to the end, or up to where the decisions agree with those recorded.
+  /// Replays `contents` to the end, or up to the last record at which the current program agrees
+  /// with the recorded decisions, and compares the digests.
   void expect_replay_matches(const history::Contents& contents, bool from_start) {
     const std::string mode = from_start ? "from_start" : "from_snapshot";
     const bool agrees_to_end = agreement_.is_null();
@@ -84,7 +90,7 @@
     expect_matches(replay, expected);
     if (!agrees_to_end) expect_first_difference(contents, from_start, expected);
   }
-  /// The whole replay differs first at the named record.
+  /// Expects a full replay to differ first at the record named in the agreement file.
   void expect_first_difference(const history::Contents& contents, bool from_start,
                                const Json& expected) {
     history::Replay full_replay;
@@ -134,7 +140,8 @@
   expect_replay_matches(contents, false);
 }
 
-// The last snapshot before the first decision that is made otherwise now.
+// Uses the last snapshot up to which the current program makes the recorded decisions. A replay
+// from the start must reach the state that the snapshot recorded.
 TEST_P(GoldenHistory, AReplayReachesTheStateOfTheLastAgreedSnapshot) {
   const auto contents = reader_.check();
   const auto agreed_events = agreement_.is_null()
@@ -199,7 +206,7 @@
           return history::packed(piece);
         });
     EXPECT_EQ(reencoded, bytes_of(name)) << name;
-    // The state itself, read into a controller and written again.
+    // Restores the state into a controller and encodes that state again.
     ASSERT_TRUE(header);
     history::Replay replay;
     replay.restore(*header, parts);
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Messages and stored records: the codecs read what the program wrote before December 2026 to the
-/// same values and write the same bytes.
+/// Tests that the codecs of messages and stored records decode what the program wrote before
+/// December 2026 to the same values, and encode these values to the same bytes.
 #include "agent/agent_codec.hpp"
 #include "api/operator_api.hpp"
 #include "codec/job_codec.hpp"
@@ -71,7 +71,7 @@
     SCOPED_TRACE(text_field(item, "input"));
     try {
       codec::parse_job(Json::parse(text_field(item, "input")));
-      ADD_FAILURE() << "not refused";
+      ADD_FAILURE() << "malformed submission was accepted";
     } catch (const codec::MalformedJob& error) {
       EXPECT_EQ(error.what(), text_field(item, "error"));
     }
@@ -191,7 +191,8 @@
             read_json("records.json").at("placements_mark_key").get<std::string>());
 }
 
-/// The changes that the generator made to each record table before it took the pages.
+/// Repeats the changes that the generator of the golden file made to each record table, and returns
+/// the pages that are written for these changes.
 store::PagedRecords::Batch pages_of_sample_table(const std::string& prefix) {
   const core::TimePoint now{std::chrono::hours(5)};
   store::PagedRecords table(prefix, 600, core::Duration(std::chrono::seconds(1)));
--- a/tests/golden/recording_peer.hpp
+++ b/tests/golden/recording_peer.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// An HTTP peer that records each request and gives answers set by the test.
+/// An HTTP server that records each request and responds as the test specifies: with the responses
+/// of a list in turn, or with those of a handler. It owns the recorded requests.
 #pragma once
 
 #include <deque>
@@ -14,7 +15,7 @@
 
 class RecordingPeer {
  public:
-  /// No answer leaves the request open.
+  /// Returns the response to a request; nullopt leaves the request unanswered.
   using Handler = std::function<std::optional<net::Response>(const net::Request&)>;
 
   explicit RecordingPeer(asio::io_context& io)
@@ -26,12 +27,14 @@
 
   asio::ip::tcp::endpoint endpoint() const { return server_.local_endpoint(); }
   void set_handler(Handler handler) { handler_ = std::move(handler); }
-  /// A list of {status, body}, given in this order.
+  /// Sets a list of {status, body}, used in this order. Further requests stay unanswered.
   void set_responses(const nlohmann::json& responses) {
     responses_.assign(responses.begin(), responses.end());
   }
 
+  /// The recorded requests: method, target, and body with the submission time masked.
   const nlohmann::json& requests() const { return requests_; }
+  /// Returns the recorded requests and clears the record.
   nlohmann::json take_requests() { return std::exchange(requests_, nlohmann::json::array()); }
 
  private:
@@ -48,7 +51,7 @@
     return net::Response{
         response.at("status").get<int>(), response.at("body").get<std::string>(), {}};
   }
-  /// The time of day in a job's record is the run's own.
+  /// Replaces the submission time in a job record by 0, since it differs from run to run.
   static std::string mask_submission_time(std::string body) {
     const std::string field = "\"submitted_ms\":";
     const auto position = body.find(field);
