--- a/tests/golden/golden_exchange_test.cpp
+++ b/tests/golden/golden_exchange_test.cpp
@@ -305,7 +305,7 @@
       if (accepted(send_and_wait(io_, *user_client_, request))) return;
       run_for(milliseconds(50));
     }
-    ADD_FAILURE() << request.target << ": no accepted response after 600 attempts";
+    ADD_FAILURE() << request.target << " never got an accepted answer in 600 attempts";
   }
   void submit(const std::string& id, const char* shape) {
     send_until({"POST", "/v1/jobs", submission_body(id, shape, 3).dump()},
--- a/tests/support/fake_state_service.hpp
+++ b/tests/support/fake_state_service.hpp
@@ -218,7 +218,8 @@
     await_expiry(endpoint, prefix, since, respond, timer);
     watches_.push_back({endpoint, prefix, since, respond, timer});
   }
-  /// Answers the watch when its maximum wait is over, or once its endpoint accepts requests again.
+  /// Answers the watch when its maximum wait is over, even without changes. While its endpoint
+  /// refuses requests, the answer is delayed until the endpoint accepts them again.
   void await_expiry(std::size_t endpoint, const std::string& prefix, std::uint64_t since,
                     const ResponseCallback& respond,
                     const std::shared_ptr<asio::steady_timer>& timer) {
--- a/tests/support/leader_with_agents.hpp
+++ b/tests/support/leader_with_agents.hpp
@@ -129,8 +129,9 @@
       task = agent.tasks.erase(task);
     }
   }
-  /// Clears the tasks of an agent whose lease has expired and raises its epoch, then sends its
-  /// heartbeat and executes the commands in the response.
+  /// Ends the tasks that are due, sends the heartbeat of an agent, and executes the commands in the
+  /// response. If the lease of the agent has expired, first clears its tasks and advances its
+  /// epoch.
   void send_heartbeat(const MachineId& id) {
     auto& agent = agents_[id];
     end_tasks(agent);
@@ -259,7 +260,7 @@
   bool resigns_when_isolated_ = true;
   std::unique_ptr<Controller> controller_;
   std::map<MachineId, Agent> agents_;
-  std::multimap<TimePoint, MachineId> missed_responses_;  ///< by the time of the timeout
+  std::multimap<TimePoint, MachineId> missed_responses_;  ///< by the time of their timeout
   std::map<MachineId, int> starts_sent_;
   std::map<MachineId, int> stops_sent_;  ///< stop and acknowledge commands
   bool cloud_answers_ = true;
