--- a/tests/support/leader_with_agents.hpp
+++ b/tests/support/leader_with_agents.hpp
@@ -1,7 +1,6 @@
 /// @file
-/// Test fixture: a controller that leads, and agents that send heartbeats, carry out commands and
-/// run tasks for the estimated time. Faults of the network and of machines are switched on by
-/// agent.
+/// Test fixture: a controller that leads, and agents that send heartbeats, execute commands and run
+/// each task for its estimated run time. Network and machine faults are switched on per agent.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,8 +14,8 @@
 
 inline constexpr FencingToken kToken = 40;
 
-/// Drives the controller in steps of 100 ms. Owns the clock, the agents and a record of what the
-/// leader requested.
+/// Drives the controller in steps of 100 ms. Owns the clock, the simulated agents, store and cloud,
+/// and a record of the actions that the leader requested.
 class LeaderWithAgents : public ::testing::Test {
  protected:
   /// A task that runs on an agent.
@@ -30,26 +29,27 @@
     std::uint64_t epoch = 1;
     std::uint64_t heartbeat_sequence = 0;
     FencingToken token = 0;
-    bool sends_heartbeats = true;       ///< its heartbeats arrive
-    bool outbound_partitioned = false;  ///< sends no heartbeats, answers commands
-    bool receives_commands = true;      ///< commands and answers arrive
+    bool sends_heartbeats = true;       ///< false: its heartbeats and command responses are lost
+    bool outbound_partitioned = false;  ///< sends no heartbeats but answers commands
+    bool receives_commands = true;      ///< false: commands and heartbeat responses are lost
     bool returned = false;              ///< to the cloud
     bool faulty = false;                ///< every task fails
-    bool answers_commands = true;       ///< false: commands are carried out, the response is lost
+    bool answers_commands = true;       ///< false: commands are executed, their responses are lost
     TimePoint lease_renewed_at{};
     std::map<TaskKey, RunningTask> tasks;
     std::map<TaskKey, TaskStatus> ended;
   };
 
   /// Elects the leader with registered machines m100, m101, ... and jobs req-0, req-1, ...
-  void begin(int machines, int jobs = 1, TaskIndex tasks = 4) {
+  void elect_leader(int machines, int jobs = 1, TaskIndex tasks = 4) {
     RecoveredState recovered;
     for (int i = 0; i < machines; ++i) {
-      const auto id = name(i);
+      const auto id = machine_id(i);
       recovered.machines.push_back({id, id, "bench", "a", true, {}});
       agents_[id].lease_renewed_at = now_;
     }
-    for (int i = 0; i < jobs; ++i) recovered.jobs.push_back(job("req-" + std::to_string(i), tasks));
+    for (int i = 0; i < jobs; ++i)
+      recovered.jobs.push_back(job_record("req-" + std::to_string(i), tasks));
     ControllerSettings settings;
     settings.teams = {{"t", 0, 0, 0, 0}, {"narrow", 0, 8, 0, 0}};
     settings.cloud_calls_per_s = 10;
@@ -57,17 +57,17 @@
     settings.wall_at_start = wall_now();
     settings.resigns_when_isolated = resigns_when_isolated_;
     settings.tuning.idle_wait = idle_wait_;
-    recovered.progress = progress_;
+    recovered.progress = recovered_progress_;
     controller_ =
         std::make_unique<Controller>(settings, kToken, now_, now_ + seconds(60), recovered);
     controller_->set_catalog({{"bench", {16, 0, 128}, 60, 0.5, 1.1, 0.39, Seconds(30), {"a"}}});
     heartbeats_start_ = now_;
   }
-  static MachineId name(int i) { return std::to_string(100 + i).insert(0, 1, 'm'); }
+  static MachineId machine_id(int i) { return std::to_string(100 + i).insert(0, 1, 'm'); }
   WallTime wall_now() const {
     return WallTime(std::chrono::duration_cast<milliseconds>(now_.time_since_epoch()));
   }
-  JobRecord job(const JobId& id, TaskIndex tasks) const {
+  JobRecord job_record(const JobId& id, TaskIndex tasks) const {
     JobRecord record;
     record.submitted = wall_now();
     record.spec.id = id;
@@ -79,7 +79,7 @@
     record.revision = kToken + 1;
     return record;
   }
-  /// The next heartbeat of an agent; takes a sequence number.
+  /// Builds the next heartbeat of an agent and advances its sequence number.
   Heartbeat heartbeat_of(const MachineId& id) {
     auto& agent = agents_[id];
     Heartbeat heartbeat{
@@ -89,7 +89,7 @@
     for (const auto& [key, entry] : agent.ended) heartbeat.tasks.push_back(entry);
     return heartbeat;
   }
-  /// Carries out commands as an agent does.
+  /// Executes commands as an agent does.
   void execute(Agent& agent, const std::vector<Command>& commands) {
     for (const auto& command : commands) {
       const TaskStatus stopped{command.task, command.attempt, TaskState::exited, ExitCause::stopped,
@@ -101,21 +101,22 @@
       if (command.type == CommandType::acknowledge) agent.ended.erase(command.task);
     }
   }
-  /// How long a task of the job runs; a job that has ended is still known to the agents.
+  /// How long a task of the job runs. Without bound for a service, and for a job that the
+  /// controller no longer has, since a delayed start of that job may still arrive at an agent.
   Seconds run_time_of(const JobId& id) const {
     const auto found = controller_->jobs().find(id);
     if (found == controller_->jobs().end()) return kUnboundedRunTime;
     return found->second.service() ? kUnboundedRunTime : found->second.spec().estimate;
   }
-  /// Runs a task for its estimate, or for a second if it fails.
+  /// Starts a task that runs for its estimated run time, or for one second if it fails.
   void start_task(Agent& agent, const Command& command) {
     const auto run_time = run_time_of(command.task.job);
     const bool fails = agent.faulty || faulty_jobs_.contains(command.task.job);
     agent.tasks[command.task] = {command.attempt,
                                  now_ + (fails ? seconds(1) : to_duration(run_time)), fails};
-    began_.try_emplace(command.task.job, now_);
+    first_start_times_.try_emplace(command.task.job, now_);
   }
-  /// Ends the tasks whose time is over.
+  /// Ends the tasks whose run time is over.
   void end_tasks(Agent& agent) {
     for (auto task = agent.tasks.begin(); task != agent.tasks.end();) {
       if (now_ < task->second.ends) {
@@ -128,11 +129,13 @@
       task = agent.tasks.erase(task);
     }
   }
-  /// Ends the tasks of an agent whose lease has run out, then sends its heartbeat.
+  /// Ends the tasks that are due, sends the heartbeat of an agent, and executes the commands in the
+  /// response. If the lease of the agent has expired, first clears its tasks and advances its
+  /// epoch.
   void send_heartbeat(const MachineId& id) {
     auto& agent = agents_[id];
     end_tasks(agent);
-    if (now_ - agent.lease_renewed_at > to_duration(times_.lease)) {
+    if (now_ - agent.lease_renewed_at > to_duration(agent_times_.lease)) {
       ++agent.epoch;
       agent.tasks.clear();
       agent.ended.clear();
@@ -148,26 +151,28 @@
     agent.lease_renewed_at = now_;
     execute(agent, commands);
   }
-  /// Passes time: heartbeats, missed responses and the actions of the leader.
-  void run(Seconds length) {
-    for (const auto end = now_ + to_duration(length); now_ < end; now_ += milliseconds(100)) {
+  /// Advances the clock by `duration`; in each step delivers heartbeats, reports missed responses
+  /// and executes the actions of the leader.
+  void run_for(Seconds duration) {
+    for (const auto end = now_ + to_duration(duration); now_ < end; now_ += milliseconds(100)) {
       send_due_heartbeats();
       report_missed_responses();
       controller_->tick(now_, serving_, now_);
       for (auto& action : controller_->take_actions()) execute(action);
     }
   }
-  /// Heartbeats of the agents are spread over the heartbeat interval.
+  /// Sends the heartbeats that are due. The agents are spread over the heartbeat interval.
   void send_due_heartbeats() {
     std::size_t i = 0;
     for (auto& [id, agent] : agents_) {
-      const auto every = to_duration(heartbeat_interval_);
+      const auto interval = to_duration(heartbeat_interval_);
       const auto phase =
-          milliseconds(100) * static_cast<int>(i++ * 7 % (every / milliseconds(100)));
-      if (!agent.returned && (now_ - heartbeats_start_ + phase) % every == Duration::zero())
+          milliseconds(100) * static_cast<int>(i++ * 7 % (interval / milliseconds(100)));
+      if (!agent.returned && (now_ - heartbeats_start_ + phase) % interval == Duration::zero())
         send_heartbeat(id);
     }
   }
+  /// Reports to the leader the commands whose response timeout has passed.
   void report_missed_responses() {
     while (!missed_responses_.empty() && missed_responses_.begin()->first <= now_) {
       const auto id = missed_responses_.begin()->second;
@@ -175,7 +180,7 @@
       controller_->commands_answered(id, nullptr, now_);
     }
   }
-  /// Carries out an action of the leader as the agents, the store and the cloud do.
+  /// Executes an action of the leader as the agents, the store and the cloud do.
   void execute(const Action& action) {
     if (const auto* batch = std::get_if<SendCommands>(&action)) {
       deliver(*batch);
@@ -186,19 +191,20 @@
     } else if (const auto* progress = std::get_if<SaveProgress>(&action)) {
       controller_->progress_saved(*progress, true);
     } else if (const auto* finish = std::get_if<FinishJob>(&action)) {
-      done_.insert(finish->job);
+      finished_jobs_.insert(finish->job);
       controller_->job_closed(finish->job, now_);
     } else if (const auto* scale_in = std::get_if<ScaleIn>(&action)) {
       return_machines(*scale_in);
     } else if (const auto* resign = std::get_if<Resign>(&action)) {
-      if (!resigned_) resigned_ = {now_, resign->cause};
+      if (!first_resignation_) first_resignation_ = {now_, resign->cause};
     } else if (std::holds_alternative<JobSuspected>(action)) {
       ++suspicions_;
     } else if (const auto* scale_out = std::get_if<ScaleOut>(&action)) {
       grant_machines(*scale_out);
     }
   }
-  /// Delivers a command batch to its agent, and the response to the leader unless one is lost.
+  /// Delivers a command batch to its agent and the response to the leader, unless a fault of the
+  /// agent loses either of them.
   void deliver(const SendCommands& batch) {
     for (const auto& command : batch.commands)
       ++(command.type == CommandType::start ? starts_sent_ : stops_sent_)[batch.machine];
@@ -221,55 +227,55 @@
     controller_->commands_answered(batch.machine, &heartbeat, now_);
   }
   void return_machines(const ScaleIn& request) {
-    release_causes_ += request.cause + "; ";
+    scale_in_causes_ += request.cause + "; ";
     if (!cloud_answers_) return controller_->scale_in_answered(request.machines, false, now_);
     for (const auto& id : request.machines) {
-      returned_.insert(id);
+      returned_machines_.insert(id);
       agents_[id].returned = true;
     }
     controller_->scale_in_answered(request.machines, true, now_);
   }
   void grant_machines(const ScaleOut& request) {
-    ++scale_outs_;
+    ++scale_out_requests_;
     const bool is_granted = !available_machines_.empty();
     const auto kind =
         is_granted ? ScaleOutResult::Kind::granted : ScaleOutResult::Kind::no_capacity;
     controller_->scale_out_answered(request.name, {kind, std::exchange(available_machines_, {})},
                                     now_);
   }
-  /// Tasks that run on machines that are not returned.
-  std::size_t running() const {
-    std::size_t tasks = 0;
-    for (const auto& [id, agent] : agents_) tasks += agent.returned ? 0 : agent.tasks.size();
-    return tasks;
+  /// Number of tasks on machines that have not been returned to the cloud.
+  std::size_t running_tasks() const {
+    std::size_t count = 0;
+    for (const auto& [id, agent] : agents_) count += agent.returned ? 0 : agent.tasks.size();
+    return count;
   }
 
-  AgentTimes times_;
+  AgentTimes agent_times_;
   Seconds heartbeat_interval_{3};
   TimePoint now_ = TimePoint{} + std::chrono::hours(1);
   TimePoint heartbeats_start_{};
   Seconds idle_wait_{10'000};
-  std::vector<ProgressRecord> progress_;  ///< what the leader recovers
+  std::vector<ProgressRecord> recovered_progress_;  ///< progress records that the leader recovers
   bool serving_ = true;
   bool resigns_when_isolated_ = true;
   std::unique_ptr<Controller> controller_;
   std::map<MachineId, Agent> agents_;
-  std::multimap<TimePoint, MachineId> missed_responses_;  ///< when the leader notices
+  std::multimap<TimePoint, MachineId> missed_responses_;  ///< by the time of their timeout
   std::map<MachineId, int> starts_sent_;
-  std::map<MachineId, int> stops_sent_;  ///< and acknowledgements
+  std::map<MachineId, int> stops_sent_;  ///< stop and acknowledge commands
   bool cloud_answers_ = true;
-  std::map<JobId, TimePoint> began_;  ///< first start of a job
-  std::set<JobId> done_;              ///< finished jobs
-  std::set<JobId> faulty_jobs_;       ///< every task fails
+  std::map<JobId, TimePoint> first_start_times_;
+  std::set<JobId> finished_jobs_;
+  std::set<JobId> faulty_jobs_;  ///< jobs whose every task fails
   int task_failures_ = 0;
-  std::size_t suspicions_ = 0;  ///< JobSuspected actions
-  std::size_t scale_outs_ = 0;
-  std::vector<MachineId> available_machines_;  ///< granted to the next request; none: sold out
-  bool store_answers_ = true;                  ///< to registrations of machines
+  std::size_t suspicions_ = 0;  ///< number of JobSuspected actions
+  std::size_t scale_out_requests_ = 0;
+  std::vector<MachineId> available_machines_;  ///< granted to the next request; empty: no capacity
+  bool store_answers_ = true;                  ///< false: no SaveMachine is answered
   std::set<MachineId> saved_machines_;
-  std::set<MachineId> returned_;                               ///< to the cloud
-  std::string release_causes_;                                 ///< of all ScaleIn actions
-  std::optional<std::pair<TimePoint, std::string>> resigned_;  ///< first time, and the cause
+  std::set<MachineId> returned_machines_;
+  std::string scale_in_causes_;  ///< causes of all ScaleIn actions, each followed by "; "
+  std::optional<std::pair<TimePoint, std::string>> first_resignation_;  ///< time and cause
 };
 
 }  // namespace violetpulley::core
