--- a/tests/history/history_test.cpp
+++ b/tests/history/history_test.cpp
@@ -44,7 +44,7 @@
     if (!actions.empty()) story.records.push_back({token, at, ActionsRecorded{digest_of(actions)}});
   };
   world.run(Seconds(20));
-  world.watch(observer);
+  world.observe(observer);
   world.run(length);
   Replay clean;
   for (const auto& record : story.records) {
@@ -196,7 +196,7 @@
     EXPECT_EQ(capture->digest(), digest_of(whole));
     capture.reset();
   };
-  world.watch(observer);
+  world.observe(observer);
   world.run(Seconds(400));
   EXPECT_GT(made, 10);
 }
--- a/tests/simulation/agent.cpp
+++ b/tests/simulation/agent.cpp
@@ -9,7 +9,7 @@
   cause = exit_cause;
 }
 
-bool SimulatedAgent::disturbed(TimePoint now) const {
+bool SimulatedAgent::hangs_or_partitioned(TimePoint now) const {
   return hangs(now) || partitioned_inbound(now) || partitioned_outbound(now);
 }
 
--- a/tests/simulation/agent.hpp
+++ b/tests/simulation/agent.hpp
@@ -16,8 +16,8 @@
   TaskState state = TaskState::fetching;
   ExitCause cause = ExitCause::none;
   TimePoint image_ready{};    ///< when its image has been fetched
-  TimePoint ends{};           ///< of its run, or of its checkpoint
-  TimePoint began{};          ///< to run, or to wait for its gang
+  TimePoint ends_at{};        ///< of its run, or of its checkpoint
+  TimePoint started_at{};     ///< to run, or to wait for its gang
   bool checkpointed = false;  ///< its exit left a checkpoint
 
   /// Whether the attempt uses the machine's resources.
@@ -56,7 +56,7 @@
   bool partitioned_inbound(TimePoint now) const { return now < inbound_partition_until; }
   bool partitioned_outbound(TimePoint now) const { return now < outbound_partition_until; }
   /// Whether the machine hangs or is partitioned.
-  bool disturbed(TimePoint now) const;
+  bool hangs_or_partitioned(TimePoint now) const;
   /// Sends the next heartbeat at that time at the latest.
   void heartbeat_by(TimePoint time);
   /// The machine is gone, and all tasks on it.
--- a/tests/simulation/agent_fleet.cpp
+++ b/tests/simulation/agent_fleet.cpp
@@ -47,7 +47,7 @@
                            const ZoneCounts& zones) const {
   const auto now = environment_.now();
   if (!agent.up(now) || agent.faulty || agent.reclaimed_at) return false;
-  if (agent.disturbed(now)) return false;
+  if (agent.hangs_or_partitioned(now)) return false;
   if (!allowed_on(spec, agent.type, agent.zone, agent.spot)) return false;
   const auto here = zones.find(agent.zone);
   if (spec.same_zone && !zones.empty() && here == zones.end()) return false;
--- a/tests/simulation/agent_runner.cpp
+++ b/tests/simulation/agent_runner.cpp
@@ -15,11 +15,11 @@
 constexpr Seconds kImageFetchTime{2};
 constexpr Seconds kServiceRunTime{1e6};
 constexpr Seconds kMinRunTime{0.2};
-constexpr double kShortestRun = 0.5;  // of the estimate
-constexpr double kLongestRun = 1.6;
+constexpr double kMinRunTimeFactor = 0.5;  // of the estimate
+constexpr double kMaxRunTimeFactor = 1.6;
 constexpr double kFirstTaskFactor = 0.2;
 constexpr double kLastTaskFactor = 3;
-constexpr milliseconds kChangeReportedWithin{300};
+constexpr milliseconds kChangeReportDelay{300};
 constexpr double kMinHeartbeatInterval = 2.2;  // seconds
 constexpr double kMaxHeartbeatInterval = 3.7;
 
@@ -60,21 +60,21 @@
   const bool checkpoints =
       running && spec.checkpoint_every > Seconds(0) && command.grace >= spec.checkpoint_time;
   if (task.state == TaskState::checkpointing && command.grace > Seconds(0)) return;
-  if (spec.shape == Shape::gang && running) note_gang_stop(command, checkpoints);
+  if (spec.shape == Shape::gang && running) record_gang_stop(command, checkpoints);
   if (!checkpoints) return task.exit(ExitCause::stopped);
   task.state = TaskState::checkpointing;
-  task.ends = environment_.now() + to_duration(spec.checkpoint_time);
+  task.ends_at = environment_.now() + to_duration(spec.checkpoint_time);
   ++facts_.checkpoints_begun;
 }
 
-void AgentRunner::note_gang_stop(const Command& command, bool checkpoints) {
+void AgentRunner::record_gang_stop(const Command& command, bool checkpoints) {
   const auto now = environment_.now();
   auto& run = facts_.gang_runs[{command.task.job, command.attempt}];
-  if (!run.first_stop) {
-    run.first_stop = now;
-    facts_.gang_checkpoints[command.task.job] += Seconds(now - run.began);
+  if (!run.first_stop_at) {
+    run.first_stop_at = now;
+    facts_.gang_checkpoints[command.task.job] += Seconds(now - run.started_at);
   }
-  if (checkpoints && now - *run.first_stop <= to_duration(kAgentTimes.gang_peer))
+  if (checkpoints && now - *run.first_stop_at <= to_duration(kAgentTimes.gang_peer))
     ++run.checkpointing_tasks;
 }
 
@@ -90,7 +90,7 @@
   bool changed = false;
   for (auto& [key, task] : agent.tasks)
     if (update_task(agent, key, task)) changed = true;
-  if (changed) agent.heartbeat_by(now + kChangeReportedWithin);
+  if (changed) agent.heartbeat_by(now + kChangeReportDelay);
   return heartbeat_due(agent);
 }
 
@@ -108,7 +108,7 @@
   const auto& spec = facts_.specs.at(key.first.job);
   const bool gang = spec.shape == Shape::gang;  // its runs end in GangRunner
   bool changed = false;
-  if (task.state == TaskState::checkpointing && now >= task.ends) {
+  if (task.state == TaskState::checkpointing && now >= task.ends_at) {
     finish_checkpoint(key, spec, task);
     changed = true;
   }
@@ -119,7 +119,7 @@
   if (task.state == TaskState::running && agent.faulty) {
     task.exit(ExitCause::error);
     changed = true;
-  } else if (!gang && task.state == TaskState::running && now >= task.ends) {
+  } else if (!gang && task.state == TaskState::running && now >= task.ends_at) {
     task.exit(ExitCause::done);
     facts_.completed.insert(key.first);
     changed = true;
@@ -131,7 +131,7 @@
   task.exit(ExitCause::stopped);
   if (spec.shape != Shape::gang) {
     task.checkpointed = true;
-    facts_.checkpoints[key.first] += Seconds(environment_.now() - task.began);
+    facts_.checkpoints[key.first] += Seconds(environment_.now() - task.started_at);
     return;
   }
   const auto& run = facts_.gang_runs[{key.first.job, key.second}];
@@ -143,17 +143,17 @@
                         AgentTask& task) {
   const bool gang = spec.shape == Shape::gang;
   agent.images.insert(spec.image);
-  task.began = environment_.now();
+  task.started_at = environment_.now();
   task.state = gang ? TaskState::waiting : TaskState::running;
   if (gang && facts_.completed.contains(key)) task.exit(ExitCause::done);
-  task.ends = environment_.now() + to_duration(draw_run_time(key, spec));
+  task.ends_at = environment_.now() + to_duration(draw_run_time(key, spec));
 }
 
 Seconds AgentRunner::draw_run_time(const TaskKey& key, const JobSpec& spec) {
   if (facts_.completed.contains(key)) return Seconds(0);
   if (spec.shape == Shape::service) return kServiceRunTime;
-  const auto whole =
-      spec.estimate * environment_.between(kShortestRun, kLongestRun) * run_time_factor(key, spec);
+  const auto whole = spec.estimate * environment_.uniform(kMinRunTimeFactor, kMaxRunTimeFactor) *
+                     run_time_factor(key, spec);
   return std::max(kMinRunTime, whole - facts_.checkpoints[key]);
 }
 
@@ -169,7 +169,7 @@
   const auto now = environment_.now();
   if (now < agent.next_heartbeat) return false;
   agent.next_heartbeat =
-      now + to_duration(environment_.seconds_between(kMinHeartbeatInterval, kMaxHeartbeatInterval));
+      now + to_duration(environment_.uniform_seconds(kMinHeartbeatInterval, kMaxHeartbeatInterval));
   return !agent.partitioned_outbound(now);
 }
 
--- a/tests/simulation/agent_runner.hpp
+++ b/tests/simulation/agent_runner.hpp
@@ -28,7 +28,7 @@
   void start(SimulatedAgent& agent, const Command& command);
   void stop(const Command& command, AgentTask& task);
   /// Counts a running task of a gang that is stopped.
-  void note_gang_stop(const Command& command, bool checkpoints);
+  void record_gang_stop(const Command& command, bool checkpoints);
   void enforce_lease(SimulatedAgent& agent);
   /// True if the state of the task has changed.
   bool update_task(SimulatedAgent& agent, const TaskAttempt& key, AgentTask& task);
--- a/tests/simulation/catalog.hpp
+++ b/tests/simulation/catalog.hpp
@@ -14,7 +14,7 @@
 /// Length of a step of the world.
 inline constexpr std::chrono::milliseconds kStep{100};
 /// Time at which every world begins.
-inline constexpr TimePoint kBegin = TimePoint{} + std::chrono::hours(1);
+inline constexpr TimePoint kStartTime = TimePoint{} + std::chrono::hours(1);
 /// A slow state service delivers a change of a job by at most this much later than a quick one.
 inline constexpr std::chrono::milliseconds kMaxChangeDelay{4200};
 
--- a/tests/simulation/cloud.hpp
+++ b/tests/simulation/cloud.hpp
@@ -17,7 +17,7 @@
 
  private:
   ScaleOutResult boot_machines(const ScaleOut& request);
-  bool fault(double probability);
+  bool draw_fault(double probability);
 
   Environment& environment_;
   AgentFleet& fleet_;
--- a/tests/simulation/environment.cpp
+++ b/tests/simulation/environment.cpp
@@ -7,12 +7,12 @@
 
 constexpr double kMessageLoss = 0.03;
 // Any pair of numbers that keeps the two generators apart for all seeds in use.
-constexpr std::uint64_t kOperatorSeedFactor = 7919;
-constexpr std::uint64_t kOperatorSeedOffset = 17;
+constexpr std::uint64_t kOptionalFaultSeedFactor = 7919;
+constexpr std::uint64_t kOptionalFaultSeedOffset = 17;
 
 }  // namespace
 
-Environment::Environment(std::uint64_t seed) : random_(seed), now_(kBegin) {}
+Environment::Environment(std::uint64_t seed) : random_(seed), now_(kStartTime) {}
 
 WallTime Environment::wall_now() const {
   return WallTime(std::chrono::duration_cast<std::chrono::milliseconds>(now_.time_since_epoch()));
@@ -31,23 +31,23 @@
   events_.emplace(now_ + to_duration(delay), std::move(callback));
 }
 
-bool Environment::chance(double probability) { return between(0, 1) < probability; }
+bool Environment::chance(double probability) { return uniform(0, 1) < probability; }
 
-double Environment::between(double low, double high) {
+double Environment::uniform(double low, double high) {
   return std::uniform_real_distribution<double>(low, high)(random_);
 }
 
-void Environment::enable_operator_faults(std::uint64_t seed) {
-  operator_faults_ = true;
-  operator_random_.seed(seed * kOperatorSeedFactor + kOperatorSeedOffset);
+void Environment::enable_optional_faults(std::uint64_t seed) {
+  optional_faults_enabled_ = true;
+  optional_fault_random_.seed(seed * kOptionalFaultSeedFactor + kOptionalFaultSeedOffset);
 }
 
-bool Environment::operator_chance(double probability) {
-  return operator_faults_ && faults_active() && operator_between(0, 1) < probability;
+bool Environment::optional_fault_chance(double probability) {
+  return optional_faults_enabled_ && faults_active() && optional_fault_uniform(0, 1) < probability;
 }
 
-double Environment::operator_between(double low, double high) {
-  return std::uniform_real_distribution<double>(low, high)(operator_random_);
+double Environment::optional_fault_uniform(double low, double high) {
+  return std::uniform_real_distribution<double>(low, high)(optional_fault_random_);
 }
 
 double Environment::message_loss() const { return faults_active() ? kMessageLoss : 0.0; }
--- a/tests/simulation/environment.hpp
+++ b/tests/simulation/environment.hpp
@@ -33,19 +33,21 @@
   /// True with that probability.
   bool chance(double probability);
   /// An evenly distributed number.
-  double between(double low, double high);
+  double uniform(double low, double high);
   /// An evenly distributed length of time.
-  Seconds seconds_between(double low, double high) { return Seconds(between(low, high)); }
+  Seconds uniform_seconds(double low, double high) { return Seconds(uniform(low, high)); }
 
   /// Switches the draws of the operators' faults on.
-  void enable_operator_faults(std::uint64_t seed);
-  bool operator_faults_enabled() const { return operator_faults_; }
+  void enable_optional_faults(std::uint64_t seed);
+  bool optional_faults_enabled() const { return optional_faults_enabled_; }
   /// True with that probability; false, without a draw, unless operators' faults are on.
-  bool operator_chance(double probability);
+  bool optional_fault_chance(double probability);
   /// An evenly distributed number from the generator of the operators' faults.
-  double operator_between(double low, double high);
+  double optional_fault_uniform(double low, double high);
   /// An evenly distributed length of time from the generator of the operators' faults.
-  Seconds operator_seconds(double low, double high) { return Seconds(operator_between(low, high)); }
+  Seconds optional_fault_seconds(double low, double high) {
+    return Seconds(optional_fault_uniform(low, high));
+  }
 
   /// Whether faults are injected.
   bool faults_active() const { return !faults_ended_; }
@@ -58,8 +60,8 @@
 
  private:
   std::mt19937_64 random_;
-  bool operator_faults_ = false;
-  std::mt19937_64 operator_random_;
+  bool optional_faults_enabled_ = false;
+  std::mt19937_64 optional_fault_random_;
   TimePoint now_{};
   std::multimap<TimePoint, Callback> events_;
   std::optional<TimePoint> faults_ended_;
--- a/tests/simulation/fleet_agents.cpp
+++ b/tests/simulation/fleet_agents.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr std::size_t kFirstMachineNumber = 100000;
-constexpr std::chrono::milliseconds kExitReportedWithin{500};
-constexpr std::chrono::seconds kNextNodeAfter{1};
-constexpr double kShortestRun = 0.7;  // of the planned run time
-constexpr double kLongestRun = 1.3;
+constexpr std::chrono::milliseconds kExitReportDelay{500};
+constexpr std::chrono::seconds kNextNodeDelay{1};
+constexpr double kMinRunTimeFactor = 0.7;  // of the planned run time
+constexpr double kMaxRunTimeFactor = 1.3;
 
 }  // namespace
 
@@ -24,16 +24,16 @@
   return heartbeat;
 }
 
-FleetAgents::FleetAgents(FleetEnvironment& environment, FleetNodes& nodes, const Plan& plan,
-                         Outcome& outcome)
-    : environment_(environment), nodes_(nodes), plan_(plan), outcome_(outcome) {
-  for (std::size_t i = 0; i < plan.machines; ++i) {
+FleetAgents::FleetAgents(FleetEnvironment& environment, FleetNodes& nodes,
+                         const FleetConfig& config, FleetResult& result)
+    : environment_(environment), nodes_(nodes), config_(config), result_(result) {
+  for (std::size_t i = 0; i < config.machines; ++i) {
     auto& agent = agents_.emplace_back();
     agent.id = "m-" + std::to_string(kFirstMachineNumber + i);
     agent.zone = zones()[i % zones().size()];
     const auto interval = kAgentTimes.heartbeat_interval.count();
     agent.next_heartbeat =
-        environment_.now() + to_duration(environment_.seconds_between(0, interval));
+        environment_.now() + to_duration(environment_.uniform_seconds(0, interval));
     agent.lease_renewed = environment_.now();
     index_[agent.id] = i;
   }
@@ -50,18 +50,19 @@
   enforce_lease(agent);
   if (now < agent.hangs_until) return false;
   for (auto& [key, task] : agent.tasks) {
-    if (task.exited || now < task.ends) continue;
+    if (task.exited || now < task.ends_at) continue;
     task.exited = true;
-    ++outcome_.done;
-    agent.next_heartbeat = std::min(agent.next_heartbeat, now + kExitReportedWithin);
+    ++result_.completed;
+    agent.next_heartbeat = std::min(agent.next_heartbeat, now + kExitReportDelay);
   }
-  return agent.in_flight == 0 && now >= agent.next_heartbeat;
+  return agent.heartbeat_in_flight == 0 && now >= agent.next_heartbeat;
 }
 
 void FleetAgents::enforce_lease(FleetAgent& agent) {
   const auto now = environment_.now();
   if (now - agent.lease_renewed <= to_duration(kAgentTimes.lease)) return;
-  for (const auto& [key, task] : agent.tasks) outcome_.killed_by_lease += task.exited ? 0 : 1;
+  for (const auto& [key, task] : agent.tasks)
+    result_.attempts_ended_by_lease += task.exited ? 0 : 1;
   agent.tasks.clear();
   ++agent.epoch;
   agent.lease_renewed = now;
@@ -80,8 +81,9 @@
   expect_not_live_elsewhere(agent, command.task);
   if (::testing::Test::HasFatalFailure()) return;
   started_on_[command.task] = agent.id;
-  ++outcome_.started;
-  const auto run_time = plan_.run * environment_.between(kShortestRun, kLongestRun);
+  ++result_.started_attempts;
+  const auto run_time =
+      config_.run_time * environment_.uniform(kMinRunTimeFactor, kMaxRunTimeFactor);
   agent.tasks[command.task] = {command.attempt, environment_.now() + to_duration(run_time), false};
 }
 
@@ -103,19 +105,19 @@
 void FleetAgents::disconnect(FleetAgent& agent) {
   if (agent.connected) --nodes_.at(agent.node).heartbeat_connections;
   agent.connected = false;
-  agent.in_flight = 0;
+  agent.heartbeat_in_flight = 0;
 }
 
 void FleetAgents::move_to_next_node(FleetAgent& agent) {
   agent.node = nodes_.next(agent.node);
-  agent.next_heartbeat = environment_.now() + kNextNodeAfter;
+  agent.next_heartbeat = environment_.now() + kNextNodeDelay;
 }
 
-void FleetAgents::leave_node(std::size_t node) {
+void FleetAgents::disconnect_agents_of(std::size_t node) {
   for (auto& agent : agents_) {
     if (agent.node != node || !agent.connected) continue;
     agent.connected = false;
-    agent.in_flight = 0;
+    agent.heartbeat_in_flight = 0;
     move_to_next_node(agent);
   }
 }
--- a/tests/simulation/fleet_agents.hpp
+++ b/tests/simulation/fleet_agents.hpp
@@ -14,7 +14,7 @@
 /// An attempt of a task on a machine.
 struct AgentTask {
   Attempt attempt = 0;
-  TimePoint ends{};
+  TimePoint ends_at{};
   bool exited = false;
 };
 
@@ -27,9 +27,9 @@
   std::uint64_t epoch = 1;
   std::uint64_t heartbeat_sequence = 0;
   FencingToken token = 0;
-  std::size_t node = 0;         ///< the controller of its heartbeats
-  bool connected = false;       ///< to that controller
-  std::uint64_t in_flight = 0;  ///< number of the heartbeat that is not answered; 0: none
+  std::size_t node = 0;                   ///< the controller of its heartbeats
+  bool connected = false;                 ///< to that controller
+  std::uint64_t heartbeat_in_flight = 0;  ///< number of the heartbeat that is not answered; 0: none
   TimePoint next_heartbeat{};
   TimePoint lease_renewed{};  ///< sending time of the newest heartbeat that was answered
   std::map<TaskKey, AgentTask> tasks;
@@ -42,7 +42,8 @@
 /// All machines.
 class FleetAgents {
  public:
-  FleetAgents(FleetEnvironment& environment, FleetNodes& nodes, const Plan& plan, Outcome& outcome);
+  FleetAgents(FleetEnvironment& environment, FleetNodes& nodes, const FleetConfig& config,
+              FleetResult& result);
 
   std::deque<FleetAgent>& all() { return agents_; }
   FleetAgent& at(const MachineId& id) { return agents_[index_.at(id)]; }
@@ -60,7 +61,7 @@
   /// The agent tries the next controller after a second.
   void move_to_next_node(FleetAgent& agent);
   /// The controller has ended, and its connections with it.
-  void leave_node(std::size_t node);
+  void disconnect_agents_of(std::size_t node);
 
  private:
   void start(FleetAgent& agent, const Command& command);
@@ -69,8 +70,8 @@
 
   FleetEnvironment& environment_;
   FleetNodes& nodes_;
-  const Plan& plan_;
-  Outcome& outcome_;
+  const FleetConfig& config_;
+  FleetResult& result_;
   std::deque<FleetAgent> agents_;  // callbacks hold references
   std::unordered_map<MachineId, std::size_t> index_;
   std::map<TaskKey, MachineId> started_on_;  // last machine of each task
--- a/tests/simulation/fleet_environment.cpp
+++ b/tests/simulation/fleet_environment.cpp
@@ -31,7 +31,7 @@
   events_.emplace(now_ + to_duration(delay), std::move(callback));
 }
 
-double FleetEnvironment::between(double low, double high) {
+double FleetEnvironment::uniform(double low, double high) {
   return std::uniform_real_distribution<double>(low, high)(random_);
 }
 
--- a/tests/simulation/fleet_environment.hpp
+++ b/tests/simulation/fleet_environment.hpp
@@ -24,9 +24,9 @@
   /// Calls `callback` once `delay` has passed.
   void after(Seconds delay, Callback callback);
   /// An evenly distributed number.
-  double between(double low, double high);
+  double uniform(double low, double high);
   /// An evenly distributed length of time.
-  Seconds seconds_between(double low, double high) { return Seconds(between(low, high)); }
+  Seconds uniform_seconds(double low, double high) { return Seconds(uniform(low, high)); }
 
  private:
   std::mt19937_64 random_;
--- a/tests/simulation/fleet_heartbeats.cpp
+++ b/tests/simulation/fleet_heartbeats.cpp
@@ -3,35 +3,35 @@
 namespace violetpulley::core::fleet_simulation {
 namespace {
 
-constexpr Seconds kTimeout{4};  // of a heartbeat
-constexpr std::chrono::milliseconds kConfirmNewLeaderAfter{500};
+constexpr Seconds kHeartbeatTimeout{4};  // of a heartbeat
+constexpr std::chrono::milliseconds kNewLeaderHeartbeatDelay{500};
 constexpr double kMaxRedirectionDelay = 0.5;  // seconds
-constexpr double kShortestInterval = 0.75;    // of the heartbeat interval
-constexpr double kLongestInterval = 1.25;
+constexpr double kMinIntervalFactor = 0.75;   // of the heartbeat interval
+constexpr double kMaxIntervalFactor = 1.25;
 
 }  // namespace
 
 void FleetHeartbeats::send(FleetAgent& agent) {
   if (!connect(agent)) return agents_.move_to_next_node(agent);
   const auto interval =
-      kAgentTimes.heartbeat_interval * environment_.between(kShortestInterval, kLongestInterval);
+      kAgentTimes.heartbeat_interval * environment_.uniform(kMinIntervalFactor, kMaxIntervalFactor);
   agent.next_heartbeat = environment_.now() + to_duration(interval);
   if (agent.node != nodes_.leading_index() || !leader_.exists()) return redirect(agent);
-  const auto number = agent.in_flight = ++heartbeats_;
-  leader_.process(
+  const auto number = agent.heartbeat_in_flight = ++heartbeats_;
+  leader_.queue_event(
       [this, &agent, number, sent = environment_.now(), heartbeat = agent.make_heartbeat()] {
         receive(agent, number, sent, heartbeat);
       });
-  environment_.after(kTimeout, [this, &agent, number] { time_out(agent, number); });
+  environment_.after(kHeartbeatTimeout, [this, &agent, number] { time_out(agent, number); });
 }
 
 bool FleetHeartbeats::connect(FleetAgent& agent) {
   if (agent.connected) return true;
   auto& node = nodes_.at(agent.node);
-  if (!node.up || !nodes_.take_socket(agent.node)) return false;
+  if (!node.up || !nodes_.admit_connection(agent.node)) return false;
   agent.connected = true;
   ++node.heartbeat_connections;
-  nodes_.note_sockets(agent.node);
+  nodes_.update_peak_sockets(agent.node);
   return true;
 }
 
@@ -41,19 +41,19 @@
     return agents_.move_to_next_node(agent);
   agent.node = nodes_.leading_index();
   agent.next_heartbeat =
-      environment_.now() + to_duration(environment_.seconds_between(0, kMaxRedirectionDelay));
+      environment_.now() + to_duration(environment_.uniform_seconds(0, kMaxRedirectionDelay));
 }
 
 void FleetHeartbeats::receive(FleetAgent& agent, std::uint64_t number, TimePoint sent,
                               const Heartbeat& heartbeat) {
   auto& controller = leader_.controller();
   controller.heartbeat(heartbeat, environment_.now());
-  if (agent.in_flight != number) return;
+  if (agent.heartbeat_in_flight != number) return;
   const auto max_connections = controller.commands().shares().heartbeats;
-  agent.in_flight = 0;
+  agent.heartbeat_in_flight = 0;
   if (nodes_.leading().heartbeat_connections > max_connections) agents_.disconnect(agent);
   if (leader_.token() > agent.token)
-    agent.next_heartbeat = environment_.now() + kConfirmNewLeaderAfter;
+    agent.next_heartbeat = environment_.now() + kNewLeaderHeartbeatDelay;
   agent.token = leader_.token();
   agent.lease_renewed = sent;
   if (agent.epoch != heartbeat.epoch) return;
@@ -62,7 +62,7 @@
 }
 
 void FleetHeartbeats::time_out(FleetAgent& agent, std::uint64_t number) {
-  if (agent.in_flight != number) return;
+  if (agent.heartbeat_in_flight != number) return;
   agents_.disconnect(agent);
   agents_.move_to_next_node(agent);
 }
--- a/tests/simulation/fleet_leader.cpp
+++ b/tests/simulation/fleet_leader.cpp
@@ -6,13 +6,13 @@
 namespace violetpulley::core::fleet_simulation {
 namespace {
 
-constexpr TaskIndex kTasksOfJob = 20;
+constexpr TaskIndex kTasksPerJob = 20;
 constexpr std::size_t kFirstJobNumber = 100000;
 constexpr double kMachineCpus = 16;
 constexpr double kCloudCallsPerSecond = 10;
 constexpr std::size_t kUnlimitedSockets = 1'000'000;
-constexpr std::chrono::seconds kFormerLeases{45};
-constexpr Seconds kReturnTime{0.2};
+constexpr std::chrono::seconds kFormerLeaseTime{45};
+constexpr Seconds kScaleInDelay{0.2};
 // Until a command batch to a silent machine is given up.
 constexpr Seconds kEmptyBatchTimeout{0.7};
 constexpr Seconds kBatchTimeout{2.5};
@@ -20,12 +20,12 @@
 }  // namespace
 
 FleetLeader::FleetLeader(FleetEnvironment& environment, FleetNodes& nodes, FleetAgents& agents,
-                         const Plan& plan, Outcome& outcome)
-    : environment_(environment), nodes_(nodes), agents_(agents), plan_(plan), outcome_(outcome) {
+                         const FleetConfig& config, FleetResult& result)
+    : environment_(environment), nodes_(nodes), agents_(agents), config_(config), result_(result) {
   for (const auto& agent : agents_.all())
     machines_[agent.id] = {agent.id, agent.id, kMachineType, agent.zone, true, {}};
-  const auto capacity = static_cast<double>(plan_.machines * plan_.tasks_per_machine);
-  for (int i = 0; i * kTasksOfJob < capacity * (1 + plan_.waiting); ++i) submit_job();
+  const auto capacity = static_cast<double>(config_.machines * config_.tasks_per_machine);
+  for (int i = 0; i * kTasksPerJob < capacity * (1 + config_.backlog_share); ++i) submit_job();
 }
 
 void FleetLeader::submit_job() {
@@ -33,11 +33,11 @@
   record.spec.id = "req-" + std::to_string(kFirstJobNumber + jobs_.size());
   record.spec.job_class = "tiles";
   record.spec.team = "blue";
-  record.spec.tasks = kTasksOfJob;
-  record.spec.per_task = {kMachineCpus / static_cast<double>(plan_.tasks_per_machine), 0, 8};
+  record.spec.tasks = kTasksPerJob;
+  record.spec.per_task = {kMachineCpus / static_cast<double>(config_.tasks_per_machine), 0, 8};
   record.spec.image = "i";
   record.spec.spot_allowed = true;
-  record.spec.estimate = plan_.run;
+  record.spec.estimate = config_.run_time;
   record.revision = ++revision_;
   jobs_[record.spec.id] = record;
 }
@@ -46,9 +46,9 @@
   nodes_.lead(node);
   token_ = ++revision_;
   elected_at_ = environment_.now();
-  outcome_.recovered = Seconds(-1);
-  controller_ = std::make_unique<Controller>(make_settings(), token_, elected_at_,
-                                             elected_at_ + kFormerLeases, read_recovered_state());
+  result_.recovery_time = Seconds(-1);
+  controller_ = std::make_unique<Controller>(
+      make_settings(), token_, elected_at_, elected_at_ + kFormerLeaseTime, read_recovered_state());
   controller_->set_catalog({{kMachineType,
                              {kMachineCpus, 0, 128},
                              60,
@@ -64,7 +64,8 @@
   settings.teams = {{"blue", 0, 0, 0, 0}};
   settings.workers = kAgentTimes;
   settings.cloud_calls_per_s = kCloudCallsPerSecond;
-  settings.sockets = {plan_.configures_sockets ? plan_.sockets : kUnlimitedSockets, plan_.nodes};
+  settings.sockets = {config_.configures_sockets ? config_.sockets : kUnlimitedSockets,
+                      config_.nodes};
   return settings;
 }
 
@@ -77,22 +78,22 @@
 }
 
 void FleetLeader::end() {
-  note_statistics();
+  copy_statistics();
   controller_.reset();
 }
 
-void FleetLeader::note_statistics() {
+void FleetLeader::copy_statistics() {
   if (!controller_) return;
-  outcome_.reconciliation_cost = controller_->reconciler().cost();
-  outcome_.stats = controller_->reconciler().stats();
+  result_.reconciliation_cost = controller_->reconciler().cost();
+  result_.stats = controller_->reconciler().stats();
 }
 
-void FleetLeader::process(FleetEnvironment::Callback handle) {
+void FleetLeader::queue_event(FleetEnvironment::Callback handle) {
   const auto now = environment_.now();
   auto& node = nodes_.leading();
-  node.busy_until = std::max(node.busy_until, now) + plan_.per_event;
+  node.busy_until = std::max(node.busy_until, now) + config_.event_processing_time;
   const Seconds wait = node.busy_until - now;
-  outcome_.max_event_delay = std::max(outcome_.max_event_delay, wait);
+  result_.max_event_delay = std::max(result_.max_event_delay, wait);
   environment_.after(wait, [this, token = token_, handle = std::move(handle)] {
     if (controller_ && token_ == token) handle();
   });
@@ -104,15 +105,15 @@
   controller_->tick(now, true, now);
   for (const auto& action : controller_->take_actions())
     std::visit([&](const auto& typed) { execute(typed); }, action);
-  if (outcome_.recovered < Seconds(0) && !controller_->recovering())
-    outcome_.recovered = now - elected_at_;
+  if (result_.recovery_time < Seconds(0) && !controller_->recovering())
+    result_.recovery_time = now - elected_at_;
 }
 
 void FleetLeader::execute(const SendCommands& batch) {
   count_command_batch();
   const auto max_connections = controller_->commands().shares().commands;
-  if (!nodes_.use_command_connection(batch.machine, max_connections))
-    return process([this, id = batch.machine] {
+  if (!nodes_.acquire_command_connection(batch.machine, max_connections))
+    return queue_event([this, id = batch.machine] {
       controller_->commands_answered(id, nullptr, environment_.now());
     });
   auto& agent = agents_.at(batch.machine);
@@ -120,7 +121,7 @@
     return environment_.after(
         batch.commands.empty() ? kEmptyBatchTimeout : kBatchTimeout,
         [this, id = batch.machine, token = token_] { commands_answered(id, token, nullptr); });
-  environment_.after(environment_.seconds_between(0.004, 0.02),
+  environment_.after(environment_.uniform_seconds(0.004, 0.02),
                      [this, batch, token = token_, &agent] { deliver(agent, batch, token); });
 }
 
@@ -128,7 +129,7 @@
   const auto second =
       std::chrono::duration_cast<std::chrono::seconds>(environment_.now().time_since_epoch());
   const auto batches = ++batches_by_second_[second.count()];
-  outcome_.max_commands_per_second = std::max(outcome_.max_commands_per_second, batches);
+  result_.max_commands_per_second = std::max(result_.max_commands_per_second, batches);
 }
 
 void FleetLeader::deliver(FleetAgent& agent, const SendCommands& batch, FencingToken token) {
@@ -137,7 +138,7 @@
     for (const auto& command : batch.commands) agents_.execute(agent, command);
   }
   const auto heartbeat = agent.make_heartbeat();
-  environment_.after(environment_.seconds_between(0.002, 0.01), [this, token, heartbeat] {
+  environment_.after(environment_.uniform_seconds(0.002, 0.01), [this, token, heartbeat] {
     commands_answered(heartbeat.machine, token, &heartbeat);
   });
 }
@@ -147,7 +148,7 @@
                                     const Heartbeat* heartbeat) {
   if (!controller_ || token != token_) return;
   nodes_.release_command_connection(id, controller_->commands().shares().commands);
-  process([this, id, copy = heartbeat ? std::optional(*heartbeat) : std::nullopt] {
+  queue_event([this, id, copy = heartbeat ? std::optional(*heartbeat) : std::nullopt] {
     controller_->commands_answered(id, copy ? &*copy : nullptr, environment_.now());
   });
 }
@@ -171,13 +172,13 @@
 }
 
 void FleetLeader::execute(const ScaleOut& request) {
-  outcome_.requested_machines += static_cast<std::size_t>(request.count);
+  result_.requested_machines += static_cast<std::size_t>(request.count);
   controller_->scale_out_answered(request.name, {ScaleOutResult::Kind::no_capacity, {}},
                                   environment_.now());
 }
 
 void FleetLeader::execute(const ScaleIn& request) {
-  environment_.after(kReturnTime, [this, machines = request.machines, token = token_] {
+  environment_.after(kScaleInDelay, [this, machines = request.machines, token = token_] {
     if (controller_ && token == token_) return_machines(machines);
   });
 }
@@ -187,7 +188,7 @@
   for (const auto& id : machines) {
     agents_.kill(agents_.at(id));
     nodes_.leading().command_connections.erase(id);
-    ++outcome_.returned_machines;
+    ++result_.returned_machines;
   }
   controller_->scale_in_answered(machines, true, environment_.now());
   for (const auto& id : machines) machines_.erase(id);
--- a/tests/simulation/fleet_leader.hpp
+++ b/tests/simulation/fleet_leader.hpp
@@ -14,7 +14,7 @@
 class FleetLeader {
  public:
   FleetLeader(FleetEnvironment& environment, FleetNodes& nodes, FleetAgents& agents,
-              const Plan& plan, Outcome& outcome);
+              const FleetConfig& config, FleetResult& result);
 
   /// Makes the controller the leader: a new core recovers from the store.
   void elect(std::size_t node);
@@ -27,11 +27,11 @@
   /// One step, if the processor has come to the end of its work.
   void step();
   /// Calls `handle` once the processor has come to it, unless the leader has ended by then.
-  void process(FleetEnvironment::Callback handle);
+  void queue_event(FleetEnvironment::Callback handle);
   /// From here on the cloud returns no machines, or returns them again.
   void set_cloud_down(bool down) { cloud_down_ = down; }
   /// Takes the statistics of the core over into the outcome.
-  void note_statistics();
+  void copy_statistics();
 
  private:
   ControllerSettings make_settings() const;
@@ -55,8 +55,8 @@
   FleetEnvironment& environment_;
   FleetNodes& nodes_;
   FleetAgents& agents_;
-  const Plan& plan_;
-  Outcome& outcome_;
+  const FleetConfig& config_;
+  FleetResult& result_;
   std::unique_ptr<Controller> controller_;
   FencingToken token_ = 0;
   TimePoint elected_at_{};
--- a/tests/simulation/fleet_nodes.cpp
+++ b/tests/simulation/fleet_nodes.cpp
@@ -5,12 +5,12 @@
 namespace violetpulley::core::fleet_simulation {
 namespace {
 
-constexpr std::size_t kOwnSockets = 40;  // to the store, to peers, for users
+constexpr std::size_t kOtherSockets = 40;  // to the store, to peers, for users
 
 }  // namespace
 
 std::size_t Node::sockets() const {
-  return heartbeat_connections + command_connections.size() + kOwnSockets;
+  return heartbeat_connections + command_connections.size() + kOtherSockets;
 }
 
 void FleetNodes::lead(std::size_t index) {
@@ -23,24 +23,24 @@
   nodes_[index].up = false;
 }
 
-bool FleetNodes::take_socket(std::size_t index) {
-  if (nodes_[index].sockets() < plan_.sockets) return true;
-  ++outcome_.refused_connections;
+bool FleetNodes::admit_connection(std::size_t index) {
+  if (nodes_[index].sockets() < config_.sockets) return true;
+  ++result_.refused_connections;
   return false;
 }
 
-void FleetNodes::note_sockets(std::size_t index) {
-  outcome_.peak_sockets = std::max(outcome_.peak_sockets, nodes_[index].sockets());
+void FleetNodes::update_peak_sockets(std::size_t index) {
+  result_.peak_sockets = std::max(result_.peak_sockets, nodes_[index].sockets());
 }
 
-bool FleetNodes::use_command_connection(const MachineId& id, std::size_t max_connections) {
+bool FleetNodes::acquire_command_connection(const MachineId& id, std::size_t max_connections) {
   auto& connections = leading().command_connections;
   if (!connections.contains(id)) {
     close_command_connections(max_connections - 1);
-    if (!take_socket(leading_)) return false;
+    if (!admit_connection(leading_)) return false;
   }
   connections[id] = {++batches_, true};
-  note_sockets(leading_);
+  update_peak_sockets(leading_);
   return true;
 }
 
@@ -53,7 +53,7 @@
 
 void FleetNodes::close_command_connections(std::size_t max_connections) {
   auto& connections = leading().command_connections;
-  while (plan_.closes_command_connections && connections.size() > max_connections) {
+  while (config_.closes_command_connections && connections.size() > max_connections) {
     auto oldest = connections.end();
     for (auto connection = connections.begin(); connection != connections.end(); ++connection) {
       if (connection->second.busy) continue;
--- a/tests/simulation/fleet_nodes.hpp
+++ b/tests/simulation/fleet_nodes.hpp
@@ -30,8 +30,8 @@
 /// All controllers; one of them leads or is to lead.
 class FleetNodes {
  public:
-  FleetNodes(const Plan& plan, Outcome& outcome)
-      : plan_(plan), outcome_(outcome), nodes_(plan.nodes) {}
+  FleetNodes(const FleetConfig& config, FleetResult& result)
+      : config_(config), result_(result), nodes_(config.nodes) {}
 
   std::size_t size() const { return nodes_.size(); }
   Node& at(std::size_t index) { return nodes_[index]; }
@@ -45,11 +45,11 @@
   void end(std::size_t index);
 
   /// Whether a connection more can be opened; a refusal is counted.
-  bool take_socket(std::size_t index);
+  bool admit_connection(std::size_t index);
   /// Counts the sockets in use.
-  void note_sockets(std::size_t index);
+  void update_peak_sockets(std::size_t index);
   /// Opens a command connection of the leader or uses the open one. False: no socket is left.
-  bool use_command_connection(const MachineId& id, std::size_t max_connections);
+  bool acquire_command_connection(const MachineId& id, std::size_t max_connections);
   /// A command batch was answered or was given up.
   void release_command_connection(const MachineId& id, std::size_t max_connections);
 
@@ -58,8 +58,8 @@
   /// does.
   void close_command_connections(std::size_t max_connections);
 
-  const Plan& plan_;
-  Outcome& outcome_;
+  const FleetConfig& config_;
+  FleetResult& result_;
   std::vector<Node> nodes_;
   std::size_t leading_ = 0;
   std::uint64_t batches_ = 0;
--- a/tests/simulation/fleet_simulation.cpp
+++ b/tests/simulation/fleet_simulation.cpp
@@ -16,7 +16,8 @@
 
 }  // namespace
 
-FleetSimulation::FleetSimulation(Plan plan, std::uint64_t seed) : plan_(plan), environment_(seed) {
+FleetSimulation::FleetSimulation(FleetConfig config, std::uint64_t seed)
+    : config_(config), environment_(seed) {
   leader_.elect(0);
 }
 
@@ -44,7 +45,7 @@
 void FleetSimulation::end_node(std::size_t index) {
   if (index == nodes_.leading_index()) leader_.end();
   nodes_.end(index);
-  agents_.leave_node(index);
+  agents_.disconnect_agents_of(index);
   environment_.after(kRestartTime, [this, index] { nodes_.at(index).up = true; });
 }
 
@@ -61,9 +62,9 @@
     agents[(i * kHungStride + kHungOffset) % agents.size()].hangs_until = until;
 }
 
-Outcome FleetSimulation::outcome() {
-  leader_.note_statistics();
-  return outcome_;
+FleetResult FleetSimulation::result() {
+  leader_.copy_statistics();
+  return result_;
 }
 
 }  // namespace violetpulley::core::fleet_simulation
--- a/tests/simulation/fleet_simulation.hpp
+++ b/tests/simulation/fleet_simulation.hpp
@@ -16,7 +16,7 @@
 /// One simulated fleet.
 class FleetSimulation {
  public:
-  explicit FleetSimulation(Plan plan, std::uint64_t seed = 1);
+  explicit FleetSimulation(FleetConfig config, std::uint64_t seed = 1);
 
   /// Lets the fleet run for that long, or until a rule is broken.
   void run(Seconds length);
@@ -30,18 +30,18 @@
   /// From here on the cloud returns no machines.
   void take_cloud_down() { leader_.set_cloud_down(true); }
   /// The results so far.
-  Outcome outcome();
+  FleetResult result();
 
  private:
   void step();
   void end_node(std::size_t index);
 
-  Plan plan_;
-  Outcome outcome_;
+  FleetConfig config_;
+  FleetResult result_;
   FleetEnvironment environment_;
-  FleetNodes nodes_{plan_, outcome_};
-  FleetAgents agents_{environment_, nodes_, plan_, outcome_};
-  FleetLeader leader_{environment_, nodes_, agents_, plan_, outcome_};
+  FleetNodes nodes_{config_, result_};
+  FleetAgents agents_{environment_, nodes_, config_, result_};
+  FleetLeader leader_{environment_, nodes_, agents_, config_, result_};
   FleetHeartbeats heartbeats_{environment_, nodes_, agents_, leader_};
 };
 
--- a/tests/simulation/gang_runner.hpp
+++ b/tests/simulation/gang_runner.hpp
@@ -19,18 +19,18 @@
   void step();
 
  private:
-  using AttemptName = std::pair<JobId, Attempt>;
+  using GangAttempt = std::pair<JobId, Attempt>;
   struct Member {
     SimulatedAgent* agent;
     AgentTask* task;
   };
   using Members = std::vector<Member>;
 
-  std::map<AttemptName, Members> collect_members();
-  void step(const AttemptName& name, Members& members);
+  std::map<GangAttempt, Members> collect_members();
+  void step(const GangAttempt& name, Members& members);
   std::size_t count(const Members& members, TaskState state) const;
-  void start(const AttemptName& name, const JobSpec& spec, Members& members, GangRun& run);
-  void update(const AttemptName& name, const JobSpec& spec, Member& member, const GangRun& run);
+  void start(const GangAttempt& name, const JobSpec& spec, Members& members, GangRun& run);
+  void update(const GangAttempt& name, const JobSpec& spec, Member& member, const GangRun& run);
   /// Ends the task, unless its machine hangs.
   void end(Member& member, ExitCause cause);
 
--- a/tests/simulation/job_facts.hpp
+++ b/tests/simulation/job_facts.hpp
@@ -13,10 +13,11 @@
 /// One attempt of a gang, whose tasks find each other across machines.
 struct GangRun {
   bool running = false;
-  TimePoint began{};
-  TimePoint ends{};
-  std::optional<TimePoint> broken;  ///< when the others notice that a task has ended early
-  std::optional<TimePoint> first_stop;
+  TimePoint started_at{};
+  TimePoint ends_at{};
+  std::optional<TimePoint>
+      failure_noticed_at;  ///< when the others notice that a task has ended early
+  std::optional<TimePoint> first_stop_at;
   std::size_t checkpointing_tasks = 0;  ///< stopped soon enough after the first for a checkpoint
 };
 
--- a/tests/simulation/leaders.cpp
+++ b/tests/simulation/leaders.cpp
@@ -32,7 +32,7 @@
 void Leaders::elect() {
   if (store_.outage) return;
   const auto now = environment_.now();
-  store_.serve_new_leader();
+  store_.reset_for_new_leader();
   ++elections_;
   store_.leader_token = ++store_.revision;
   elected_at_ = now;
@@ -75,7 +75,7 @@
 // The other controllers say that they follow, unless one of them still leads behind a partition.
 void Leaders::announce_former_leaders_gone() {
   if (!environment_.chance(kFormerLeadersGoneChance)) return;
-  environment_.after(environment_.seconds_between(0.1, 3), [this, token = current_->token] {
+  environment_.after(environment_.uniform_seconds(0.1, 3), [this, token = current_->token] {
     if (current_ && current_->token == token && !former_) feed(*current_, FormerLeadersGone{});
   });
 }
@@ -87,7 +87,7 @@
 }
 
 void Leaders::save_learned_state() {
-  if (keeps_learned_state_ && current_)
+  if (learned_state_handover_enabled_ && current_)
     learned_state_ =
         current_->controller->learned_state(environment_.now(), environment_.wall_now());
 }
@@ -96,9 +96,9 @@
   save_learned_state();
   current_.reset();
   store_.leader_token = 0;
-  delay_election(environment_.seconds_between(kMinElectionDelay, kMaxElectionDelay));
-  if (environment_.operator_chance(kRestartChance))
-    delay_election(environment_.operator_seconds(kMinRestartDelay, kMaxRestartDelay));
+  delay_election(environment_.uniform_seconds(kMinElectionDelay, kMaxElectionDelay));
+  if (environment_.optional_fault_chance(kRestartChance))
+    delay_election(environment_.optional_fault_seconds(kMinRestartDelay, kMaxRestartDelay));
 }
 
 void Leaders::delay_election(Seconds delay) {
@@ -118,11 +118,11 @@
 
 void Leaders::step() {
   for (auto* leader : {&current_, &former_})
-    if (*leader) drive(**leader);
+    if (*leader) step_leader(**leader);
   if (!current_ && environment_.now() >= next_election_) elect();
 }
 
-void Leaders::drive(LeaderProcess& leader) {
+void Leaders::step_leader(LeaderProcess& leader) {
   const auto now = environment_.now();
   const bool is_current = &leader == current_.get();
   renew_leadership(leader);
@@ -144,8 +144,9 @@
   if (leader.partitioned || refused) return;
   leader.leadership.record_proof(environment_.now());
   if (store_.changes_stalled && is_current) return;
-  leader.leadership.record_read_barrier(environment_.now() - kBarrierAge -
-                                        (store_.slow() ? kMaxChangeDelay : Duration{}));
+  leader.leadership.record_read_barrier(
+      environment_.now() - kBarrierAge -
+      (store_.changes_may_be_delayed() ? kMaxChangeDelay : Duration{}));
 }
 
 LeaderProcess* Leaders::find(FencingToken token) {
@@ -155,14 +156,15 @@
 }
 
 bool Leaders::reaches(const LeaderProcess& leader, const MachineId& id) const {
-  if (former_ && former_->keeps_agents) return true;
+  if (former_ && former_->reaches_all_agents) return true;
   if (leader.partitioned) return leader.reachable_agents.contains(id);
   return !former_ || !former_->reachable_agents.contains(id);
 }
 
 LeaderProcess* Leaders::receiver_of(const MachineId& id) {
   if (!former_) return current();
-  if (!former_->keeps_agents) return former_->reachable_agents.contains(id) ? former() : current();
+  if (!former_->reaches_all_agents)
+    return former_->reachable_agents.contains(id) ? former() : current();
   const auto* agent = fleet_.find(id);
   return agent != nullptr && agent->follows_former_leader ? former() : current();
 }
--- a/tests/simulation/leaders.hpp
+++ b/tests/simulation/leaders.hpp
@@ -19,8 +19,8 @@
   std::unique_ptr<Controller> controller;
   Leadership leadership;
   FencingToken token = 0;
-  bool partitioned = false;   ///< from the store, and from all agents but `reachable_agents`
-  bool keeps_agents = false;  ///< partitioned from store and peers, and from no agent
+  bool partitioned = false;         ///< from the store, and from all agents but `reachable_agents`
+  bool reaches_all_agents = false;  ///< partitioned from store and peers, and from no agent
   std::set<MachineId> reachable_agents;
 };
 
@@ -45,7 +45,7 @@
   void set_action_handler(ActionHandler handler) { handle_action_ = std::move(handler); }
   void set_commit_policy(CommitPolicy policy) { commit_policy_ = policy; }
   /// From here on leaders hand their learned state on.
-  void keep_learned_state() { keeps_learned_state_ = true; }
+  void enable_learned_state_handover() { learned_state_handover_enabled_ = true; }
   /// Ends the leader; the next one is observed from its election on.
   void observe(Observer observer);
 
@@ -81,16 +81,16 @@
   /// The leader that the machine's heartbeats reach; may be null.
   LeaderProcess* receiver_of(const MachineId& id);
 
-  bool may_fail() const { return current_ && !former_; }
+  bool has_single_leader() const { return current_ && !former_; }
   TimePoint elected_at() const { return elected_at_; }
-  std::size_t failovers() const { return elections_; }
+  std::size_t elections() const { return elections_; }
   std::uint64_t actions_digest() const { return actions_digest_.value(); }
 
  private:
   ControllerSettings make_settings(const Tuning& tuning) const;
   RecoveredState read_recovered_state() const;
   void announce_former_leaders_gone();
-  void drive(LeaderProcess& leader);
+  void step_leader(LeaderProcess& leader);
   void renew_leadership(LeaderProcess& leader);
 
   Environment& environment_;
@@ -106,7 +106,7 @@
   std::optional<TimePoint> isolated_at_;  // when a leader resigned because it was isolated
   std::size_t elections_ = 0;
   CommitPolicy commit_policy_ = CommitPolicy::no_leader;
-  bool keeps_learned_state_ = false;
+  bool learned_state_handover_enabled_ = false;
   LearnedState learned_state_;
   history::Digest actions_digest_;
 };
--- a/tests/simulation/liveness_checker.cpp
+++ b/tests/simulation/liveness_checker.cpp
@@ -7,7 +7,7 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-constexpr Seconds kReportedWait{45};
+constexpr Seconds kMinReportedWait{45};
 
 }  // namespace
 
@@ -23,11 +23,11 @@
 
 bool LivenessChecker::fault_lasts() const {
   const auto now = environment_.now();
-  if (store_.disturbed() || !leaders_.may_fail()) return true;
+  if (store_.fault_active() || !leaders_.has_single_leader()) return true;
   if (now - leaders_.elected_at() < kStep) return true;
   const auto& agents = fleet_.all();
   return std::any_of(agents.begin(), agents.end(),
-                     [&](const auto& entry) { return entry.second.disturbed(now); });
+                     [&](const auto& entry) { return entry.second.hangs_or_partitioned(now); });
 }
 
 void LivenessChecker::check_job(const JobSpec& spec, const LiveTasks& live,
@@ -42,7 +42,7 @@
     const auto known = waiting_since_.find(key);
     const auto since = known == waiting_since_.end() ? environment_.now() : known->second;
     waiting[key] = since;
-    note_wait(key, since, live.zones_of(spec.id));
+    record_wait(key, since, live.zones_of(spec.id));
   }
 }
 
@@ -55,11 +55,11 @@
   });
 }
 
-void LivenessChecker::note_wait(const TaskKey& key, TimePoint since, const ZoneCounts& zones) {
+void LivenessChecker::record_wait(const TaskKey& key, TimePoint since, const ZoneCounts& zones) {
   const Seconds wait = environment_.now() - since;
   if (wait <= longest_wait_) return;
   longest_wait_ = wait;
-  if (wait > kReportedWait) wait_report_ = diagnosis_.describe_waiting(key, zones);
+  if (wait > kMinReportedWait) wait_report_ = diagnosis_.describe_waiting(key, zones);
 }
 
 }  // namespace violetpulley::core::simulated
--- a/tests/simulation/liveness_checker.hpp
+++ b/tests/simulation/liveness_checker.hpp
@@ -34,7 +34,7 @@
   bool fault_lasts() const;
   void check_job(const JobSpec& spec, const LiveTasks& live, std::map<TaskKey, TimePoint>& waiting);
   bool has_capacity_for(const JobSpec& spec, const LiveTasks& live) const;
-  void note_wait(const TaskKey& key, TimePoint since, const ZoneCounts& zones);
+  void record_wait(const TaskKey& key, TimePoint since, const ZoneCounts& zones);
 
   const Environment& environment_;
   const AgentFleet& fleet_;
--- a/tests/simulation/network.cpp
+++ b/tests/simulation/network.cpp
@@ -8,29 +8,30 @@
 namespace {
 
 constexpr Seconds kAnswerTimeout{2};
-constexpr double kHeldCommandsChance = 0.5;      // lost packets that arrive much later
-constexpr double kCommandsAfterPartition = 0.7;  // chance that they arrive after a partition
+constexpr double kLateCommandsChance = 0.5;            // lost packets that arrive much later
+constexpr double kCommandsAfterPartitionChance = 0.7;  // chance that they arrive after a partition
 constexpr double kLateCopyChance = 0.03;
-constexpr double kMinHold = 2;  // seconds, of held commands
-constexpr double kMinHeartbeatHold = 5;
-constexpr double kMaxHold = 40;
+constexpr double kMinLateCommandDelay = 2;  // seconds, of held commands
+constexpr double kMinLateHeartbeatDelay = 5;
+constexpr double kMaxLateDelay = 40;
 constexpr double kMinLatency = 0.001;  // seconds
 constexpr double kMaxLatency = 0.1;
 constexpr double kMaxCommandLatency = 0.2;
 constexpr Seconds kResponseLatency{0.02};
-constexpr Seconds kAfterRecovery{0.01};
-constexpr std::chrono::seconds kNextControllerAfter{1};
+constexpr Seconds kDelayAfterRecovery{0.01};
+constexpr std::chrono::seconds kNextControllerDelay{1};
 
 }  // namespace
 
 void Network::send_commands(const LeaderProcess& leader, const SendCommands& batch) {
   const auto token = leader.token;
   if (leaders_.reaches(leader, batch.machine) && !environment_.chance(environment_.message_loss()))
-    return deliver_after(environment_.seconds_between(kMinLatency, kMaxCommandLatency), token,
+    return deliver_after(environment_.uniform_seconds(kMinLatency, kMaxCommandLatency), token,
                          batch, true);
   report_unanswered_later(token, batch.machine);
-  if (environment_.chance(kHeldCommandsChance))
-    deliver_after(environment_.seconds_between(kMinHold, kMaxHold), token, batch, false);
+  if (environment_.chance(kLateCommandsChance))
+    deliver_after(environment_.uniform_seconds(kMinLateCommandDelay, kMaxLateDelay), token, batch,
+                  false);
 }
 
 void Network::report_unanswered(FencingToken token, const MachineId& id) {
@@ -43,46 +44,48 @@
 }
 
 void Network::deliver_after(Seconds delay, FencingToken token, const SendCommands& batch,
-                            bool answered) {
-  environment_.after(delay, [this, token, batch, answered] { deliver(token, batch, answered); });
+                            bool awaits_answer) {
+  environment_.after(delay,
+                     [this, token, batch, awaits_answer] { deliver(token, batch, awaits_answer); });
 }
 
-void Network::deliver(FencingToken token, const SendCommands& batch, bool answered) {
+void Network::deliver(FencingToken token, const SendCommands& batch, bool awaits_answer) {
   const auto now = environment_.now();
   auto* agent = fleet_.find(batch.machine);
   if (agent == nullptr || !agent->up(now)) {
-    if (answered) report_unanswered(token, batch.machine);
+    if (awaits_answer) report_unanswered(token, batch.machine);
     return;
   }
-  if (agent->partitioned_inbound(now)) return deliver_after_partition(token, batch, answered);
-  if (agent->hangs(now)) return deliver_after_hang(token, batch, answered);
+  if (agent->partitioned_inbound(now)) return deliver_after_partition(token, batch, awaits_answer);
+  if (agent->hangs(now)) return deliver_after_hang(token, batch, awaits_answer);
   if (token >= agent->token && batch.epoch == agent->epoch) {
     agent->token = token;
     for (const auto& command : batch.commands) runner_.execute(*agent, command);
   }
-  if (answered) answer_commands(token, *agent);
+  if (awaits_answer) answer_commands(token, *agent);
 }
 
 void Network::deliver_after_partition(FencingToken token, const SendCommands& batch,
-                                      bool answered) {
-  ++inbound_partitions_;
-  if (answered) report_unanswered_later(token, batch.machine);
+                                      bool awaits_answer) {
+  ++blocked_batches_;
+  if (awaits_answer) report_unanswered_later(token, batch.machine);
   const Seconds rest = fleet_.find(batch.machine)->inbound_partition_until - environment_.now();
-  if (environment_.operator_chance(kCommandsAfterPartition))
-    deliver_after(rest + kAfterRecovery, token, batch, false);
+  if (environment_.optional_fault_chance(kCommandsAfterPartitionChance))
+    deliver_after(rest + kDelayAfterRecovery, token, batch, false);
 }
 
-void Network::deliver_after_hang(FencingToken token, const SendCommands& batch, bool answered) {
+void Network::deliver_after_hang(FencingToken token, const SendCommands& batch,
+                                 bool awaits_answer) {
   const Seconds rest = fleet_.find(batch.machine)->hangs_until - environment_.now();
-  deliver_after(rest + kAfterRecovery, token, batch, false);
-  if (answered) report_unanswered_later(token, batch.machine);
+  deliver_after(rest + kDelayAfterRecovery, token, batch, false);
+  if (awaits_answer) report_unanswered_later(token, batch.machine);
 }
 
 void Network::answer_commands(FencingToken token, SimulatedAgent& agent) {
   const auto heartbeat = agent.make_heartbeat(environment_.now());
   if (environment_.chance(environment_.message_loss()))
     return report_unanswered_later(token, agent.id);
-  environment_.after(environment_.seconds_between(kMinLatency, kMaxLatency),
+  environment_.after(environment_.uniform_seconds(kMinLatency, kMaxLatency),
                      [this, token, heartbeat] {
                        if (auto* leader = leaders_.find(token))
                          leaders_.feed(*leader, CommandsAnswered{heartbeat.machine, heartbeat});
@@ -92,16 +95,16 @@
 void Network::send_heartbeat(SimulatedAgent& agent) {
   const auto sent = environment_.now();
   const auto heartbeat = agent.make_heartbeat(sent);
-  if (environment_.operator_chance(kLateCopyChance)) copy_later(heartbeat);
-  if (environment_.chance(environment_.message_loss())) return hold(heartbeat);
-  environment_.after(environment_.seconds_between(kMinLatency, kMaxLatency),
+  if (environment_.optional_fault_chance(kLateCopyChance)) deliver_late_copy(heartbeat);
+  if (environment_.chance(environment_.message_loss())) return deliver_late(heartbeat);
+  environment_.after(environment_.uniform_seconds(kMinLatency, kMaxLatency),
                      [this, heartbeat, sent] { receive(heartbeat, sent); });
 }
 
 // A copy arrives once more, from seconds to well over a lease later, whatever has become of the
 // machine and of the leader.
-void Network::copy_later(const Heartbeat& heartbeat) {
-  const auto delay = environment_.operator_seconds(1, 3 * kAgentTimes.lease.count());
+void Network::deliver_late_copy(const Heartbeat& heartbeat) {
+  const auto delay = environment_.optional_fault_seconds(1, 3 * kAgentTimes.lease.count());
   environment_.after(delay, [this, heartbeat] {
     ++late_copies_;
     for (auto* leader : leaders_.processes())
@@ -111,11 +114,12 @@
 }
 
 // The heartbeat arrives late, and its answer is dropped.
-void Network::hold(const Heartbeat& heartbeat) {
-  environment_.after(environment_.seconds_between(kMinHeartbeatHold, kMaxHold), [this, heartbeat] {
-    if (leaders_.current() != nullptr)
-      leaders_.feed(*leaders_.current(), HeartbeatReceived{heartbeat});
-  });
+void Network::deliver_late(const Heartbeat& heartbeat) {
+  environment_.after(environment_.uniform_seconds(kMinLateHeartbeatDelay, kMaxLateDelay),
+                     [this, heartbeat] {
+                       if (leaders_.current() != nullptr)
+                         leaders_.feed(*leaders_.current(), HeartbeatReceived{heartbeat});
+                     });
 }
 
 void Network::receive(const Heartbeat& heartbeat, TimePoint sent) {
@@ -151,7 +155,7 @@
   auto* agent = fleet_.find(id);
   if (agent == nullptr || !agent->follows_former_leader) return;
   agent->follows_former_leader = false;
-  agent->heartbeat_by(environment_.now() + kNextControllerAfter);
+  agent->heartbeat_by(environment_.now() + kNextControllerDelay);
 }
 
 }  // namespace violetpulley::core::simulated
--- a/tests/simulation/network.hpp
+++ b/tests/simulation/network.hpp
@@ -22,19 +22,20 @@
   /// Copies of heartbeats that arrived late.
   std::size_t late_copies() const { return late_copies_; }
   /// Command batches that an inbound partition stopped.
-  std::size_t inbound_partitions() const { return inbound_partitions_; }
+  std::size_t blocked_batches() const { return blocked_batches_; }
 
  private:
   void report_unanswered(FencingToken token, const MachineId& id);
   void report_unanswered_later(FencingToken token, const MachineId& id);
-  /// `answered`: the sender still waits for the answer.
-  void deliver(FencingToken token, const SendCommands& batch, bool answered);
-  void deliver_after(Seconds delay, FencingToken token, const SendCommands& batch, bool answered);
-  void deliver_after_partition(FencingToken token, const SendCommands& batch, bool answered);
-  void deliver_after_hang(FencingToken token, const SendCommands& batch, bool answered);
+  /// `awaits_answer`: the sender still waits for the answer.
+  void deliver(FencingToken token, const SendCommands& batch, bool awaits_answer);
+  void deliver_after(Seconds delay, FencingToken token, const SendCommands& batch,
+                     bool awaits_answer);
+  void deliver_after_partition(FencingToken token, const SendCommands& batch, bool awaits_answer);
+  void deliver_after_hang(FencingToken token, const SendCommands& batch, bool awaits_answer);
   void answer_commands(FencingToken token, SimulatedAgent& agent);
-  void copy_later(const Heartbeat& heartbeat);
-  void hold(const Heartbeat& heartbeat);
+  void deliver_late_copy(const Heartbeat& heartbeat);
+  void deliver_late(const Heartbeat& heartbeat);
   void receive(const Heartbeat& heartbeat, TimePoint sent);
   void receive_response(const Heartbeat& heartbeat, TimePoint sent, FencingToken token,
                         const std::vector<Command>& commands);
@@ -46,7 +47,7 @@
   AgentFleet& fleet_;
   AgentRunner& runner_;
   std::size_t late_copies_ = 0;
-  std::size_t inbound_partitions_ = 0;
+  std::size_t blocked_batches_ = 0;
 };
 
 }  // namespace violetpulley::core::simulated
--- a/tests/simulation/operator_faults.cpp
+++ b/tests/simulation/operator_faults.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // Chance of each step.
-constexpr double kLeaderWithAgentsChance = 0.0015;
+constexpr double kStoreAndPeerPartitionChance = 0.0015;
 // Chances of each step and machine.
 constexpr double kInboundPartitionChance = 0.0004;
 constexpr double kRestartChance = 0.0002;
@@ -16,44 +16,46 @@
 
 }  // namespace
 
-void OperatorFaults::step() {
+void ProductionFaults::step() {
   const auto now = environment_.now();
-  if (leaders_.may_fail() && environment_.operator_chance(kLeaderWithAgentsChance))
-    partition_leader_with_agents();
+  if (leaders_.has_single_leader() &&
+      environment_.optional_fault_chance(kStoreAndPeerPartitionChance))
+    partition_leader_from_store_and_peers();
   for (auto& [id, agent] : fleet_.all()) {
     if (!agent.up(now)) continue;
-    if (environment_.operator_chance(kInboundPartitionChance))
-      agent.inbound_partition_until = now + to_duration(environment_.operator_seconds(2, 60));
-    if (environment_.operator_chance(kRestartChance)) restart(agent);
+    if (environment_.optional_fault_chance(kInboundPartitionChance))
+      agent.inbound_partition_until = now + to_duration(environment_.optional_fault_seconds(2, 60));
+    if (environment_.optional_fault_chance(kRestartChance)) restart(agent);
   }
 }
 
 // A controller loses the state service and its peers, and keeps its agents.
-void OperatorFaults::partition_leader_with_agents() {
-  ++leaders_with_agents_;
-  leaders_.partition_leader().keeps_agents = true;
+void ProductionFaults::partition_leader_from_store_and_peers() {
+  ++store_and_peer_partitions_;
+  leaders_.partition_leader().reaches_all_agents = true;
   set_follows_former_leader(true);
   leaders_.end_leader();
-  const auto length = environment_.operator_seconds(2, 2 * kAgentTimes.cancel.count());
+  const auto length = environment_.optional_fault_seconds(2, 2 * kAgentTimes.cancel.count());
   environment_.after(length, [this] {
     leaders_.end_former();
     set_follows_former_leader(false);
   });
 }
 
-void OperatorFaults::set_follows_former_leader(bool follows) {
+void ProductionFaults::set_follows_former_leader(bool follows) {
   for (auto& [id, agent] : fleet_.all()) agent.follows_former_leader = follows;
 }
 
 // The machine is back within a fraction of a second, without its tasks; its endpoint may be another
 // one, and its epoch need not have grown.
-void OperatorFaults::restart(SimulatedAgent& agent) {
+void ProductionFaults::restart(SimulatedAgent& agent) {
   ++machine_restarts_;
   agent.tasks.clear();
   agent.images.clear();
-  if (environment_.operator_chance(kEpochGrowsChance)) ++agent.epoch;
-  if (environment_.operator_chance(kEndpointChangesChance)) ++agent.endpoint_number;
-  agent.next_heartbeat = environment_.now() + to_duration(environment_.operator_seconds(0.05, 0.9));
+  if (environment_.optional_fault_chance(kEpochGrowsChance)) ++agent.epoch;
+  if (environment_.optional_fault_chance(kEndpointChangesChance)) ++agent.endpoint_number;
+  agent.next_heartbeat =
+      environment_.now() + to_duration(environment_.optional_fault_seconds(0.05, 0.9));
 }
 
 }  // namespace violetpulley::core::simulated
--- a/tests/simulation/operator_faults.hpp
+++ b/tests/simulation/operator_faults.hpp
@@ -9,9 +9,9 @@
 namespace violetpulley::core::simulated {
 
 /// Injects the operators' faults.
-class OperatorFaults {
+class ProductionFaults {
  public:
-  OperatorFaults(Environment& environment, Leaders& leaders, AgentFleet& fleet)
+  ProductionFaults(Environment& environment, Leaders& leaders, AgentFleet& fleet)
       : environment_(environment), leaders_(leaders), fleet_(fleet) {}
 
   /// One step: each fault begins with its probability.
@@ -20,10 +20,10 @@
   /// Machines that were back at once, without their tasks.
   std::size_t machine_restarts() const { return machine_restarts_; }
   /// Leaders that lost the store and their peers and no agent.
-  std::size_t leaders_with_agents() const { return leaders_with_agents_; }
+  std::size_t store_and_peer_partitions() const { return store_and_peer_partitions_; }
 
  private:
-  void partition_leader_with_agents();
+  void partition_leader_from_store_and_peers();
   void set_follows_former_leader(bool follows);
   void restart(SimulatedAgent& agent);
 
@@ -31,7 +31,7 @@
   Leaders& leaders_;
   AgentFleet& fleet_;
   std::size_t machine_restarts_ = 0;
-  std::size_t leaders_with_agents_ = 0;
+  std::size_t store_and_peer_partitions_ = 0;
 };
 
 }  // namespace violetpulley::core::simulated
--- a/tests/simulation/process_faults.cpp
+++ b/tests/simulation/process_faults.cpp
@@ -20,8 +20,9 @@
 void ProcessFaults::step() {
   if (leaders_.current() != nullptr && environment_.chance(kLeaderCrashChance))
     leaders_.end_leader();
-  if (leaders_.may_fail() && environment_.chance(kLeaderPartitionChance)) partition_leader();
-  for (auto& [id, agent] : fleet_.all()) disturb(agent);
+  if (leaders_.has_single_leader() && environment_.chance(kLeaderPartitionChance))
+    partition_leader();
+  for (auto& [id, agent] : fleet_.all()) inject_machine_faults(agent);
   const auto machines = fleet_.all().size();
   if (machines == 0 || (leaders_.current() == nullptr && machines < kMinMachinesWithoutLeader))
     fleet_.boot("small", "a", true, environment_.now());
@@ -34,17 +35,17 @@
   for (const auto& [id, agent] : fleet_.all())
     if (environment_.chance(kReachableAgentChance)) former.reachable_agents.insert(id);
   leaders_.end_leader();
-  environment_.after(environment_.seconds_between(5, 45), [this] { leaders_.end_former(); });
+  environment_.after(environment_.uniform_seconds(5, 45), [this] { leaders_.end_former(); });
 }
 
-void ProcessFaults::disturb(SimulatedAgent& agent) {
+void ProcessFaults::inject_machine_faults(SimulatedAgent& agent) {
   const auto now = environment_.now();
   if (environment_.chance(kHangChance))
-    agent.hangs_until = now + to_duration(environment_.seconds_between(1, 40));
+    agent.hangs_until = now + to_duration(environment_.uniform_seconds(1, 40));
   if (environment_.chance(kTerminationChance)) agent.terminate();
   if (environment_.chance(kFaultyMachineChance)) agent.faulty = true;
   if (agent.spot && !agent.reclaimed_at && environment_.chance(kSpotNoticeChance))
-    agent.reclaimed_at = now + to_duration(environment_.seconds_between(4, 12));
+    agent.reclaimed_at = now + to_duration(environment_.uniform_seconds(4, 12));
 }
 
 }  // namespace violetpulley::core::simulated
--- a/tests/simulation/process_faults.hpp
+++ b/tests/simulation/process_faults.hpp
@@ -18,7 +18,7 @@
 
  private:
   void partition_leader();
-  void disturb(SimulatedAgent& agent);
+  void inject_machine_faults(SimulatedAgent& agent);
 
   Environment& environment_;
   Leaders& leaders_;
--- a/tests/simulation/store.cpp
+++ b/tests/simulation/store.cpp
@@ -9,8 +9,8 @@
 
 constexpr Seconds kWriteRetry{0.5};
 constexpr double kMinChangeDelay = 0.01;  // seconds
-constexpr double kUsualChangeDelay = 0.3;
-constexpr double kSlowChangeDelay = 4;
+constexpr double kMaxUsualChangeDelay = 0.3;
+constexpr double kMaxSlownessDelay = 4;
 
 }  // namespace
 
@@ -21,13 +21,15 @@
   });
 }
 
-bool Store::slow() const { return environment_.now() < slow_until + kMaxChangeDelay; }
+bool Store::changes_may_be_delayed() const {
+  return environment_.now() < slow_until + kMaxChangeDelay;
+}
 
 void Store::publish_change(Callback deliver, const std::function<bool()>& leader_exists) {
   const auto more = environment_.now() < slow_until
-                        ? environment_.operator_seconds(0, kSlowChangeDelay)
+                        ? environment_.optional_fault_seconds(0, kMaxSlownessDelay)
                         : Seconds(0);
-  const auto delay = environment_.seconds_between(kMinChangeDelay, kUsualChangeDelay) + more;
+  const auto delay = environment_.uniform_seconds(kMinChangeDelay, kMaxUsualChangeDelay) + more;
   environment_.after(delay, [this, deliver = std::move(deliver), leader_exists] {
     if (leader_exists() && changes_stalled) return held_changes_.push_back(deliver);
     deliver();
@@ -39,7 +41,7 @@
   for (const auto& deliver : std::exchange(held_changes_, {})) deliver();
 }
 
-void Store::serve_new_leader() {
+void Store::reset_for_new_leader() {
   refuses_leader = changes_stalled = false;
   held_changes_.clear();
 }
--- a/tests/simulation/store.hpp
+++ b/tests/simulation/store.hpp
@@ -26,15 +26,15 @@
   /// tried again.
   void write(FencingToken token, Seconds delay, Callback write_record);
   /// Changes of jobs may still be delayed: those held back by a slow service, too.
-  bool slow() const;
+  bool changes_may_be_delayed() const;
   /// Calls `deliver` when a change of a job reaches the leader, unless the service is stalled then.
   void publish_change(Callback deliver, const std::function<bool()>& leader_exists);
   /// Delivers what was held back.
   void resume_changes();
   /// A new leader reads the present records: changes held back for the former one are dropped.
-  void serve_new_leader();
+  void reset_for_new_leader();
   /// Whether a fault of the service lasts.
-  bool disturbed() const { return outage || refuses_leader || changes_stalled; }
+  bool fault_active() const { return outage || refuses_leader || changes_stalled; }
 
   std::map<JobId, JobRecord> jobs;  ///< unfinished
   std::map<MachineId, MachineRecord> machines;
--- a/tests/simulation/store_faults.hpp
+++ b/tests/simulation/store_faults.hpp
@@ -16,11 +16,11 @@
   /// One step: each fault begins with its probability; the first one at a fixed time at the latest.
   void step();
   /// Gaps, from the refusal of the leader to the delivery of the held changes.
-  std::size_t gaps() const { return gaps_; }
+  std::size_t disruptions() const { return disruptions_; }
 
  private:
-  bool gap_due();
-  void begin_gap();
+  bool disruption_due();
+  void begin_disruption();
   void begin_outage();
   void end_outage();
 
@@ -28,7 +28,7 @@
   Store& store_;
   const Leaders& leaders_;
   JobRegistry& jobs_;
-  std::size_t gaps_ = 0;
+  std::size_t disruptions_ = 0;
 };
 
 }  // namespace violetpulley::core::simulated
--- a/tests/simulation/store_writer.cpp
+++ b/tests/simulation/store_writer.cpp
@@ -5,49 +5,52 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-constexpr double kMinWrite = 0.01;  // seconds
-constexpr double kMaxWrite = 0.5;
-constexpr double kMaxMarkWrite = 1.0;
-constexpr double kMaxFinishWrite = 2.0;
-constexpr double kMaxPlacementWrite = 2.0;
-constexpr double kMaxPlacementWriteWithoutFaults = 0.4;
+constexpr double kMinWriteTime = 0.01;  // seconds
+constexpr double kMaxWriteTime = 0.5;
+constexpr double kMaxMarkWriteTime = 1.0;
+constexpr double kMaxFinishWriteTime = 2.0;
+constexpr double kMaxPlacementWriteTime = 2.0;
+constexpr double kMaxPlacementWriteTimeWithoutFaults = 0.4;
 constexpr Seconds kDeletionRetry{0.5};
 constexpr double kLateFinishChance = 0.2;
-constexpr double kMinLateFinish = 2;  // seconds
-constexpr double kMaxLateFinish = 12;
+constexpr double kMinLateFinishDelay = 2;  // seconds
+constexpr double kMaxLateFinishDelay = 12;
 constexpr Seconds kFinishTimeout{1.5};
 
 }  // namespace
 
 void StoreWriter::execute(FencingToken token, const SaveMachine& save) {
-  store_.write(token, environment_.seconds_between(kMinWrite, kMaxWrite), [this, token, save] {
-    const auto& record = save.record;
-    const bool ok = store_.accepts(token) && !environment_.chance(environment_.message_loss());
-    // Records of rentals have pages of their own: one that comes late replaces no registration.
-    const bool provisioning_only = record.endpoint.empty();
-    if (ok && (!provisioning_only || !store_.machines.contains(record.id)))
-      store_.machines[record.id] = record;
-    if (auto* leader = leaders_.find(token))
-      leaders_.feed(*leader, MachineSaved{record.id, !provisioning_only, ok});
-  });
+  store_.write(
+      token, environment_.uniform_seconds(kMinWriteTime, kMaxWriteTime), [this, token, save] {
+        const auto& record = save.record;
+        const bool ok = store_.accepts(token) && !environment_.chance(environment_.message_loss());
+        // Records of rentals have pages of their own: one that comes late replaces no registration.
+        const bool provisioning_only = record.endpoint.empty();
+        if (ok && (!provisioning_only || !store_.machines.contains(record.id)))
+          store_.machines[record.id] = record;
+        if (auto* leader = leaders_.find(token))
+          leaders_.feed(*leader, MachineSaved{record.id, !provisioning_only, ok});
+      });
 }
 
 void StoreWriter::execute(FencingToken token, const DeleteMachine& deletion) {
-  store_.write(token, environment_.seconds_between(kMinWrite, kMaxWrite), [this, token, deletion] {
-    if (store_.accepts(token)) store_.machines.erase(deletion.id);
-  });
+  store_.write(token, environment_.uniform_seconds(kMinWriteTime, kMaxWriteTime),
+               [this, token, deletion] {
+                 if (store_.accepts(token)) store_.machines.erase(deletion.id);
+               });
 }
 
 void StoreWriter::execute(FencingToken token, const SaveProgress& save) {
-  store_.write(token, environment_.seconds_between(kMinWrite, kMaxWrite), [this, token, save] {
-    const bool ok = store_.accepts(token);
-    if (ok) store_.progress[{save.record.job, save.record.chunk}] = save.record;
-    // The answer may get lost although the write was made.
-    if (auto* leader = leaders_.find(token)) {
-      const bool answered = ok && !environment_.chance(environment_.message_loss());
-      leaders_.feed(*leader, ProgressSaved{save, answered});
-    }
-  });
+  store_.write(token, environment_.uniform_seconds(kMinWriteTime, kMaxWriteTime),
+               [this, token, save] {
+                 const bool ok = store_.accepts(token);
+                 if (ok) store_.progress[{save.record.job, save.record.chunk}] = save.record;
+                 // The answer may get lost although the write was made.
+                 if (auto* leader = leaders_.find(token)) {
+                   const bool answered = ok && !environment_.chance(environment_.message_loss());
+                   leaders_.feed(*leader, ProgressSaved{save, answered});
+                 }
+               });
 }
 
 void StoreWriter::execute(FencingToken token, const DeleteProgress& deletion) {
@@ -64,8 +67,8 @@
 // Without an answer the leader writes again; a late write of a past leader fails.
 void StoreWriter::execute(FencingToken token, const SavePlacements& save) {
   const double longest =
-      environment_.faults_active() ? kMaxPlacementWrite : kMaxPlacementWriteWithoutFaults;
-  store_.write(token, environment_.seconds_between(kMinWrite, longest), [this, token, save] {
+      environment_.faults_active() ? kMaxPlacementWriteTime : kMaxPlacementWriteTimeWithoutFaults;
+  store_.write(token, environment_.uniform_seconds(kMinWriteTime, longest), [this, token, save] {
     if (!store_.accepts(token)) return;
     save_newer_placements(token, save.record, save.version);
     if (auto* leader = leaders_.find(token))
@@ -84,17 +87,18 @@
 }
 
 void StoreWriter::execute(FencingToken token, const MarkPlacements&) {
-  store_.write(token, environment_.seconds_between(kMinWrite, kMaxMarkWrite), [this, token] {
-    if (!store_.accepts(token)) return;
-    store_.placements_marked = true;
-    ++placement_marks_;
-  });
+  store_.write(token, environment_.uniform_seconds(kMinWriteTime, kMaxMarkWriteTime),
+               [this, token] {
+                 if (!store_.accepts(token)) return;
+                 store_.placements_marked = true;
+                 ++placement_marks_;
+               });
 }
 
 void StoreWriter::execute(FencingToken token, const FinishJob& finish) {
-  if (late_writes_enabled_ && environment_.operator_chance(kLateFinishChance))
+  if (late_writes_enabled_ && environment_.optional_fault_chance(kLateFinishChance))
     return finish_late(token, finish);
-  store_.write(token, environment_.seconds_between(kMinWrite, kMaxFinishWrite),
+  store_.write(token, environment_.uniform_seconds(kMinWriteTime, kMaxFinishWriteTime),
                [this, token, finish] {
                  if (!finish_job(token, finish)) report_unfinished(token, finish);
                });
@@ -103,7 +107,7 @@
 // No answer comes: the leader tries again, and the first write is carried out after that.
 void StoreWriter::finish_late(FencingToken token, const FinishJob& finish) {
   ++late_writes_;
-  environment_.after(environment_.operator_seconds(kMinLateFinish, kMaxLateFinish),
+  environment_.after(environment_.optional_fault_seconds(kMinLateFinishDelay, kMaxLateFinishDelay),
                      [this, token, finish] { finish_job(token, finish); });
   environment_.after(kFinishTimeout, [this, token, finish] { report_unfinished(token, finish); });
 }
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -49,7 +49,7 @@
   if (!spec.same_zone && chance(kServiceChance)) make_service(spec);
   if (spec.shape == Shape::array && chance(kCheckpointChance)) {
     spec.checkpoint_every = kCheckpointInterval;
-    spec.checkpoint_time = environment_.seconds_between(0.5, 3);
+    spec.checkpoint_time = environment_.uniform_seconds(0.5, 3);
   }
   if (spec.shape == Shape::array && !spec.spread && chance(kGangChance)) make_gang(spec);
   return spec;
@@ -70,7 +70,7 @@
   spec.image_gb = 1;
   spec.spot_allowed = chance(kSpotChance);
   draw_constraints(spec);
-  spec.estimate = environment_.seconds_between(2, 30);
+  spec.estimate = environment_.uniform_seconds(2, 30);
   return spec;
 }
 
@@ -97,7 +97,7 @@
   spec.priority = Priority::production;
   spec.types.clear();
   spec.spread = !spec.zone && chance(kServiceSpreadChance);
-  environment_.after(environment_.seconds_between(60, 200), [this, id = spec.id] {
+  environment_.after(environment_.uniform_seconds(60, 200), [this, id = spec.id] {
     if (submitting_ && jobs_.is_open(id)) jobs_.cancel(id);
   });
 }
@@ -116,14 +116,14 @@
 }
 
 TaskIndex Users::draw_count(double low, double high) {
-  return static_cast<TaskIndex>(environment_.between(low, high));
+  return static_cast<TaskIndex>(environment_.uniform(low, high));
 }
 
 void Users::cancel_any() {
-  auto victim = store_.jobs.begin();
+  auto selected = store_.jobs.begin();
   const auto count = static_cast<double>(store_.jobs.size());
-  std::advance(victim, static_cast<long>(environment_.between(0, count - 0.01)));
-  jobs_.cancel(JobId(victim->first));
+  std::advance(selected, static_cast<long>(environment_.uniform(0, count - 0.01)));
+  jobs_.cancel(JobId(selected->first));
 }
 
 void Users::cancel_services() {
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -7,7 +7,7 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-constexpr int kFirstMachines = 3;
+constexpr int kInitialMachines = 3;
 
 // The commands, requests and writes of a leader, by type.
 struct ActionExecutor {
@@ -37,7 +37,7 @@
   leaders_.set_action_handler([this](LeaderProcess& leader, FencingToken token, Action& action) {
     execute(leader, token, action);
   });
-  for (int i = 0; i < kFirstMachines; ++i)
+  for (int i = 0; i < kInitialMachines; ++i)
     fleet_.boot("small", i % 2 == 0 ? "a" : "b", false, environment_.now());
   leaders_.elect();
 }
@@ -47,12 +47,12 @@
   while (environment_.now() < end && !::testing::Test::HasFailure()) step();
 }
 
-void World::enable_operator_faults(std::uint64_t seed) {
-  environment_.enable_operator_faults(seed);
+void World::enable_production_faults(std::uint64_t seed) {
+  environment_.enable_optional_faults(seed);
 }
 
 void World::enable_combined_faults(std::uint64_t seed) {
-  enable_operator_faults(seed);
+  enable_production_faults(seed);
   combined_faults_enabled_ = true;
   writer_.enable_late_writes();
   agents_.enable_uneven_run_times();
@@ -76,7 +76,7 @@
 void World::inject_faults() {
   process_faults_.step();
   if (combined_faults_enabled_) store_faults_.step();
-  if (environment_.operator_faults_enabled()) operator_faults_.step();
+  if (environment_.optional_faults_enabled()) production_faults_.step();
   if (correlated_faults_enabled_) correlated_faults_.step();
 }
 
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -27,8 +27,8 @@
   /// Lets the world run for that long, or until a rule is broken.
   void run(Seconds length);
 
-  /// Adds the operators' faults (OperatorFaults).
-  void enable_operator_faults(std::uint64_t seed);
+  /// Adds the operators' faults (ProductionFaults).
+  void enable_production_faults(std::uint64_t seed);
   /// Adds the operators' faults and combined ones (StoreFaults, late writes).
   void enable_combined_faults(std::uint64_t seed);
   /// Adds the operators' faults, combined and correlated ones (CorrelatedFaults), and measures what
@@ -39,11 +39,11 @@
 
   /// Passes on what enters the newest leader, and what the leader asks for, as a history would
   /// record it. Ends the present leader.
-  void watch(Observer observer) { leaders_.observe(std::move(observer)); }
+  void observe(Observer observer) { leaders_.observe(std::move(observer)); }
   /// Leaders commit starts of gangs and services before they send them.
-  void commit_starts(CommitPolicy policy) { leaders_.set_commit_policy(policy); }
+  void set_commit_policy(CommitPolicy policy) { leaders_.set_commit_policy(policy); }
   /// From here on leaders hand their learned state on.
-  void keep_learned_state() { leaders_.keep_learned_state(); }
+  void enable_learned_state_handover() { leaders_.enable_learned_state_handover(); }
   /// Users submit no further jobs.
   void stop_submitting() { users_.stop_submitting(); }
   /// Users cancel all services.
@@ -52,13 +52,13 @@
   /// Expects that the leader knows every accepted job, each by itself.
   void expect_all_jobs_known() const;
   /// Whether a fault of the state service lasts.
-  bool store_disturbed() const { return store_.disturbed(); }
+  bool store_fault_active() const { return store_.fault_active(); }
   std::size_t open_jobs() const { return store_.jobs.size(); }
   std::size_t finished_jobs() const { return facts_.finished.size(); }
   /// Replicas of services that should run and do not.
   std::size_t missing_replicas() const;
   /// Unfinished jobs in words, for messages.
-  std::string state() const { return diagnosis_.describe_jobs(); }
+  std::string describe_jobs() const { return diagnosis_.describe_jobs(); }
 
   /// Digest of all actions of all leaders: equal before and after a change that is to change no
   /// decision.
@@ -67,7 +67,7 @@
   /// Times at which the placements were marked as complete.
   std::size_t placement_marks() const { return writer_.placement_marks(); }
   const Network& network() const { return network_; }
-  const OperatorFaults& operator_faults() const { return operator_faults_; }
+  const ProductionFaults& production_faults() const { return production_faults_; }
   const StoreFaults& store_faults() const { return store_faults_; }
   const CorrelatedFaultCounts& correlated_faults() const { return correlated_faults_.counts(); }
   const RuleChecker& rules() const { return rules_; }
@@ -93,7 +93,7 @@
   Network network_{environment_, leaders_, fleet_, agents_};
   Users users_{environment_, store_, jobs_};
   ProcessFaults process_faults_{environment_, leaders_, fleet_};
-  OperatorFaults operator_faults_{environment_, leaders_, fleet_};
+  ProductionFaults production_faults_{environment_, leaders_, fleet_};
   StoreFaults store_faults_{environment_, store_, leaders_, jobs_};
   CorrelatedFaults correlated_faults_{environment_, store_, leaders_, jobs_, fleet_};
   Diagnosis diagnosis_{environment_, store_, leaders_, fleet_, facts_};
--- a/tests/simulation/world_test.cpp
+++ b/tests/simulation/world_test.cpp
@@ -26,7 +26,7 @@
 class ProcessFaults : public SeededWorld {};
 class LearnedStateHandover : public SeededWorld {};
 class CommittedStarts : public SeededWorld {};
-class OperatorFaults : public SeededWorld {};
+class ProductionFaults : public SeededWorld {};
 class CombinedFaults : public SeededWorld {};
 class CorrelatedFaults : public SeededWorld {};
 
@@ -41,34 +41,34 @@
 // A job that no answer is about for so long after the last fault is forgotten.
 constexpr Seconds kTimeToLearnAllJobs{75};
 constexpr Seconds kTimeToRunAllJobs{475};
-// A replica that is being moved at this moment runs again soon (seed 1124 of OperatorFaults).
+// A replica that is being moved at this moment runs again soon (seed 1124 of ProductionFaults).
 constexpr int kReplicaInspections = 5;
 constexpr Seconds kReplicaInspectionInterval{3};
 // A gang of the size of its team's limit waits for the team's replicas to go, and such gangs run
 // one after the other: within 50 s that was not enough for three of them (seed 625 of
-// OperatorFaults).
+// ProductionFaults).
 constexpr Seconds kTimeToRunGangs{250};
 
 void expect_all_replicas_run(World& world) {
   for (int i = 0; i < kReplicaInspections && world.missing_replicas() > 0; ++i)
     world.run(kReplicaInspectionInterval);
-  EXPECT_EQ(world.missing_replicas(), 0U) << world.state();
+  EXPECT_EQ(world.missing_replicas(), 0U) << world.describe_jobs();
 }
 
 // The faults go on for so long and end; then all that was accepted must run, services until they
 // are cancelled.
-void expect_all_runs(World& world, Seconds fault_time) {
+void expect_all_jobs_run(World& world, Seconds fault_time) {
   world.run(fault_time);
   world.end_faults();
   world.stop_submitting();
-  while (world.store_disturbed() && !::testing::Test::HasFailure()) world.run(Seconds(1));
+  while (world.store_fault_active() && !::testing::Test::HasFailure()) world.run(Seconds(1));
   world.run(kTimeToLearnAllJobs);
   world.expect_all_jobs_known();
   world.run(kTimeToRunAllJobs);
   expect_all_replicas_run(world);
   world.cancel_services();
   world.run(kTimeToRunGangs);
-  EXPECT_EQ(world.open_jobs(), 0U) << "accepted jobs must run: " << world.state();
+  EXPECT_EQ(world.open_jobs(), 0U) << "accepted jobs must run: " << world.describe_jobs();
 }
 
 void print_digest(const World& world, std::uint64_t seed) {
@@ -86,7 +86,7 @@
 TEST_P(ProcessFaults, KeepEveryRuleAndFinish) {
   SCOPED_TRACE("seed " + std::to_string(seed()));
   World world(seed());
-  expect_all_runs(world, kFaultTime);
+  expect_all_jobs_run(world, kFaultTime);
   EXPECT_GT(world.finished_jobs(), 20U);
   EXPECT_GT(world.gang_starts(), 3U);
   print_digest(world, seed());
@@ -96,8 +96,8 @@
 TEST_P(LearnedStateHandover, KeepsEveryRuleAndFinishes) {
   SCOPED_TRACE("seed " + std::to_string(seed()));
   World world(seed());
-  world.keep_learned_state();
-  expect_all_runs(world, Seconds(300));
+  world.enable_learned_state_handover();
+  expect_all_jobs_run(world, Seconds(300));
   print_digest(world, seed());
 }
 
@@ -105,9 +105,9 @@
 TEST_P(CommittedStarts, KeepEveryRuleAndFinish) {
   SCOPED_TRACE("seed " + std::to_string(seed()));
   World world(seed());
-  world.commit_starts(seed() % 2 == 0 ? CommitPolicy::all_leaders
-                                      : CommitPolicy::two_of_three_leaders);
-  expect_all_runs(world, kFaultTime);
+  world.set_commit_policy(seed() % 2 == 0 ? CommitPolicy::all_leaders
+                                          : CommitPolicy::two_of_three_leaders);
+  expect_all_jobs_run(world, kFaultTime);
   EXPECT_GT(world.gang_starts(), 3U);
   EXPECT_GT(world.placement_marks(), 0U);
   print_digest(world, seed());
@@ -115,15 +115,15 @@
 
 // With what operators met later: inbound partitions, late copies of heartbeats, a leader that keeps
 // its agents alone, processes and machines that are back within a fraction of a second.
-TEST_P(OperatorFaults, KeepEveryRuleAndFinish) {
+TEST_P(ProductionFaults, KeepEveryRuleAndFinish) {
   SCOPED_TRACE("seed " + std::to_string(seed()));
   World world(seed());
-  world.enable_operator_faults(seed());
-  if (seed() % 4 == 0) world.commit_starts(CommitPolicy::all_leaders);
-  expect_all_runs(world, kFaultTime);
+  world.enable_production_faults(seed());
+  if (seed() % 4 == 0) world.set_commit_policy(CommitPolicy::all_leaders);
+  expect_all_jobs_run(world, kFaultTime);
   EXPECT_GT(world.network().late_copies(), 10U);
-  EXPECT_GT(world.network().inbound_partitions() + world.operator_faults().machine_restarts() +
-                world.operator_faults().leaders_with_agents(),
+  EXPECT_GT(world.network().blocked_batches() + world.production_faults().machine_restarts() +
+                world.production_faults().store_and_peer_partitions(),
             0U);
   print_digest(world, seed());
 }
@@ -133,11 +133,11 @@
   SCOPED_TRACE("seed " + std::to_string(seed()));
   World world(seed());
   world.enable_combined_faults(seed());
-  if (seed() % 4 == 0) world.commit_starts(CommitPolicy::all_leaders);
-  expect_all_runs(world, kFaultTime);
-  EXPECT_GT(world.store_faults().gaps(), 0U);
+  if (seed() % 4 == 0) world.set_commit_policy(CommitPolicy::all_leaders);
+  expect_all_jobs_run(world, kFaultTime);
+  EXPECT_GT(world.store_faults().disruptions(), 0U);
   print_longest_cancellation(world);
-  std::cout << ", " << world.store_faults().gaps() << " gaps\n";
+  std::cout << ", " << world.store_faults().disruptions() << " gaps\n";
   print_digest(world, seed());
 }
 
@@ -148,8 +148,8 @@
   SCOPED_TRACE("seed " + std::to_string(seed()));
   World world(seed());
   world.enable_correlated_faults(seed());
-  if (seed() % 4 == 0) world.commit_starts(CommitPolicy::all_leaders);
-  expect_all_runs(world, kFaultTime);
+  if (seed() % 4 == 0) world.set_commit_policy(CommitPolicy::all_leaders);
+  expect_all_jobs_run(world, kFaultTime);
   const auto& counts = world.correlated_faults();
   EXPECT_GT(counts.outbound_partitions, 0U);
   EXPECT_LT(world.liveness().longest_wait(), Seconds(90)) << world.liveness().wait_report();
@@ -165,7 +165,7 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, ProcessFaults, seeds(1, 24));
 INSTANTIATE_TEST_SUITE_P(Seeds, LearnedStateHandover, seeds(101, 8));
 INSTANTIATE_TEST_SUITE_P(Seeds, CommittedStarts, seeds(201, 48));
-INSTANTIATE_TEST_SUITE_P(Seeds, OperatorFaults, seeds(501, 32));
+INSTANTIATE_TEST_SUITE_P(Seeds, ProductionFaults, seeds(501, 32));
 INSTANTIATE_TEST_SUITE_P(Seeds, CombinedFaults, seeds(701, 32));
 INSTANTIATE_TEST_SUITE_P(Seeds, CorrelatedFaults, seeds(901, 32));
 
