--- a/tests/simulation/fleet_nodes.hpp
+++ b/tests/simulation/fleet_nodes.hpp
@@ -5,8 +5,8 @@
 #include <map>
 #include <vector>
 
+#include "simulation/fleet_config.hpp"
 #include "simulation/fleet_environment.hpp"
-#include "simulation/fleet_plan.hpp"
 
 namespace violetpulley::core::fleet_simulation {
 
--- a/tests/simulation/operator_faults.cpp
+++ b/tests/simulation/production_faults.cpp
@@ -1,4 +1,4 @@
-#include "simulation/operator_faults.hpp"
+#include "simulation/production_faults.hpp"
 
 #include "simulation/catalog.hpp"
 
