--- a/tests/simulation/agent_fleet.hpp
+++ b/tests/simulation/agent_fleet.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The machines of a simulated world. Owns the agents.
+/// The machines of a simulated world. Owns the state of the agents.
 #pragma once
 
 #include "simulation/agent.hpp"
@@ -11,27 +11,28 @@
 /// Number of a job's live tasks in each zone.
 using ZoneCounts = std::map<std::string, TaskIndex>;
 
-/// All machines that were booted and have not been returned.
+/// All machines that have been booted and have not been removed by the cloud.
 class AgentFleet {
  public:
   AgentFleet(Environment& environment, const JobFacts& facts)
       : environment_(environment), facts_(facts) {}
 
-  /// Adds a machine that is up at `up_at`.
+  /// Adds a machine whose boot ends at `up_at`, and returns its id.
   MachineId boot(const std::string& type, const std::string& zone, bool spot, TimePoint up_at);
-  /// Takes a returned machine away.
+  /// Removes a machine that was returned to the cloud.
   void remove(const MachineId& id) { agents_.erase(id); }
-  /// The agent; null if there is no such machine.
+  /// Returns the agent, or null if there is no such machine.
   SimulatedAgent* find(const MachineId& id);
   const SimulatedAgent* find(const MachineId& id) const;
   std::map<MachineId, SimulatedAgent>& all() { return agents_; }
   const std::map<MachineId, SimulatedAgent>& all() const { return agents_; }
 
-  /// Resources of the machine's live tasks.
+  /// Sum of the resources of the machine's live tasks.
   Resources used(const SimulatedAgent& agent) const;
-  /// Whether the machine has capacity for one task more of that kind.
+  /// Whether the machine's free resources suffice for one more task of the job.
   bool has_capacity(const SimulatedAgent& agent, const JobSpec& spec) const;
-  /// Whether a task of the job could start on the machine now. `zones`: of the job's live tasks.
+  /// Whether a task of the job could start on the machine now. `zones`: number of the job's live
+  /// tasks in each zone.
   bool can_start(const JobSpec& spec, const SimulatedAgent& agent, const ZoneCounts& zones) const;
 
  private:
--- a/tests/simulation/agent_runner.cpp
+++ b/tests/simulation/agent_runner.cpp
@@ -15,7 +15,7 @@
 constexpr Seconds kImageFetchTime{2};
 constexpr Seconds kServiceRunTime{1e6};
 constexpr Seconds kMinRunTime{0.2};
-constexpr double kMinRunTimeFactor = 0.5;  // of the estimate
+constexpr double kMinRunTimeFactor = 0.5;  // of the job's estimate
 constexpr double kMaxRunTimeFactor = 1.6;
 constexpr double kFirstTaskFactor = 0.2;
 constexpr double kLastTaskFactor = 3;
@@ -52,8 +52,8 @@
   agent.tasks.emplace(std::pair{command.task, command.attempt}, task);
 }
 
-// A running task with checkpoints needs `checkpoint_time` for one; a second stop without grace ends
-// it.
+// Stops an attempt. A running task with checkpoints takes `checkpoint_time` to write one if the
+// grace period allows it. A second stop without a grace period ends the checkpoint.
 void AgentRunner::stop(const Command& command, AgentTask& task) {
   const auto& spec = facts_.specs.at(command.task.job);
   const bool running = task.state == TaskState::running;
@@ -106,7 +106,7 @@
 bool AgentRunner::update_task(SimulatedAgent& agent, const TaskAttempt& key, AgentTask& task) {
   const auto now = environment_.now();
   const auto& spec = facts_.specs.at(key.first.job);
-  const bool gang = spec.shape == Shape::gang;  // its runs end in GangRunner
+  const bool gang = spec.shape == Shape::gang;  // GangRunner ends the runs of gangs
   bool changed = false;
   if (task.state == TaskState::checkpointing && now >= task.ends_at) {
     finish_checkpoint(key, spec, task);
--- a/tests/simulation/agent_runner.hpp
+++ b/tests/simulation/agent_runner.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the agents of a simulated world do on their machines: run tasks, obey commands, enforce
-/// the lease. Owns no agent.
+/// Behaviour of the agents of a simulated world: they run tasks, execute commands and enforce their
+/// leases. Owns no agent.
 #pragma once
 
 #include "core/model/actions.hpp"
@@ -14,12 +14,12 @@
   AgentRunner(Environment& environment, const AgentFleet& fleet, JobFacts& facts)
       : environment_(environment), fleet_(fleet), facts_(facts) {}
 
-  /// Lets the tasks of arrays of two or three end far apart, the last one after more than the
-  /// cancellation time.
+  /// Makes the run times of arrays of two or three tasks differ widely: the first task runs short,
+  /// the last one longer than the cancellation time.
   void enable_uneven_run_times() { uneven_run_times_ = true; }
-  /// Carries a command out.
+  /// Executes a command.
   void execute(SimulatedAgent& agent, const Command& command);
-  /// One step of the machine. True if the agent sends a periodic heartbeat now.
+  /// Advances the machine by one step. Returns true if the agent sends a periodic heartbeat now.
   bool step(SimulatedAgent& agent);
 
  private:
@@ -27,10 +27,10 @@
 
   void start(SimulatedAgent& agent, const Command& command);
   void stop(const Command& command, AgentTask& task);
-  /// Counts a running task of a gang that is stopped.
+  /// Records the stop of a running gang task, and whether the task writes a checkpoint.
   void record_gang_stop(const Command& command, bool checkpoints);
   void enforce_lease(SimulatedAgent& agent);
-  /// True if the state of the task has changed.
+  /// Returns true if the state of the task has changed.
   bool update_task(SimulatedAgent& agent, const TaskAttempt& key, AgentTask& task);
   void finish_checkpoint(const TaskAttempt& key, const JobSpec& spec, AgentTask& task);
   void begin(SimulatedAgent& agent, const TaskKey& key, const JobSpec& spec, AgentTask& task);
--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -15,16 +15,17 @@
 constexpr double kHalfGrantChance = 0.2;
 constexpr double kSlowBootChance = 0.1;
 constexpr double kSlowBootFactor = 50;
-constexpr double kMinBootFactor = 0.6;  // of the type's boot time
+constexpr double kMinBootFactor = 0.6;  // of the machine type's boot time
 constexpr double kMaxBootFactor = 1.5;
 constexpr double kLostAnswerChance = 0.05;
-constexpr double kReturnLossFactor = 3;  // returns fail more often than messages are lost
+constexpr double kReturnLossFactor = 3;  // of the message loss
 
 }  // namespace
 
 void Cloud::execute(FencingToken token, const ScaleOut& request) {
   environment_.after(environment_.uniform_seconds(0.1, 0.6), [this, token, request] {
-    EXPECT_TRUE(request_names_.insert(request.name).second) << "a rental name was used twice";
+    EXPECT_TRUE(request_names_.insert(request.name).second)
+        << "a name of a scale-out request was used twice";
     auto answer = boot_machines(request);
     if (draw_fault(kLostAnswerChance)) answer = ScaleOutResult{};
     if (auto* leader = leaders_.find(token))
--- a/tests/simulation/cloud.hpp
+++ b/tests/simulation/cloud.hpp
@@ -1,12 +1,14 @@
 /// @file
-/// The cloud of a simulated world: boots and returns machines. Owns the names of the requests.
+/// The cloud of a simulated world: boots machines and takes returned ones back. Owns the set of
+/// names of the scale-out requests.
 #pragma once
 
 #include "simulation/leaders.hpp"
 
 namespace violetpulley::core::simulated {
 
-/// Answers requests for machines, in part, late, with refusals, or not at all.
+/// Answers scale-out and scale-in requests. Faults: no capacity, half of the machines, very slow
+/// boots, lost answers.
 class Cloud {
  public:
   Cloud(Environment& environment, AgentFleet& fleet, Leaders& leaders)
--- a/tests/simulation/correlated_faults.cpp
+++ b/tests/simulation/correlated_faults.cpp
@@ -7,9 +7,9 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-// Chance of each step and machine.
+// Per step and machine.
 constexpr double kOutboundPartitionChance = 0.0005;
-// Chances of each step.
+// Per step.
 constexpr double kWidePartitionChance = 0.001;
 constexpr double kZonePartitionChance = 0.001;
 constexpr double kMassCancellationChance = 0.001;
@@ -60,7 +60,7 @@
     if (all || agent.zone == zone) partition_outbound(agent, length);
 }
 
-// No controller reaches the zone or receives its heartbeats, whatever the zone's own one does.
+// Partitions a zone from all controllers in both directions, also from a controller in that zone.
 void CorrelatedFaults::partition_zone() {
   ++counts_.zone_partitions;
   const auto zone = draw_zone();
@@ -70,7 +70,7 @@
     if (agent.zone == zone) agent.outbound_partition_until = agent.inbound_partition_until = until;
 }
 
-// Jobs are cancelled within a fifth of a second, and some of their machines hang.
+// Cancels several jobs within `kMaxCancellationDelay` while some of their machines hang.
 void CorrelatedFaults::cancel_many() {
   ++counts_.mass_cancellations;
   const auto jobs = draw_jobs_to_cancel();
--- a/tests/simulation/correlated_faults.hpp
+++ b/tests/simulation/correlated_faults.hpp
@@ -1,14 +1,15 @@
 /// @file
-/// Faults that strike many at once (docs/combined-failures.md): outbound partitions of one machine,
-/// a zone or all, a zone cut off for longer than a lease, no controller for longer than a lease,
-/// leaders that end one after the other, cancelled jobs whose machines hang. Owns the counts.
+/// Faults that affect many machines, leaders or jobs at once (docs/combined-failures.md): outbound
+/// partitions of one machine, of a zone or of all machines; zones partitioned in both directions;
+/// no leader for longer than a lease; chains of failovers; cancelled jobs whose machines hang. Owns
+/// the counts of these faults.
 #pragma once
 
 #include "simulation/job_registry.hpp"
 
 namespace violetpulley::core::simulated {
 
-/// How often each of the correlated faults began.
+/// Number of injected faults of each kind.
 struct CorrelatedFaultCounts {
   std::size_t outbound_partitions = 0;
   std::size_t zone_partitions = 0;
@@ -24,7 +25,7 @@
                    JobRegistry& jobs, AgentFleet& fleet)
       : environment_(environment), store_(store), leaders_(leaders), jobs_(jobs), fleet_(fleet) {}
 
-  /// One step: each fault begins with its probability.
+  /// Advances by one step: each fault begins with its probability.
   void step();
   const CorrelatedFaultCounts& counts() const { return counts_; }
 
--- a/tests/simulation/diagnosis.cpp
+++ b/tests/simulation/diagnosis.cpp
@@ -5,7 +5,7 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-// The token of the leader that made an attempt is in its upper bits.
+// The upper bits of an attempt hold the fencing token of the leader that created the attempt.
 constexpr unsigned kAttemptTokenShift = 24;
 
 }  // namespace
@@ -16,8 +16,8 @@
 
 std::string Diagnosis::describe(const SimulatedAgent& agent) const {
   std::ostringstream text;
-  text << agent.id << ", heartbeat answered that was sent " << seconds_since(agent.lease_renewed)
-       << " s ago; seconds since the end of its hang " << seconds_since(agent.hangs_until)
+  text << agent.id << ", latest answered heartbeat sent " << seconds_since(agent.lease_renewed)
+       << " s ago; seconds since the end of the hang " << seconds_since(agent.hangs_until)
        << ", inbound partition " << seconds_since(agent.inbound_partition_until)
        << ", outbound partition " << seconds_since(agent.outbound_partition_until) << "; token "
        << agent.token << ", epoch " << agent.epoch;
@@ -25,15 +25,15 @@
   if (leaders_.current() == nullptr) return text.str() + "; no leader";
   describe_leader(text);
   const auto* machine = leaders_.current()->controller->fleet().find(agent.id);
-  if (machine == nullptr) return text.str() + ", machine unknown";
+  if (machine == nullptr) return text.str() + ", machine unknown to the leader";
   describe_known_machine(text, *machine);
   return text.str();
 }
 
 void Diagnosis::describe_leader(std::ostream& text) const {
   const auto& leader = *leaders_.current();
-  text << "; leader " << leader.token << " since " << seconds_since(leaders_.elected_at()) << " s"
-       << (leader.leadership.may_serve(environment_.now()) ? "" : ", not serving")
+  text << "; leader " << leader.token << " elected " << seconds_since(leaders_.elected_at())
+       << " s ago" << (leader.leadership.may_serve(environment_.now()) ? "" : ", not serving")
        << (leader.controller->recovering() ? ", reconciling" : "");
 }
 
@@ -67,7 +67,7 @@
 
 void Diagnosis::describe_team_task(std::ostream& text, const TaskKey& key, Attempt attempt) const {
   text << "\n"
-       << key.job << "/" << key.index << " of " << facts_.specs.at(key.job).per_task.cpus
+       << key.job << "/" << key.index << " with CPUs " << facts_.specs.at(key.job).per_task.cpus
        << ", attempt of leader " << (attempt >> kAttemptTokenShift)
        << (store_.jobs.contains(key.job) ? "" : ", not open")
        << (facts_.cancelled_at.contains(key.job) ? ", cancelled" : "");
@@ -77,7 +77,8 @@
   const auto& spec = facts_.specs.at(key.job);
   std::ostringstream text;
   text << key.job << "/" << key.index << (spec.shape == Shape::service ? " (service)" : "")
-       << " of team " << spec.team << " at " << seconds_since(*environment_.faults_ended()) << " s";
+       << " of team " << spec.team << ", " << seconds_since(*environment_.faults_ended())
+       << " s after the faults";
   if (leaders_.current() == nullptr) return text.str() + ", no leader";
   const auto& jobs = leaders_.current()->controller->jobs();
   const auto job = jobs.find(key.job);
@@ -105,8 +106,9 @@
 void Diagnosis::describe_waiting_jobs(std::ostream& text, const std::string& team) const {
   for (const auto& [id, job] : leaders_.current()->controller->jobs())
     if (job.spec().team == team && !job.waiting.empty())
-      text << "\n  " << id << (job.gang() ? " (gang)" : "") << " waits with " << job.waiting.size()
-           << " of " << job.tasks.size() << " of " << job.spec().per_task.cpus << ", opened "
+      text << "\n  " << id << (job.gang() ? " (gang)" : "")
+           << " has waiting tasks: " << job.waiting.size() << " of " << job.tasks.size()
+           << ", CPUs per task " << job.spec().per_task.cpus << ", opened "
            << seconds_since(job.opened_at) << " s ago";
 }
 
@@ -126,15 +128,15 @@
 
 void Diagnosis::describe_counted_task(std::ostream& text, const Machine& machine,
                                       const TaskKey& key, const Assignment& assignment) const {
-  text << "\n  counted, and not live: " << key.job << "/" << key.index << " on " << machine.id
-       << (assignment.reported ? ", seen" : "") << (assignment.stop ? ", stopped" : "")
-       << (assignment.orphaned ? ", orphaned" : "") << ", placed "
-       << seconds_since(assignment.placed) << " s ago"
+  text << "\n  counted by the leader, but not live: " << key.job << "/" << key.index << " on "
+       << machine.id << (assignment.reported ? ", reported" : "")
+       << (assignment.stop ? ", stopped" : "") << (assignment.orphaned ? ", orphaned" : "")
+       << ", placed " << seconds_since(assignment.placed) << " s ago"
        << (machine.releasing ? ", returned: " + machine.release_cause : "")
        << (machine.unacknowledged_since ? ", unacknowledged" : "")
        << (leaders_.current()->controller->commands().committed(key, assignment)
                ? ""
-               : ", its record is not committed")
+               : ", placement record not committed")
        << (machine.in_doubt_attempts.contains(assignment.attempt) ? ", in doubt" : "");
 }
 
@@ -143,7 +145,7 @@
   text << "\n  " << agent.id << " (" << agent.type << " in " << agent.zone << "): ";
   const auto* machine = leaders_.current()->controller->fleet().find(agent.id);
   if (machine == nullptr) {
-    text << "unknown";
+    text << "unknown to the leader";
     return;
   }
   const bool acknowledged = machine->last_acknowledged && !machine->unacknowledged_since;
--- a/tests/simulation/diagnosis.hpp
+++ b/tests/simulation/diagnosis.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Descriptions of a simulated world for the messages of broken rules. Holds no state.
+/// Texts that describe a simulated world in the messages of failed checks. Stateless.
 #pragma once
 
 #include <iosfwd>
@@ -8,20 +8,20 @@
 
 namespace violetpulley::core::simulated {
 
-/// Describes what happened to machines and tasks and what the leader knows of them.
+/// Describes the true state of machines and tasks and the state that the leader knows.
 class Diagnosis {
  public:
   Diagnosis(const Environment& environment, const Store& store, const Leaders& leaders,
             const AgentFleet& fleet, const JobFacts& facts)
       : environment_(environment), store_(store), leaders_(leaders), fleet_(fleet), facts_(facts) {}
 
-  /// A machine, and what the leader knows of it.
+  /// Describes a machine and the leader's state of it.
   std::string describe(const SimulatedAgent& agent) const;
-  /// The live tasks of a team and their machines.
+  /// Describes the live tasks of a team and their machines.
   std::string describe_team(const std::string& team) const;
-  /// A waiting task, and what the leader knows of it and of the machines that could run it.
+  /// Describes a waiting task, the leader's state of it, and the machines that could run it.
   std::string describe_waiting(const TaskKey& key, const ZoneCounts& zones) const;
-  /// The leader's summary and the unfinished jobs.
+  /// Describes the unfinished jobs; begins with the leader's summary.
   std::string describe_jobs() const;
 
  private:
--- a/tests/simulation/environment.cpp
+++ b/tests/simulation/environment.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kMessageLoss = 0.03;
-// Any pair of numbers that keeps the two generators apart for all seeds in use.
+// Keep the seeds of the two generators different for every seed in use; the values are arbitrary.
 constexpr std::uint64_t kOptionalFaultSeedFactor = 7919;
 constexpr std::uint64_t kOptionalFaultSeedOffset = 17;
 
--- a/tests/simulation/environment.hpp
+++ b/tests/simulation/environment.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Time, chance and pending events of a simulated world. Owns the clock, the random generators and
-/// the event queue.
+/// Clock, random draws and event queue of a simulated world. Owns the simulated time, the seeded
+/// random generators and the pending events.
 #pragma once
 
 #include <functional>
@@ -13,49 +13,51 @@
 namespace violetpulley::core::simulated {
 
 /// Clock, event queue and seeded random draws. Equal seeds and equal sequences of calls give equal
-/// worlds. The draws of the operators' faults come from a generator of their own, so that worlds
-/// without these faults stay as they were before the faults were added.
+/// worlds. Optional faults (production, combined and correlated faults) draw from a second
+/// generator, so that a seed gives the same world without optional faults however many kinds of
+/// them exist.
 class Environment {
  public:
   using Callback = std::function<void()>;
 
   explicit Environment(std::uint64_t seed);
 
-  /// Present time of the world.
+  /// Current simulated time.
   TimePoint now() const { return now_; }
-  /// Present time of day, which runs with the steady clock.
+  /// Current time of day; advances with `now()`.
   WallTime wall_now() const;
-  /// Moves the clock on by `kStep` and calls what has become due, in the order of its times.
+  /// Advances the clock by `kStep` and calls the events that are due, in the order of their times.
   void advance();
   /// Calls `callback` once `delay` has passed.
   void after(Seconds delay, Callback callback);
 
-  /// True with that probability.
+  /// Draws true with the given probability.
   bool chance(double probability);
-  /// An evenly distributed number.
+  /// Draws from the uniform distribution over [low, high).
   double uniform(double low, double high);
-  /// An evenly distributed length of time.
+  /// Draws a number of seconds from the uniform distribution over [low, high).
   Seconds uniform_seconds(double low, double high) { return Seconds(uniform(low, high)); }
 
-  /// Switches the draws of the operators' faults on.
+  /// Enables the optional faults and seeds their generator.
   void enable_optional_faults(std::uint64_t seed);
   bool optional_faults_enabled() const { return optional_faults_enabled_; }
-  /// True with that probability; false, without a draw, unless operators' faults are on.
+  /// Draws true with the given probability from the generator of the optional faults. Returns false
+  /// without a draw if optional faults are disabled or the injection of faults has ended.
   bool optional_fault_chance(double probability);
-  /// An evenly distributed number from the generator of the operators' faults.
+  /// As `uniform`, from the generator of the optional faults.
   double optional_fault_uniform(double low, double high);
-  /// An evenly distributed length of time from the generator of the operators' faults.
+  /// As `uniform_seconds`, from the generator of the optional faults.
   Seconds optional_fault_seconds(double low, double high) {
     return Seconds(optional_fault_uniform(low, high));
   }
 
   /// Whether faults are injected.
   bool faults_active() const { return !faults_ended_; }
-  /// Injects no further faults; those that have begun may last on.
+  /// Stops the injection of faults. Faults that have begun last until their own end.
   void end_faults() { faults_ended_ = now_; }
-  /// When the injection of faults was ended; none while it goes on.
+  /// When the injection of faults ended; empty while faults are injected.
   std::optional<TimePoint> faults_ended() const { return faults_ended_; }
-  /// Probability with which a message is lost.
+  /// Probability that a message is lost; 0 once the injection of faults has ended.
   double message_loss() const;
 
  private:
--- a/tests/simulation/fleet_agents.cpp
+++ b/tests/simulation/fleet_agents.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kFirstMachineNumber = 100000;
 constexpr std::chrono::milliseconds kExitReportDelay{500};
 constexpr std::chrono::seconds kNextNodeDelay{1};
-constexpr double kMinRunTimeFactor = 0.7;  // of the planned run time
+constexpr double kMinRunTimeFactor = 0.7;  // of the configured run time
 constexpr double kMaxRunTimeFactor = 1.3;
 
 }  // namespace
--- a/tests/simulation/fleet_agents.hpp
+++ b/tests/simulation/fleet_agents.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The machines of a fleet simulation and the agents on them. Owns the agents and their tasks.
+/// The machines of a fleet simulation and their agents. Owns the agents and the tasks on them.
 #pragma once
 
 #include <deque>
@@ -27,11 +27,11 @@
   std::uint64_t epoch = 1;
   std::uint64_t heartbeat_sequence = 0;
   FencingToken token = 0;
-  std::size_t node = 0;                   ///< the controller of its heartbeats
-  bool connected = false;                 ///< to that controller
+  std::size_t node = 0;                   ///< index of the controller it sends heartbeats to
+  bool connected = false;                 ///< to `node`
   std::uint64_t heartbeat_in_flight = 0;  ///< number of the heartbeat that is not answered; 0: none
   TimePoint next_heartbeat{};
-  TimePoint lease_renewed{};  ///< sending time of the newest heartbeat that was answered
+  TimePoint lease_renewed{};  ///< sending time of the latest answered heartbeat
   std::map<TaskKey, AgentTask> tasks;
 
   /// Whether the machine is dead or hangs.
@@ -50,17 +50,17 @@
   /// Zones of the fleet.
   static const std::vector<std::string>& zones();
 
-  /// One step of the agent. True if its next heartbeat is due.
+  /// Advances the agent by one step. Returns true if its next heartbeat is due.
   bool step(FleetAgent& agent);
-  /// Carries a command out; a second live attempt of a task fails the test.
+  /// Executes a command. A second live attempt of a task fails the test.
   void execute(FleetAgent& agent, const Command& command);
-  /// The machine dies, with its tasks.
+  /// Marks the machine as dead and drops its tasks.
   void kill(FleetAgent& agent);
-  /// Closes the connection of the agent's heartbeats.
+  /// Closes the agent's heartbeat connection.
   void disconnect(FleetAgent& agent);
-  /// The agent tries the next controller after a second.
+  /// Makes the agent try the next controller after `kNextNodeDelay`.
   void move_to_next_node(FleetAgent& agent);
-  /// The controller has ended, and its connections with it.
+  /// Closes the heartbeat connections to a controller whose process has ended.
   void disconnect_agents_of(std::size_t node);
 
  private:
@@ -72,9 +72,9 @@
   FleetNodes& nodes_;
   const FleetConfig& config_;
   FleetResult& result_;
-  std::deque<FleetAgent> agents_;  // callbacks hold references
+  std::deque<FleetAgent> agents_;  // a deque, since callbacks hold references
   std::unordered_map<MachineId, std::size_t> index_;
-  std::map<TaskKey, MachineId> started_on_;  // last machine of each task
+  std::map<TaskKey, MachineId> started_on_;  // machine of the latest attempt
 };
 
 }  // namespace violetpulley::core::fleet_simulation
--- a/tests/simulation/fleet_environment.hpp
+++ b/tests/simulation/fleet_environment.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Time, chance and pending events of a fleet simulation. Owns the clock, the random generator and
-/// the event queue.
+/// Clock, random draws and event queue of a fleet simulation. Owns the simulated time, the seeded
+/// random generator and the pending events.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,8 @@
 
 namespace violetpulley::core::fleet_simulation {
 
-/// Clock and event queue. Events are called at their own times, between the steps.
+/// Clock, event queue and seeded random draws. While an event is called, `now()` is the time of the
+/// event, which may lie between two steps.
 class FleetEnvironment {
  public:
   using Callback = std::function<void()>;
@@ -19,13 +20,13 @@
   explicit FleetEnvironment(std::uint64_t seed);
 
   TimePoint now() const { return now_; }
-  /// Moves the clock on by a step and calls what has become due, in the order of its times.
+  /// Advances the clock by one step and calls the events that are due, in the order of their times.
   void advance();
   /// Calls `callback` once `delay` has passed.
   void after(Seconds delay, Callback callback);
-  /// An evenly distributed number.
+  /// Draws from the uniform distribution over [low, high).
   double uniform(double low, double high);
-  /// An evenly distributed length of time.
+  /// Draws a number of seconds from the uniform distribution over [low, high).
   Seconds uniform_seconds(double low, double high) { return Seconds(uniform(low, high)); }
 
  private:
--- a/tests/simulation/fleet_heartbeats.cpp
+++ b/tests/simulation/fleet_heartbeats.cpp
@@ -3,7 +3,7 @@
 namespace violetpulley::core::fleet_simulation {
 namespace {
 
-constexpr Seconds kHeartbeatTimeout{4};  // of a heartbeat
+constexpr Seconds kHeartbeatTimeout{4};
 constexpr std::chrono::milliseconds kNewLeaderHeartbeatDelay{500};
 constexpr double kMaxRedirectionDelay = 0.5;  // seconds
 constexpr double kMinIntervalFactor = 0.75;   // of the heartbeat interval
--- a/tests/simulation/fleet_heartbeats.hpp
+++ b/tests/simulation/fleet_heartbeats.hpp
@@ -1,13 +1,13 @@
 /// @file
-/// The way of heartbeats from the agents to the leader in a fleet simulation: connections,
-/// refusals, redirections and timeouts. Owns the number of the last heartbeat.
+/// Heartbeats from the agents to the leader of a fleet simulation: connections, refusals,
+/// redirections and timeouts. Owns the number of heartbeats sent.
 #pragma once
 
 #include "simulation/fleet_leader.hpp"
 
 namespace violetpulley::core::fleet_simulation {
 
-/// Sends heartbeats.
+/// Delivers heartbeats and applies the responses.
 class FleetHeartbeats {
  public:
   FleetHeartbeats(FleetEnvironment& environment, FleetNodes& nodes, FleetAgents& agents,
@@ -18,9 +18,10 @@
   void send(FleetAgent& agent);
 
  private:
-  /// False if the controller is down or has no socket left.
+  /// Opens the heartbeat connection. Returns false if the controller is down or out of sockets.
   bool connect(FleetAgent& agent);
-  /// The controller does not lead: it names the leader, or the agent tries the next controller.
+  /// Handles the response of a controller that does not lead: the agent follows the redirection to
+  /// the leader, or tries the next controller if no leader is known.
   void redirect(FleetAgent& agent);
   void receive(FleetAgent& agent, std::uint64_t number, TimePoint sent, const Heartbeat& heartbeat);
   void time_out(FleetAgent& agent, std::uint64_t number);
--- a/tests/simulation/fleet_leader.cpp
+++ b/tests/simulation/fleet_leader.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kUnlimitedSockets = 1'000'000;
 constexpr std::chrono::seconds kFormerLeaseTime{45};
 constexpr Seconds kScaleInDelay{0.2};
-// Until a command batch to a silent machine is given up.
+// Timeouts of command batches without and with commands.
 constexpr Seconds kEmptyBatchTimeout{0.7};
 constexpr Seconds kBatchTimeout{2.5};
 
@@ -64,7 +64,7 @@
   settings.teams = {{"blue", 0, 0, 0, 0}};
   settings.workers = kAgentTimes;
   settings.cloud_calls_per_s = kCloudCallsPerSecond;
-  settings.sockets = {config_.configures_sockets ? config_.sockets : kUnlimitedSockets,
+  settings.sockets = {config_.configures_sockets ? config_.sockets_per_node : kUnlimitedSockets,
                       config_.nodes};
   return settings;
 }
@@ -143,7 +143,7 @@
   });
 }
 
-// `heartbeat`: null if no answer came.
+// `heartbeat`: the answer; null if none came.
 void FleetLeader::commands_answered(const MachineId& id, FencingToken token,
                                     const Heartbeat* heartbeat) {
   if (!controller_ || token != token_) return;
--- a/tests/simulation/fleet_leader.hpp
+++ b/tests/simulation/fleet_leader.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// The leader of a fleet simulation. Owns its core, what the store holds, and the load on its
-/// processor.
+/// The leader of a fleet simulation. Owns the leader's core and the contents of the store.
 #pragma once
 
 #include <functional>
@@ -10,27 +9,28 @@
 
 namespace violetpulley::core::fleet_simulation {
 
-/// Runs the core on a controller and carries its actions out.
+/// Runs the core on a controller and executes its actions.
 class FleetLeader {
  public:
   FleetLeader(FleetEnvironment& environment, FleetNodes& nodes, FleetAgents& agents,
               const FleetConfig& config, FleetResult& result);
 
-  /// Makes the controller the leader: a new core recovers from the store.
+  /// Makes the controller the leader. A new core recovers from the store.
   void elect(std::size_t node);
-  /// The leader's process ends; the statistics of its core are kept.
+  /// Ends the leader's process, and copies the statistics of its core to the result.
   void end();
   bool exists() const { return controller_ != nullptr; }
-  /// The core; there must be a leader.
+  /// Returns the core. Requires `exists()`.
   Controller& controller() { return *controller_; }
   FencingToken token() const { return token_; }
-  /// One step, if the processor has come to the end of its work.
+  /// Advances the core by one step, unless the processor is still busy with earlier events.
   void step();
-  /// Calls `handle` once the processor has come to it, unless the leader has ended by then.
+  /// Calls `handle` once the processor is free for the event. Drops the event if the leader has
+  /// ended by then.
   void queue_event(FleetEnvironment::Callback handle);
-  /// From here on the cloud returns no machines, or returns them again.
+  /// Sets whether the cloud fails all requests to return machines.
   void set_cloud_down(bool down) { cloud_down_ = down; }
-  /// Takes the statistics of the core over into the outcome.
+  /// Copies the statistics of the core to the result.
   void copy_statistics();
 
  private:
--- a/tests/simulation/fleet_nodes.cpp
+++ b/tests/simulation/fleet_nodes.cpp
@@ -5,7 +5,7 @@
 namespace violetpulley::core::fleet_simulation {
 namespace {
 
-constexpr std::size_t kOtherSockets = 40;  // to the store, to peers, for users
+constexpr std::size_t kOtherSockets = 40;  // connections to the store, to peers and from users
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 }
 
 bool FleetNodes::admit_connection(std::size_t index) {
-  if (nodes_[index].sockets() < config_.sockets) return true;
+  if (nodes_[index].sockets() < config_.sockets_per_node) return true;
   ++result_.refused_connections;
   return false;
 }
--- a/tests/simulation/fleet_nodes.hpp
+++ b/tests/simulation/fleet_nodes.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The controllers' sockets and processors in a fleet simulation. Owns the connections' counts.
+/// Sockets and processors of the controllers in a fleet simulation. Owns the counts of open
+/// connections and the command connections.
 #pragma once
 
 #include <map>
@@ -12,7 +13,7 @@
 
 /// A connection from the leader to an agent.
 struct CommandConnection {
-  std::uint64_t last_used = 0;  ///< number of the last command batch
+  std::uint64_t last_used = 0;  ///< number of the latest command batch on it
   bool busy = false;            ///< a command batch is unanswered
 };
 
@@ -21,13 +22,13 @@
   bool up = true;
   std::size_t heartbeat_connections = 0;  ///< opened by agents
   std::map<MachineId, CommandConnection> command_connections;
-  TimePoint busy_until{};  ///< of the processor
+  TimePoint busy_until{};  ///< when the processor has handled all queued events
 
   /// Sockets in use.
   std::size_t sockets() const;
 };
 
-/// All controllers; one of them leads or is to lead.
+/// All controllers. One of them leads, or is the next to lead.
 class FleetNodes {
  public:
   FleetNodes(const FleetConfig& config, FleetResult& result)
@@ -37,20 +38,21 @@
   Node& at(std::size_t index) { return nodes_[index]; }
   Node& leading() { return nodes_[leading_]; }
   std::size_t leading_index() const { return leading_; }
-  /// The controller after that one.
+  /// Index of the next controller, in a ring.
   std::size_t next(std::size_t index) const { return (index + 1) % nodes_.size(); }
-  /// The controller leads from now on.
+  /// Makes a controller the leader.
   void lead(std::size_t index);
-  /// Ends the process, with all of its connections.
+  /// Ends a controller's process and closes all of its connections.
   void end(std::size_t index);
 
-  /// Whether a connection more can be opened; a refusal is counted.
+  /// Whether the controller has a free socket for one more connection. Counts refusals.
   bool admit_connection(std::size_t index);
-  /// Counts the sockets in use.
+  /// Updates the peak of the sockets in use.
   void update_peak_sockets(std::size_t index);
-  /// Opens a command connection of the leader or uses the open one. False: no socket is left.
+  /// Opens a command connection from the leader to the machine, or reuses the open one. Returns
+  /// false if no socket is left.
   bool acquire_command_connection(const MachineId& id, std::size_t max_connections);
-  /// A command batch was answered or was given up.
+  /// Marks the connection as idle after the command batch was answered or has timed out.
   void release_command_connection(const MachineId& id, std::size_t max_connections);
 
  private:
--- a/tests/simulation/fleet_simulation.cpp
+++ b/tests/simulation/fleet_simulation.cpp
@@ -8,7 +8,7 @@
 constexpr Seconds kRestartTime{3};
 constexpr Seconds kElectionTime{0.35};
 constexpr Seconds kElectionTimeAfterRestart{3.4};
-// Spread the chosen machines over the fleet.
+// Strides and offsets that spread the affected machines over the fleet.
 constexpr std::size_t kKilledStride = 37;
 constexpr std::size_t kKilledOffset = 5;
 constexpr std::size_t kHungStride = 41;
--- a/tests/simulation/fleet_simulation.hpp
+++ b/tests/simulation/fleet_simulation.hpp
@@ -1,16 +1,17 @@
 /// @file
-/// A fleet of thousands of machines, with what the small simulation (world.hpp) leaves out and what
-/// a burst of connections consists of: sockets of each controller, counted in and out, refusals
-/// when they are gone, an agent's one heartbeat connection with its timeout of 4 s, the next
-/// controller after 1 s, redirections, and a processor that falls behind. Controllers end, machines
-/// die, and `ran_twice` is checked at every start. Owns all parts of the simulation.
+/// Simulation of a fleet of thousands of machines, for bursts of connections after failovers.
+/// Unlike the simulated world (world.hpp), it models the sockets of each controller with refusals
+/// when none is free, one heartbeat connection per agent with a timeout of 4 s, a switch to the
+/// next controller after 1 s, redirections, and a processor that can fall behind. Controllers end,
+/// machines die, and the rule `ran_twice` is checked at every start of a task. Owns all parts of
+/// the simulation.
 #pragma once
 
 #include "simulation/fleet_heartbeats.hpp"
 
 namespace violetpulley::core::fleet_simulation {
 
-/// Which controllers end.
+/// Which controllers' processes end.
 enum class EndedNodes { leader, all };
 
 /// One simulated fleet.
@@ -18,18 +19,19 @@
  public:
   explicit FleetSimulation(FleetConfig config, std::uint64_t seed = 1);
 
-  /// Lets the fleet run for that long, or until a rule is broken.
+  /// Runs the simulation for `length`, or until a check fails.
   void run(Seconds length);
-  /// The leader's process ends; the next controller wins the key a little later. With
-  /// `EndedNodes::all` the others end too, and come back after three seconds.
+  /// Ends the leader's process; the next controller is elected after `kElectionTime`. With
+  /// `EndedNodes::all`, all controllers end and the election takes place after their restart, 3 s
+  /// later.
   void end_leader(EndedNodes ended = EndedNodes::leader);
-  /// So many machines die.
+  /// Kills `count` machines, spread over the fleet.
   void kill_machines(std::size_t count);
-  /// So many machines hang for that long.
+  /// Makes `count` machines, spread over the fleet, hang for `length`.
   void hang_machines(std::size_t count, Seconds length);
-  /// From here on the cloud returns no machines.
+  /// Makes the cloud fail all further requests to return machines.
   void take_cloud_down() { leader_.set_cloud_down(true); }
-  /// The results so far.
+  /// Returns the results so far.
   FleetResult result();
 
  private:
--- a/tests/simulation/fleet_simulation_test.cpp
+++ b/tests/simulation/fleet_simulation_test.cpp
@@ -33,7 +33,8 @@
   }
   fleet.run(Seconds(30));
   const auto result = fleet.result();
-  std::cout << config.machines << " machines, " << config.sockets << " sockets: " << result;
+  std::cout << config.machines << " machines, " << config.sockets_per_node
+            << " sockets: " << result;
   return result;
 }
 
@@ -42,7 +43,7 @@
   const auto result = run_with_failovers(config, 3);
   EXPECT_EQ(result.attempts_ended_by_lease, 0U);
   EXPECT_EQ(result.refused_connections, 0U);
-  EXPECT_LT(result.peak_sockets, config.sockets * 9 / 10);
+  EXPECT_LT(result.peak_sockets, config.sockets_per_node * 9 / 10);
   EXPECT_GT(result.completed, config.machines * config.tasks_per_machine);
 }
 
@@ -55,7 +56,7 @@
   config.run_time = Seconds(80);  // long enough to be caught by the lease
   const auto result = run_with_failovers(config, 3);
   EXPECT_GT(result.attempts_ended_by_lease, config.machines);
-  EXPECT_GE(result.peak_sockets, config.sockets);
+  EXPECT_GE(result.peak_sockets, config.sockets_per_node);
 }
 
 // All controllers end, again and again.
@@ -63,16 +64,16 @@
   FleetConfig config;
   const auto result = run_with_failovers(config, 3, EndedNodes::all);
   EXPECT_EQ(result.attempts_ended_by_lease, 0U);
-  EXPECT_LT(result.peak_sockets, config.sockets * 9 / 10);
+  EXPECT_LT(result.peak_sockets, config.sockets_per_node * 9 / 10);
 }
 
 // Twice as many machines as sockets: slower, but no machine is shut out for a lease.
 TEST(FleetSimulation, NoLeaseExpiresWithTwiceAsManyMachinesAsSockets) {
   FleetConfig config;
-  config.sockets = config.machines / 2;
+  config.sockets_per_node = config.machines / 2;
   const auto result = run_with_failovers(config, 2);
   EXPECT_EQ(result.attempts_ended_by_lease, 0U);
-  EXPECT_LE(result.peak_sockets, config.sockets);
+  EXPECT_LE(result.peak_sockets, config.sockets_per_node);
   EXPECT_GT(result.completed, config.machines * config.tasks_per_machine);
 }
 
@@ -141,7 +142,7 @@
   for (const std::size_t machines : {100, 1000, 2000, 5000}) {
     FleetConfig config;
     config.machines = machines;
-    config.sockets = machines * 17 / 10;
+    config.sockets_per_node = machines * 17 / 10;
     run_with_failovers(config, 2);
     run_with_failovers(config, 2, EndedNodes::all);
   }
--- a/tests/simulation/gang_runner.cpp
+++ b/tests/simulation/gang_runner.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr std::chrono::milliseconds kChangeReportDelay{300};
-constexpr double kMinRunTimeFactor = 0.5;  // of the estimate
+constexpr double kMinRunTimeFactor = 0.5;  // of the job's estimate
 constexpr double kMaxRunTimeFactor = 1.6;
 constexpr Seconds kMinRunTime{0.5};
-constexpr double kMinNoticeTime = 0.2;  // seconds, that a task of the gang has ended
+constexpr double kMinNoticeTime = 0.2;  // seconds until peers notice a missing task
 
 }  // namespace
 
--- a/tests/simulation/gang_runner.hpp
+++ b/tests/simulation/gang_runner.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The parallel programs of a simulated world's gangs. Owns no task.
+/// Behaviour of the gangs of a simulated world. Owns no task.
 #pragma once
 
 #include <vector>
@@ -8,14 +8,14 @@
 
 namespace violetpulley::core::simulated {
 
-/// Tasks of a gang's attempt start together, complete together, and notice when one of them is
-/// gone.
+/// Runs the attempts of gangs: their tasks start together, complete together, and exit some time
+/// after one of them is missing.
 class GangRunner {
  public:
   GangRunner(Environment& environment, AgentFleet& fleet, JobFacts& facts)
       : environment_(environment), fleet_(fleet), facts_(facts) {}
 
-  /// One step of all gangs.
+  /// Advances all gangs by one step.
   void step();
 
  private:
@@ -31,7 +31,7 @@
   std::size_t count(const Members& members, TaskState state) const;
   void start(const GangAttempt& name, const JobSpec& spec, Members& members, GangRun& run);
   void update(const GangAttempt& name, const JobSpec& spec, Member& member, const GangRun& run);
-  /// Ends the task, unless its machine hangs.
+  /// Marks the task as exited, unless its machine hangs.
   void end(Member& member, ExitCause cause);
 
   Environment& environment_;
--- a/tests/simulation/job_registry.hpp
+++ b/tests/simulation/job_registry.hpp
@@ -1,25 +1,24 @@
 /// @file
-/// Opens, cancels and closes jobs in the store and publishes the changes to the leader. Owns no
-/// state.
+/// Opens, cancels and closes jobs in the store and publishes the changes to the leader. Stateless.
 #pragma once
 
 #include "simulation/leaders.hpp"
 
 namespace violetpulley::core::simulated {
 
-/// Changes of the store's unfinished jobs, as the controllers confirm them to users.
+/// Changes the unfinished jobs in the store, as controllers do before they respond to users.
 class JobRegistry {
  public:
   JobRegistry(Environment& environment, Store& store, Leaders& leaders, JobFacts& facts)
       : environment_(environment), store_(store), leaders_(leaders), facts_(facts) {}
 
-  /// Accepts a job.
+  /// Stores a submitted job.
   void open(const JobSpec& spec);
-  /// Confirms a cancellation, unless the store is down.
+  /// Cancels a job and records the time of the confirmation. Does nothing while the store is down.
   void cancel(const JobId& id);
-  /// Cancels the first job of the store; nothing if there is none or the store is down.
+  /// Cancels the first job in the store. Does nothing if there is none or the store is down.
   void cancel_first();
-  /// Removes a job that is done or cancelled.
+  /// Removes a completed or cancelled job from the store.
   void close(const JobId& id);
   bool is_open(const JobId& id) const { return store_.jobs.contains(id); }
 
