--- a/tests/simulation/fleet_simulation_test.cpp
+++ b/tests/simulation/fleet_simulation_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// What a new leader does to a fleet of thousands: connections, commands, and what is lost by it.
+/// Tests of failovers in a fleet of thousands of machines: connections, commands, lost work and
+/// recovery time.
 #include "simulation/fleet_simulation.hpp"
 
 #include <gtest/gtest.h>
@@ -12,17 +13,18 @@
 
 std::ostream& operator<<(std::ostream& out, const FleetResult& result) {
   return out << "started " << result.started_attempts << " done " << result.completed
-             << " killed by lease " << result.attempts_ended_by_lease << " most sockets "
+             << " ended by lease " << result.attempts_ended_by_lease << " peak sockets "
              << result.peak_sockets << " refused " << result.refused_connections
-             << " most command batches a second " << result.max_commands_per_second
+             << " peak command batches per second " << result.max_commands_per_second
              << " requested machines " << result.requested_machines << " returned "
              << result.returned_machines << " recovered after " << result.recovery_time.count()
              << " s, blocked on reconciliation " << result.reconciliation_cost.total().count()
-             << " task-s, adopted " << result.stats.adopted << ", longest wait for the processor "
-             << result.max_event_delay.count() << " s\n";
+             << " task-s, adopted " << result.stats.adopted
+             << ", longest wait of an event for the processor " << result.max_event_delay.count()
+             << " s\n";
 }
 
-// A fleet that runs, then failovers every eight seconds.
+// Runs a fleet and ends its leader `times` times, every 8 s.
 FleetResult run_with_failovers(const FleetConfig& config, int times,
                                EndedNodes ended = EndedNodes::leader) {
   FleetSimulation fleet(config);
@@ -47,19 +49,20 @@
   EXPECT_GT(result.completed, config.machines * config.tasks_per_machine);
 }
 
-// As it was before: the connections that a failover's burst opens stay open, and the sockets are
-// not shared out. Shows that this fleet would reveal the fault.
+// Negative control for the other tests: if command connections stay open and the core does not know
+// the number of sockets, the burst of connections after a failover takes the sockets that the
+// agents need for heartbeats, and leases expire.
 TEST(FleetSimulation, LeasesExpireAfterFailoversWithoutConnectionLimits) {
   FleetConfig config;
   config.configures_sockets = false;
   config.closes_command_connections = false;
-  config.run_time = Seconds(80);  // long enough to be caught by the lease
+  config.run_time = Seconds(80);  // long enough for attempts to be live when a lease expires
   const auto result = run_with_failovers(config, 3);
   EXPECT_GT(result.attempts_ended_by_lease, config.machines);
   EXPECT_GE(result.peak_sockets, config.sockets_per_node);
 }
 
-// All controllers end, again and again.
+// All controllers end three times in a row.
 TEST(FleetSimulation, RestartsOfAllControllersExpireNoLease) {
   FleetConfig config;
   const auto result = run_with_failovers(config, 3, EndedNodes::all);
@@ -67,7 +70,8 @@
   EXPECT_LT(result.peak_sockets, config.sockets_per_node * 9 / 10);
 }
 
-// Twice as many machines as sockets: slower, but no machine is shut out for a lease.
+// With half as many sockets as machines, heartbeats are slower, but every machine gets a connection
+// before its lease expires.
 TEST(FleetSimulation, NoLeaseExpiresWithTwiceAsManyMachinesAsSockets) {
   FleetConfig config;
   config.sockets_per_node = config.machines / 2;
@@ -77,20 +81,22 @@
   EXPECT_GT(result.completed, config.machines * config.tasks_per_machine);
 }
 
-// A leader that needs most of a second to handle a heartbeat of every machine probes more slowly.
+// With 1 ms per event, a leader needs 2 s for one heartbeat of each machine and must send its
+// queries more slowly.
 TEST(FleetSimulation, ASlowLeaderExpiresNoLeaseAndReturnsNoMachine) {
   FleetConfig config;
   config.event_processing_time = std::chrono::milliseconds(1);
   config.backlog_share = 2;  // the fleet stays full
   const auto result = run_with_failovers(config, 3);
   EXPECT_EQ(result.attempts_ended_by_lease, 0U);
-  EXPECT_EQ(result.returned_machines, 0U) << "all of them are alive";
-  EXPECT_LT(result.max_event_delay, Seconds(4)) << "an agent's timeout";
+  EXPECT_EQ(result.returned_machines, 0U) << "all machines are alive";
+  EXPECT_LT(result.max_event_delay, Seconds(4)) << "timeout of a heartbeat";
 }
 
 enum class CloudState { up, down };
 
-// All controllers end and so many machines are dead when the next leader is elected.
+// Kills `dead` machines and ends all controllers, so that the next leader finds the machines
+// silent.
 FleetResult run_with_dead_machines(std::size_t dead, CloudState cloud) {
   const bool down = cloud == CloudState::down;
   FleetConfig config;
@@ -108,8 +114,8 @@
   return result;
 }
 
-// Thousands of tasks wait for a few silent machines: these are returned after a second or two, not
-// after five.
+// The waiting tasks cost more than the silent machines, so the leader returns these machines within
+// 3 s of its election instead of waiting longer for them.
 TEST(FleetSimulation, SilentMachinesAreDeclaredDeadWhenWaitingCostsMore) {
   const auto result = run_with_dead_machines(20, CloudState::up);
   EXPECT_GE(result.stats.declared_dead, 20U);
@@ -121,8 +127,8 @@
   EXPECT_GT(result.recovery_time, Seconds(30));
 }
 
-// Found on the bench: right after such a start 200 machines were requested while the whole fleet
-// was idle.
+// Guards against a fault where a leader requested machines right after its election although the
+// whole fleet was idle, because the fleet had not sent heartbeats yet.
 TEST(FleetSimulation, NoMachineIsRequestedBeforeTheFleetIsKnown) {
   FleetConfig config;
   config.backlog_share = -0.5;  // tasks for half of the fleet's capacity
@@ -136,9 +142,10 @@
   EXPECT_EQ(result.started_attempts, config.machines * config.tasks_per_machine / 2);
 }
 
-// For docs/reconciliation.md, by hand: VIOLETPULLEY_STORM_SIZES=1.
+// Prints the figures for docs/reconciliation.md. Runs only with VIOLETPULLEY_STORM_SIZES=1.
 TEST(FleetSimulation, PrintsFailoverFiguresOfSeveralFleetSizes) {
-  if (std::getenv("VIOLETPULLEY_STORM_SIZES") == nullptr) GTEST_SKIP() << "a long run by hand";
+  if (std::getenv("VIOLETPULLEY_STORM_SIZES") == nullptr)
+    GTEST_SKIP() << "long run by hand; set VIOLETPULLEY_STORM_SIZES=1 to run it";
   for (const std::size_t machines : {100, 1000, 2000, 5000}) {
     FleetConfig config;
     config.machines = machines;
--- a/tests/simulation/leaders.cpp
+++ b/tests/simulation/leaders.cpp
@@ -9,13 +9,13 @@
 
 constexpr milliseconds kClockSkew{25};
 constexpr std::uint64_t kStoreLease = 1;
-// All changes closed so long ago have reached the core, unless the service stalls or is slow.
+// Changes older than this have reached the core, unless the state service is stalled or slow.
 constexpr milliseconds kBarrierAge{400};
-constexpr std::chrono::minutes kResignationPause{3};  // of isolated leaders
+constexpr std::chrono::minutes kResignationPause{3};  // after the resignation of an isolated leader
 constexpr double kFormerLeadersGoneChance = 0.5;
 constexpr double kRestartChance = 0.5;
-// Seconds from a leader's end to the next election; the shorter ones are of a process that is back
-// at once and ends its own lease.
+// Seconds from a leader's end to the next election. The restart delays apply to a process that
+// restarts at once and revokes its own store lease.
 constexpr double kMinElectionDelay = 0.1;
 constexpr double kMaxElectionDelay = 4;
 constexpr double kMinRestartDelay = 0.01;
@@ -40,7 +40,8 @@
       nullptr, Leadership(kAgentTimes, kClockSkew), store_.leader_token, false, false, {}});
   current_->leadership.won(store_.leader_token, kStoreLease, now);
   current_->leadership.record_read_barrier(now);
-  // Leaders may differ in whether they record starts; one that does not removes the mark.
+  // Leaders may differ in whether they commit starts. One that does not clears the mark that all
+  // placements are recorded.
   Tuning tuning;
   tuning.commit_starts =
       commit_policy_ == CommitPolicy::all_leaders ||
@@ -72,7 +73,8 @@
   return recovered;
 }
 
-// The other controllers say that they follow, unless one of them still leads behind a partition.
+// With a probability, reports that all other controllers follow the new leader, unless a former
+// leader still runs by then.
 void Leaders::announce_former_leaders_gone() {
   if (!environment_.chance(kFormerLeadersGoneChance)) return;
   environment_.after(environment_.uniform_seconds(0.1, 3), [this, token = current_->token] {
--- a/tests/simulation/leaders.hpp
+++ b/tests/simulation/leaders.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The controllers of a simulated world that lead, or that still do behind a partition. Owns their
-/// cores.
+/// The leader of a simulated world and the former leader that still runs behind a partition. Owns
+/// their cores and the learned state that is handed over.
 #pragma once
 
 #include <array>
@@ -14,26 +14,26 @@
 
 namespace violetpulley::core::simulated {
 
-/// The process of a leader and whom a partition lets the process reach.
+/// The process of a leader and what the process can reach.
 struct LeaderProcess {
   std::unique_ptr<Controller> controller;
   Leadership leadership;
   FencingToken token = 0;
-  bool partitioned = false;         ///< from the store, and from all agents but `reachable_agents`
-  bool reaches_all_agents = false;  ///< partitioned from store and peers, and from no agent
+  bool partitioned = false;         ///< from the store and all but `reachable_agents`
+  bool reaches_all_agents = false;  ///< partitioned only from the store and its peers
   std::set<MachineId> reachable_agents;
 };
 
-/// Receives what enters the current leader and what the leader asks for, as a history does.
+/// Receives the events and the actions of the current leader, as a history records them.
 struct Observer {
   std::function<void(FencingToken, TimePoint, const Event&)> event;
   std::function<void(FencingToken, TimePoint, const std::vector<Action>&, Controller&)> actions;
 };
 
-/// Which leaders commit starts of gangs and services before they send them.
+/// Which leaders store the placements of gangs and services before they send the start commands.
 enum class CommitPolicy { no_leader, two_of_three_leaders, all_leaders };
 
-/// Elects leaders, hands them events and collects their actions.
+/// Elects leaders, feeds them events and passes their actions to the action handler.
 class Leaders {
  public:
   using ActionHandler = std::function<void(LeaderProcess&, FencingToken, Action&)>;
@@ -41,46 +41,48 @@
   Leaders(Environment& environment, Store& store, const AgentFleet& fleet)
       : environment_(environment), store_(store), fleet_(fleet) {}
 
-  /// Sets what carries the leaders' actions out. Must be called before the first step.
+  /// Sets the handler that executes the leaders' actions. Must be called before the first step.
   void set_action_handler(ActionHandler handler) { handle_action_ = std::move(handler); }
   void set_commit_policy(CommitPolicy policy) { commit_policy_ = policy; }
-  /// From here on leaders hand their learned state on.
+  /// Makes each leader hand its learned state over to the next one.
   void enable_learned_state_handover() { learned_state_handover_enabled_ = true; }
-  /// Ends the leader; the next one is observed from its election on.
+  /// Ends the leader and elects another one, which is observed from its election on.
   void observe(Observer observer);
 
-  /// Makes a controller the leader, unless the store is down.
+  /// Elects a new leader. Does nothing while the store is down.
   void elect();
-  /// One step of the leaders.
+  /// Advances the leaders by one step, and elects one if an election is due.
   void step();
-  /// The leader's process ends or loses the key; the next election comes within seconds.
+  /// Ends the leader, as when its process crashes or loses the leader key. The next election
+  /// follows within seconds.
   void end_leader();
-  /// No leader is elected for that long.
+  /// Delays the next election until `delay` has passed.
   void delay_election(Seconds delay);
-  /// The leader resigns once its actions have been handled.
+  /// Makes the leader resign once its other actions have been handled.
   void resign(FencingToken token, bool isolated);
-  /// Saves the learned state of the leader, if leaders hand it on.
+  /// Saves the learned state of the leader if the handover is enabled.
   void save_learned_state();
-  /// Cuts the leader off from the store: it becomes the former leader and may go on for a while.
+  /// Partitions the leader from the store. The leader becomes the former leader and keeps running.
   LeaderProcess& partition_leader();
-  /// The former leader ends.
+  /// Ends the former leader.
   void end_former() { former_.reset(); }
 
-  /// The leader; null between two.
+  /// Returns the leader, or null before the next election.
   LeaderProcess* current() { return current_.get(); }
   const LeaderProcess* current() const { return current_.get(); }
-  /// The partitioned leader that goes on; null if there is none.
+  /// Returns the partitioned leader that still runs, or null if there is none.
   LeaderProcess* former() { return former_.get(); }
   const LeaderProcess* former() const { return former_.get(); }
   std::array<LeaderProcess*, 2> processes() { return {current_.get(), former_.get()}; }
-  /// The leader with that token; null once it has ended.
+  /// Returns the leader with that token, or null once the leader has ended.
   LeaderProcess* find(FencingToken token);
   void feed(LeaderProcess& leader, const Event& event);
-  /// Whether packets of the leader reach the machine.
+  /// Whether messages from the leader reach the machine.
   bool reaches(const LeaderProcess& leader, const MachineId& id) const;
-  /// The leader that the machine's heartbeats reach; may be null.
+  /// Returns the leader that receives the machine's heartbeats; may be null.
   LeaderProcess* receiver_of(const MachineId& id);
 
+  /// Whether a leader exists and no former leader still runs.
   bool has_single_leader() const { return current_ && !former_; }
   TimePoint elected_at() const { return elected_at_; }
   std::size_t elections() const { return elections_; }
@@ -103,7 +105,7 @@
   TimePoint next_election_{};
   TimePoint elected_at_{};
   FencingToken resigning_ = 0;            // 0: no leader resigns
-  std::optional<TimePoint> isolated_at_;  // when a leader resigned because it was isolated
+  std::optional<TimePoint> isolated_at_;  // latest resignation of an isolated leader
   std::size_t elections_ = 0;
   CommitPolicy commit_policy_ = CommitPolicy::no_leader;
   bool learned_state_handover_enabled_ = false;
--- a/tests/simulation/live_tasks.hpp
+++ b/tests/simulation/live_tasks.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The live tasks of a simulated world at one moment. Holds no state of its own.
+/// Snapshot of the live tasks of a simulated world. Stateless.
 #pragma once
 
 #include <vector>
@@ -8,22 +8,22 @@
 
 namespace violetpulley::core::simulated {
 
-/// Live tasks of all machines that exist, by machine, by zone and by team.
+/// Live tasks of all machines that have not been terminated, by machine, zone and team.
 struct LiveTasks {
-  /// A live attempt on a machine. The agent is valid until the fleet changes.
+  /// A live attempt on a machine. `agent` is valid until the fleet changes.
   struct Entry {
     TaskKey key;
     const SimulatedAgent* agent;
   };
 
-  std::vector<Entry> entries;  ///< in the order of the machines
+  std::vector<Entry> entries;  ///< ordered by machine
   std::set<TaskKey> keys;
   std::map<JobId, ZoneCounts> zones;
   std::map<std::string, double> team_cpus;
 
-  /// The zones of the job's live tasks; empty if the job has none.
+  /// Number of the job's live tasks in each zone; empty if the job has none.
   ZoneCounts zones_of(const JobId& id) const;
-  /// CPUs that the team's live tasks use.
+  /// CPUs in use by the team's live tasks.
   double cpus_of(const std::string& team) const;
 };
 
--- a/tests/simulation/liveness_checker.hpp
+++ b/tests/simulation/liveness_checker.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Work that waits beside free capacity after the last fault of a simulated world. Owns the waiting
-/// times.
+/// Detects tasks that wait although capacity is free, after the last fault of a simulated world.
+/// Owns the waiting times.
 #pragma once
 
 #include "simulation/diagnosis.hpp"
@@ -8,9 +8,9 @@
 
 namespace violetpulley::core::simulated {
 
-/// Measures for how long a task of an array or a service has waited beside a machine that fits, has
-/// capacity and works, its team being under its limit. Judges by the world itself, not by what the
-/// leader knows.
+/// Measures how long tasks of arrays and services wait although a working machine has capacity for
+/// them and the limit of their team allows them. Uses the true state of the world, not the state
+/// that the leader knows.
 class LivenessChecker {
  public:
   LivenessChecker(const Environment& environment, const AgentFleet& fleet, const Store& store,
@@ -22,15 +22,15 @@
         facts_(facts),
         diagnosis_(diagnosis) {}
 
-  /// Checks the world at the present step; while a fault lasts, all waiting times begin anew.
+  /// Checks the current step. While a fault lasts, all waiting times are reset.
   void check(const LiveTasks& live);
-  /// Longest such waiting time.
+  /// Longest waiting time.
   Seconds longest_wait() const { return longest_wait_; }
-  /// What is known of the task that waited longest; empty if its wait was short.
+  /// Describes the task that waited longest; empty if its wait was short.
   const std::string& wait_report() const { return wait_report_; }
 
  private:
-  /// Faults that began before the injection ended may last.
+  /// Whether a fault still has effects. Faults may outlast their injection.
   bool fault_lasts() const;
   void check_job(const JobSpec& spec, const LiveTasks& live, std::map<TaskKey, TimePoint>& waiting);
   bool has_capacity_for(const JobSpec& spec, const LiveTasks& live) const;
--- a/tests/simulation/network.cpp
+++ b/tests/simulation/network.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr Seconds kAnswerTimeout{2};
-constexpr double kLateCommandsChance = 0.5;            // lost packets that arrive much later
-constexpr double kCommandsAfterPartitionChance = 0.7;  // chance that they arrive after a partition
+constexpr double kLateCommandsChance = 0.5;            // lost batches that arrive much later
+constexpr double kCommandsAfterPartitionChance = 0.7;  // of blocked batches
 constexpr double kLateCopyChance = 0.03;
-constexpr double kMinLateCommandDelay = 2;  // seconds, of held commands
+constexpr double kMinLateCommandDelay = 2;  // seconds
 constexpr double kMinLateHeartbeatDelay = 5;
 constexpr double kMaxLateDelay = 40;
 constexpr double kMinLatency = 0.001;  // seconds
@@ -101,8 +101,8 @@
                      [this, heartbeat, sent] { receive(heartbeat, sent); });
 }
 
-// A copy arrives once more, from seconds to well over a lease later, whatever has become of the
-// machine and of the leader.
+// Delivers a duplicate after a delay of 1 s up to three leases. By then the machine may have ended
+// and another controller may lead.
 void Network::deliver_late_copy(const Heartbeat& heartbeat) {
   const auto delay = environment_.optional_fault_seconds(1, 3 * kAgentTimes.lease.count());
   environment_.after(delay, [this, heartbeat] {
@@ -113,7 +113,7 @@
   });
 }
 
-// The heartbeat arrives late, and its answer is dropped.
+// Delivers the heartbeat late and drops the answer.
 void Network::deliver_late(const Heartbeat& heartbeat) {
   environment_.after(environment_.uniform_seconds(kMinLateHeartbeatDelay, kMaxLateDelay),
                      [this, heartbeat] {
--- a/tests/simulation/network.hpp
+++ b/tests/simulation/network.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Messages between the leaders and the agents of a simulated world, with losses, delays, copies
-/// and partitions. Owns no agent and no leader.
+/// Messages between the leaders and the agents of a simulated world, with losses, delays,
+/// duplicates and partitions. Owns only counts of faults.
 #pragma once
 
 #include "simulation/agent_runner.hpp"
@@ -8,7 +8,7 @@
 
 namespace violetpulley::core::simulated {
 
-/// Carries commands to agents and heartbeats to leaders.
+/// Delivers commands to agents and heartbeats to leaders.
 class Network {
  public:
   Network(Environment& environment, Leaders& leaders, AgentFleet& fleet, AgentRunner& runner)
@@ -16,12 +16,12 @@
 
   /// Sends a command batch of the leader.
   void send_commands(const LeaderProcess& leader, const SendCommands& batch);
-  /// Sends the agent's periodic heartbeat to the leader that it follows.
+  /// Sends the agent's periodic heartbeat to the leader that the agent reports to.
   void send_heartbeat(SimulatedAgent& agent);
 
-  /// Copies of heartbeats that arrived late.
+  /// Number of duplicates of heartbeats that arrived late.
   std::size_t late_copies() const { return late_copies_; }
-  /// Command batches that an inbound partition stopped.
+  /// Number of deliveries of command batches that an inbound partition blocked.
   std::size_t blocked_batches() const { return blocked_batches_; }
 
  private:
@@ -39,7 +39,8 @@
   void receive(const Heartbeat& heartbeat, TimePoint sent);
   void receive_response(const Heartbeat& heartbeat, TimePoint sent, FencingToken token,
                         const std::vector<Command>& commands);
-  /// No valid answer: the agent tries the next controller a second later.
+  /// Without a valid answer, an agent of the former leader tries the next controller after
+  /// `kNextControllerDelay`.
   void follow_next_controller(const MachineId& id);
 
   Environment& environment_;
--- a/tests/simulation/process_faults.cpp
+++ b/tests/simulation/process_faults.cpp
@@ -3,16 +3,16 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-// Chances of each step.
+// Per step.
 constexpr double kLeaderCrashChance = 0.0015;
 constexpr double kLeaderPartitionChance = 0.0008;
-// Chances of each step and machine.
+// Per step and machine.
 constexpr double kHangChance = 0.0002;
 constexpr double kTerminationChance = 0.0001;
 constexpr double kFaultyMachineChance = 0.0001;
 constexpr double kSpotNoticeChance = 0.0003;
 
-constexpr double kReachableAgentChance = 0.5;  // by a partitioned leader
+constexpr double kReachableAgentChance = 0.5;  // that a partitioned leader reaches the agent
 constexpr std::size_t kMinMachinesWithoutLeader = 2;
 
 }  // namespace
@@ -28,7 +28,8 @@
     fleet_.boot("small", "a", true, environment_.now());
 }
 
-// Partitioned from the store with some of the agents; the leader goes on for as long as it may.
+// Partitions the leader from the store and some of the agents. The leader keeps running until
+// `end_former`.
 void ProcessFaults::partition_leader() {
   leaders_.save_learned_state();
   auto& former = leaders_.partition_leader();
--- a/tests/simulation/process_faults.hpp
+++ b/tests/simulation/process_faults.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The basic faults of every simulated world: processes end, leaders are partitioned, machines
-/// hang, vanish, break or are reclaimed. Owns no state.
+/// The basic faults of every simulated world: leaders crash or are partitioned; machines hang, are
+/// terminated, become faulty or are reclaimed. Stateless.
 #pragma once
 
 #include "simulation/leaders.hpp"
@@ -13,7 +13,7 @@
   ProcessFaults(Environment& environment, Leaders& leaders, AgentFleet& fleet)
       : environment_(environment), leaders_(leaders), fleet_(fleet) {}
 
-  /// One step: each fault begins with its probability.
+  /// Advances by one step: each fault begins with its probability.
   void step();
 
  private:
--- a/tests/simulation/production_faults.cpp
+++ b/tests/simulation/production_faults.cpp
@@ -5,12 +5,12 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-// Chance of each step.
+// Per step.
 constexpr double kStoreAndPeerPartitionChance = 0.0015;
-// Chances of each step and machine.
+// Per step and machine.
 constexpr double kInboundPartitionChance = 0.0004;
 constexpr double kRestartChance = 0.0002;
-// Chances of each restart.
+// Per restart.
 constexpr double kEpochGrowsChance = 0.7;
 constexpr double kEndpointChangesChance = 0.5;
 
@@ -29,7 +29,7 @@
   }
 }
 
-// A controller loses the state service and its peers, and keeps its agents.
+// Partitions the leader from the state service and its peers; the leader still reaches all agents.
 void ProductionFaults::partition_leader_from_store_and_peers() {
   ++store_and_peer_partitions_;
   leaders_.partition_leader().reaches_all_agents = true;
@@ -46,8 +46,8 @@
   for (auto& [id, agent] : fleet_.all()) agent.follows_former_leader = follows;
 }
 
-// The machine is back within a fraction of a second, without its tasks; its endpoint may be another
-// one, and its epoch need not have grown.
+// Restarts a machine within a second. Its tasks are lost, its endpoint may change, and its epoch
+// may stay the same.
 void ProductionFaults::restart(SimulatedAgent& agent) {
   ++machine_restarts_;
   agent.tasks.clear();
--- a/tests/simulation/production_faults.hpp
+++ b/tests/simulation/production_faults.hpp
@@ -1,25 +1,25 @@
 /// @file
-/// Faults that operators met later: leaders that lose the store and their peers and no agent,
-/// inbound partitions of machines, machines that are back within a fraction of a second. Owns the
-/// counts of these faults.
+/// Faults first seen in production: leaders that are partitioned from the store and their peers but
+/// reach all agents, inbound partitions of machines, and machines that restart within a second.
+/// Owns the counts of these faults.
 #pragma once
 
 #include "simulation/leaders.hpp"
 
 namespace violetpulley::core::simulated {
 
-/// Injects the operators' faults.
+/// Injects the faults first seen in production.
 class ProductionFaults {
  public:
   ProductionFaults(Environment& environment, Leaders& leaders, AgentFleet& fleet)
       : environment_(environment), leaders_(leaders), fleet_(fleet) {}
 
-  /// One step: each fault begins with its probability.
+  /// Advances by one step: each fault begins with its probability.
   void step();
 
-  /// Machines that were back at once, without their tasks.
+  /// Number of machines that restarted at once and lost their tasks.
   std::size_t machine_restarts() const { return machine_restarts_; }
-  /// Leaders that lost the store and their peers and no agent.
+  /// Number of leaders that were partitioned from the store and their peers but reached all agents.
   std::size_t store_and_peer_partitions() const { return store_and_peer_partitions_; }
 
  private:
--- a/tests/simulation/rule_checker.cpp
+++ b/tests/simulation/rule_checker.cpp
@@ -46,11 +46,13 @@
   for (const auto& [job, counts] : live.zones) {
     const auto& spec = facts_.specs.at(job);
     if (spec.same_zone) {
-      ASSERT_EQ(counts.size(), 1U) << "wrong_place: same zone " << job;
+      ASSERT_EQ(counts.size(), 1U)
+          << "wrong_place: tasks in several zones, same_zone is set: " << job;
     }
     if (!spec.spread) continue;
     for (const auto& [zone, count] : counts) {
-      ASSERT_LE(count, (spec.tasks + 1) / 2) << "wrong_place: spread " << job;
+      ASSERT_LE(count, (spec.tasks + 1) / 2)
+          << "wrong_place: too many tasks in one zone, spread is set: " << job;
     }
   }
 }
--- a/tests/simulation/rule_checker.hpp
+++ b/tests/simulation/rule_checker.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The rules that no simulated world may break at any step (docs/safety.md). Owns the longest time
-/// for which a cancelled task ran.
+/// Checks the safety rules that must hold at every step of a simulated world (docs/safety.md). Owns
+/// the longest time for which a task of a cancelled job stayed live.
 #pragma once
 
 #include "simulation/diagnosis.hpp"
@@ -8,15 +8,15 @@
 
 namespace violetpulley::core::simulated {
 
-/// Checks the rules ran_twice, ran_cancelled, wrong_place and quota; a broken rule fails the test.
+/// Checks the rules ran_twice, ran_cancelled, wrong_place and quota. A violation fails the test.
 class RuleChecker {
  public:
   RuleChecker(const Environment& environment, const JobFacts& facts, const Diagnosis& diagnosis)
       : environment_(environment), facts_(facts), diagnosis_(diagnosis) {}
 
-  /// Checks the world at the present step.
+  /// Checks the current step.
   void check(const LiveTasks& live);
-  /// Longest time from a confirmed cancellation to the last live task of the job.
+  /// Longest time from a confirmed cancellation to the end of the job's last live task.
   Seconds longest_cancellation() const { return longest_cancellation_; }
 
  private:
--- a/tests/simulation/store.hpp
+++ b/tests/simulation/store.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The state service of a simulated world. Owns the records, the leader's fencing token, and how
-/// the service fails at present.
+/// The state service of a simulated world. Owns the records, the leader's fencing token and the
+/// current faults of the service.
 #pragma once
 
 #include <functional>
@@ -20,34 +20,37 @@
 
   explicit Store(Environment& environment) : environment_(environment) {}
 
-  /// Whether the leader with that token may write.
+  /// Whether writes with that token are accepted.
   bool accepts(FencingToken token) const { return token == leader_token; }
-  /// Makes a write of that leader after `delay`. While the service refuses the leader, the write is
-  /// tried again.
+  /// Performs a write of the leader with that token after `delay`. While the service refuses the
+  /// leader, the write is retried.
   void write(FencingToken token, Seconds delay, Callback write_record);
-  /// Changes of jobs may still be delayed: those held back by a slow service, too.
+  /// Whether changes of jobs may still arrive late. Stays true after the service was slow until all
+  /// changes delayed by it have arrived.
   bool changes_may_be_delayed() const;
-  /// Calls `deliver` when a change of a job reaches the leader, unless the service is stalled then.
+  /// Calls `deliver` when a change of a job reaches the leader. If changes are stalled by then, the
+  /// call waits for `resume_changes`.
   void publish_change(Callback deliver, const std::function<bool()>& leader_exists);
-  /// Delivers what was held back.
+  /// Ends the stall and delivers the changes held back.
   void resume_changes();
-  /// A new leader reads the present records: changes held back for the former one are dropped.
+  /// Drops the changes held back for the former leader, since a new leader reads the current
+  /// records, and ends the refusal of the leader and the stall.
   void reset_for_new_leader();
-  /// Whether a fault of the service lasts.
+  /// Whether a fault of the service is active.
   bool fault_active() const { return outage || refuses_leader || changes_stalled; }
 
   std::map<JobId, JobRecord> jobs;  ///< unfinished
   std::map<MachineId, MachineRecord> machines;
   std::map<std::pair<JobId, TaskIndex>, ProgressRecord> progress;  ///< by job and chunk
   std::map<JobId, PlacementRecord> placements;
-  /// Leader and version of the newest placement record of each job.
+  /// Leader token and version of the latest placement record of each job.
   std::map<JobId, std::pair<FencingToken, std::uint64_t>> placement_versions;
-  bool placements_marked = false;  ///< all starts of gangs and services are recorded
+  bool placements_marked = false;  ///< all placements of gangs and services are recorded
   Revision revision = 0;
-  FencingToken leader_token = 0;  ///< 0: nobody holds the leader key
+  FencingToken leader_token = 0;  ///< 0: no leader holds the key
 
-  bool refuses_leader = false;   ///< in an outage too
-  bool outage = false;           ///< for all clients
+  bool refuses_leader = false;   ///< set during outages as well
+  bool outage = false;           ///< affects all clients
   bool changes_stalled = false;  ///< changes of jobs do not reach the leader
   TimePoint slow_until{};
 
--- a/tests/simulation/store_faults.cpp
+++ b/tests/simulation/store_faults.cpp
@@ -5,13 +5,13 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-// Chances of each step.
+// Per step.
 constexpr double kDisruptionChance = 0.004;
 constexpr double kSlowServiceChance = 0.001;
 
 constexpr std::chrono::seconds kFirstDisruptionDeadline{150};
 constexpr int kCancellationsInDisruption = 2;
-constexpr double kMaxRefusalTime = 2.8;          // seconds; shorter than the store lease lasts
+constexpr double kMaxRefusalTime = 2.8;          // seconds; below the duration of a store lease
 constexpr double kMaxOutageFactor = 1.4;         // of the cancellation time
 constexpr double kMaxStallTimeAfterOutage = 10;  // seconds
 
@@ -30,7 +30,7 @@
   return disruptions_ == 0 && environment_.now() > kStartTime + kFirstDisruptionDeadline;
 }
 
-// The service refuses the leader alone while other controllers confirm cancellations.
+// Makes the service refuse only the leader, while other controllers confirm cancellations.
 void StoreFaults::begin_disruption() {
   ++disruptions_;
   store_.refuses_leader = store_.changes_stalled = true;
@@ -47,7 +47,8 @@
   environment_.after(environment_.optional_fault_seconds(0.2, longest), [this] { end_outage(); });
 }
 
-// The leader key is ours again at once; the watch delivers nothing for some seconds more.
+// The leader still holds the leader key after the outage. The watch delivers no changes for some
+// seconds more.
 void StoreFaults::end_outage() {
   store_.outage = store_.refuses_leader = false;
   environment_.after(environment_.optional_fault_seconds(0.05, kMaxStallTimeAfterOutage),
--- a/tests/simulation/store_faults.hpp
+++ b/tests/simulation/store_faults.hpp
@@ -1,21 +1,24 @@
 /// @file
-/// Combined faults of the state service (docs/combined-failures.md): it refuses the leader, then is
-/// down for all, then is back before the changes of jobs are. Owns the count of these faults.
+/// Combined faults of the state service (docs/combined-failures.md). A disruption has three stages:
+/// the service refuses the leader, then is down for all clients, then answers again but does not
+/// deliver changes of jobs yet. Owns the count of disruptions.
 #pragma once
 
 #include "simulation/job_registry.hpp"
 
 namespace violetpulley::core::simulated {
 
-/// Injects faults of the state service.
+/// Injects disruptions and slow phases of the state service.
 class StoreFaults {
  public:
   StoreFaults(Environment& environment, Store& store, const Leaders& leaders, JobRegistry& jobs)
       : environment_(environment), store_(store), leaders_(leaders), jobs_(jobs) {}
 
-  /// One step: each fault begins with its probability; the first one at a fixed time at the latest.
+  /// Advances by one step: each fault begins with its probability. The first disruption begins at
+  /// `kFirstDisruptionDeadline` at the latest.
   void step();
-  /// Gaps, from the refusal of the leader to the delivery of the held changes.
+  /// Number of disruptions, each from the refusal of the leader to the delivery of the stalled
+  /// changes.
   std::size_t disruptions() const { return disruptions_; }
 
  private:
--- a/tests/simulation/store_writer.cpp
+++ b/tests/simulation/store_writer.cpp
@@ -24,7 +24,9 @@
       token, environment_.uniform_seconds(kMinWriteTime, kMaxWriteTime), [this, token, save] {
         const auto& record = save.record;
         const bool ok = store_.accepts(token) && !environment_.chance(environment_.message_loss());
-        // Records of rentals have pages of their own: one that comes late replaces no registration.
+        // Records of provisioned machines have their own pages, so a late one never replaces the
+        // record of
+        // a registered machine.
         const bool provisioning_only = record.endpoint.empty();
         if (ok && (!provisioning_only || !store_.machines.contains(record.id)))
           store_.machines[record.id] = record;
@@ -45,7 +47,7 @@
                [this, token, save] {
                  const bool ok = store_.accepts(token);
                  if (ok) store_.progress[{save.record.job, save.record.chunk}] = save.record;
-                 // The answer may get lost although the write was made.
+                 // The answer may be lost although the write took effect.
                  if (auto* leader = leaders_.find(token)) {
                    const bool answered = ok && !environment_.chance(environment_.message_loss());
                    leaders_.feed(*leader, ProgressSaved{save, answered});
@@ -64,7 +66,7 @@
     erase();
 }
 
-// Without an answer the leader writes again; a late write of a past leader fails.
+// Without an answer, the leader repeats the write. A late write of a former leader is rejected.
 void StoreWriter::execute(FencingToken token, const SavePlacements& save) {
   const double longest =
       environment_.faults_active() ? kMaxPlacementWriteTime : kMaxPlacementWriteTimeWithoutFaults;
@@ -76,7 +78,8 @@
   });
 }
 
-// The page's revision keeps an older version from replacing a newer one.
+// Keeps the newer version if writes arrive out of order, as the revision of the page does in the
+// state service.
 void StoreWriter::save_newer_placements(FencingToken token, const PlacementRecord& record,
                                         std::uint64_t version) {
   auto& newest = store_.placement_versions[record.job];
@@ -104,7 +107,7 @@
                });
 }
 
-// No answer comes: the leader tries again, and the first write is carried out after that.
+// The answer is lost and the write takes effect late, possibly after the leader has retried it.
 void StoreWriter::finish_late(FencingToken token, const FinishJob& finish) {
   ++late_writes_;
   environment_.after(environment_.optional_fault_seconds(kMinLateFinishDelay, kMaxLateFinishDelay),
@@ -117,11 +120,12 @@
   if (!store_.accepts(token) || store_.outage || job == store_.jobs.end() ||
       job->second.revision != finish.revision)
     return false;
-  // not_done: a job is reported done only after all of its tasks are.
+  // Rule not_done: a job may be reported as done only after all of its tasks have completed.
   for (TaskIndex i = 0; i < job->second.spec.tasks; ++i)
     EXPECT_TRUE(facts_.completed.contains({finish.job, i}))
         << "not_done " << finish.job << "/" << i;
-  EXPECT_FALSE(facts_.cancelled_at.contains(finish.job)) << "went_back";
+  EXPECT_FALSE(facts_.cancelled_at.contains(finish.job))
+      << "went_back: cancelled job reported done";
   facts_.finished.insert(finish.job);
   for (const auto chunk : finish.chunks) store_.progress.erase({finish.job, chunk});
   jobs_.close(finish.job);
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -5,10 +5,10 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-// Chances of each step.
+// Per step.
 constexpr double kSubmitChance = 0.025;
 constexpr double kCancelChance = 0.003;
-// Chances of each job.
+// Per job.
 constexpr double kHighPriorityChance = 0.3;
 constexpr double kLargeTaskChance = 0.06;
 constexpr double kSpotChance = 0.7;
@@ -29,7 +29,7 @@
 constexpr double kSmallMachineCpus = 8;
 constexpr Seconds kCheckpointInterval{5};
 
-// In two steps: GCC 12 warns falsely of `"text" + std::to_string(...)`.
+// Appends in two steps, because GCC 12 issues a false warning for `"text" + std::to_string(...)`.
 std::string numbered(const char* prefix, int number) {
   std::string name(prefix);
   name += std::to_string(number);
@@ -80,7 +80,7 @@
   if (chance(kTypeChance)) {
     const bool large = spec.per_task.cpus > kSmallMachineCpus || chance(kLargeTypeChance);
     spec.types = {large ? "large" : "small"};
-    if (large) spec.zone.reset();  // "large" exists in one zone alone
+    if (large) spec.zone.reset();  // "large" exists in only one zone
   }
   if (spec.types.empty() && !spec.zone && !large_task) {
     spec.same_zone = chance(kSameZoneChance);
@@ -88,7 +88,7 @@
   }
 }
 
-// Few and small enough that all of them fit at once, beside other work.
+// Keeps services few and small enough to run all at once beside other jobs.
 void Users::make_service(JobSpec& spec) {
   spec.shape = Shape::service;
   spec.estimate = Seconds(0);
--- a/tests/simulation/users.hpp
+++ b/tests/simulation/users.hpp
@@ -1,21 +1,21 @@
 /// @file
-/// The users of a simulated world: they submit jobs of all shapes and cancel some. Owns the count
-/// of submitted jobs.
+/// The users of a simulated world, who submit jobs of all shapes and cancel some of them. Owns the
+/// count of submitted jobs.
 #pragma once
 
 #include "simulation/job_registry.hpp"
 
 namespace violetpulley::core::simulated {
 
-/// Draws jobs and cancellations.
+/// Submits and cancels random jobs.
 class Users {
  public:
   Users(Environment& environment, const Store& store, JobRegistry& jobs)
       : environment_(environment), store_(store), jobs_(jobs) {}
 
-  /// One step of the users.
+  /// Advances the users by one step.
   void step();
-  /// From here on no job is submitted; services run until they are cancelled.
+  /// Stops the submission of jobs. Services run until `cancel_services`.
   void stop_submitting() { submitting_ = false; }
   /// Cancels all services.
   void cancel_services();
--- a/tests/simulation/world.cpp
+++ b/tests/simulation/world.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kInitialMachines = 3;
 
-// The commands, requests and writes of a leader, by type.
+// Executes a leader's actions by type.
 struct ActionExecutor {
   LeaderProcess& leader;
   FencingToken token;
@@ -98,7 +98,8 @@
 void World::expect_all_jobs_known() const {
   ASSERT_NE(leaders_.current(), nullptr);
   for (const auto& [id, record] : store_.jobs)
-    EXPECT_TRUE(leaders_.current()->controller->jobs().contains(id)) << "forgotten " << id;
+    EXPECT_TRUE(leaders_.current()->controller->jobs().contains(id))
+        << "the leader does not know the accepted job " << id;
 }
 
 std::size_t World::missing_replicas() const {
--- a/tests/simulation/world.hpp
+++ b/tests/simulation/world.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// A seeded simulation of the core: an in-memory store, cloud, agents and users, with crashes,
-/// failovers, partitioned leaders that go on for a while, delayed and repeated commands, lost
-/// answers, late writes, hangs, expired leases, faulty machines and spot notices. Every rule is
-/// checked after each step. Owns all parts of the world.
+/// A seeded simulation of the core with an in-memory store, cloud, agents and users. Faults:
+/// crashes, failovers, partitioned leaders that keep running, delayed and repeated commands, lost
+/// answers, late writes, hangs, expired leases, faulty machines and spot notices. All safety rules
+/// are checked after each step. Owns all parts of the world.
 #pragma once
 
 #include "simulation/cloud.hpp"
@@ -24,47 +24,49 @@
  public:
   explicit World(std::uint64_t seed);
 
-  /// Lets the world run for that long, or until a rule is broken.
+  /// Runs the simulation for `length`, or until a check fails.
   void run(Seconds length);
 
-  /// Adds the operators' faults (ProductionFaults).
+  /// Adds the production faults (ProductionFaults).
   void enable_production_faults(std::uint64_t seed);
-  /// Adds the operators' faults and combined ones (StoreFaults, late writes).
+  /// Adds the production faults and the combined faults (StoreFaults, late writes, uneven run
+  /// times).
   void enable_combined_faults(std::uint64_t seed);
-  /// Adds the operators' faults, combined and correlated ones (CorrelatedFaults), and measures what
-  /// waits beside free capacity after the faults.
+  /// Adds the production, combined and correlated faults (CorrelatedFaults), and measures how long
+  /// tasks wait beside free capacity after the last fault (LivenessChecker).
   void enable_correlated_faults(std::uint64_t seed);
-  /// Injects no further faults.
+  /// Stops the injection of faults.
   void end_faults() { environment_.end_faults(); }
 
-  /// Passes on what enters the newest leader, and what the leader asks for, as a history would
-  /// record it. Ends the present leader.
+  /// Passes the events and actions of the current leader to the observer, as a history records
+  /// them. Ends the current leader, so that the next one is observed from its election on.
   void observe(Observer observer) { leaders_.observe(std::move(observer)); }
-  /// Leaders commit starts of gangs and services before they send them.
+  /// Sets which leaders store the placements of gangs and services before they send the start
+  /// commands.
   void set_commit_policy(CommitPolicy policy) { leaders_.set_commit_policy(policy); }
-  /// From here on leaders hand their learned state on.
+  /// Makes each leader hand its learned state over to the next one.
   void enable_learned_state_handover() { leaders_.enable_learned_state_handover(); }
-  /// Users submit no further jobs.
+  /// Stops the submission of jobs.
   void stop_submitting() { users_.stop_submitting(); }
-  /// Users cancel all services.
+  /// Cancels all services.
   void cancel_services() { users_.cancel_services(); }
 
-  /// Expects that the leader knows every accepted job, each by itself.
+  /// Expects that the leader knows every accepted job.
   void expect_all_jobs_known() const;
-  /// Whether a fault of the state service lasts.
+  /// Whether a fault of the state service is active.
   bool store_fault_active() const { return store_.fault_active(); }
   std::size_t open_jobs() const { return store_.jobs.size(); }
   std::size_t finished_jobs() const { return facts_.finished.size(); }
-  /// Replicas of services that should run and do not.
+  /// Number of replicas of services that should run but do not.
   std::size_t missing_replicas() const;
-  /// Unfinished jobs in words, for messages.
+  /// Describes the unfinished jobs, for messages.
   std::string describe_jobs() const { return diagnosis_.describe_jobs(); }
 
-  /// Digest of all actions of all leaders: equal before and after a change that is to change no
-  /// decision.
+  /// Digest of all actions of all leaders. A change of the code that must not change any decision
+  /// leaves the digest of a seed unchanged.
   std::uint64_t actions_digest() const { return leaders_.actions_digest(); }
   std::size_t gang_starts() const { return facts_.gang_starts; }
-  /// Times at which the placements were marked as complete.
+  /// How often the placements were marked as complete.
   std::size_t placement_marks() const { return writer_.placement_marks(); }
   const Network& network() const { return network_; }
   const ProductionFaults& production_faults() const { return production_faults_; }
--- a/tests/simulation/world_test.cpp
+++ b/tests/simulation/world_test.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// Seeded runs of the simulated world (world.hpp): every rule is checked after each step. The six
-/// kinds of worlds differ in their faults and in what the leaders record.
+/// Seeded runs of the simulated world (world.hpp). All safety rules are checked after each step.
+/// The six test suites differ in the faults they inject and in what the leaders store and hand
+/// over.
 #include "simulation/world.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +18,7 @@
 using simulated::kAgentTimes;
 using simulated::World;
 
-/// A world is made from the seed that is the parameter.
+/// The test parameter is the seed of the world.
 class SeededWorld : public ::testing::TestWithParam<int> {
  protected:
   std::uint64_t seed() const { return static_cast<std::uint64_t>(GetParam()); }
@@ -30,23 +31,22 @@
 class CombinedFaults : public SeededWorld {};
 class CorrelatedFaults : public SeededWorld {};
 
-// More seeds than CI plays: VIOLETPULLEY_EXTRA_SEEDS=2000 for a long run by hand.
-auto seeds(int first, int usual) {
+// VIOLETPULLEY_EXTRA_SEEDS adds that many seeds to each suite, for long runs by hand.
+auto seeds(int first, int default_count) {
   const char* extra = std::getenv("VIOLETPULLEY_EXTRA_SEEDS");
-  const int count = usual + (extra == nullptr ? 0 : std::atoi(extra));
+  const int count = default_count + (extra == nullptr ? 0 : std::atoi(extra));
   return ::testing::Range(first, first + count);
 }
 
 constexpr Seconds kFaultTime{400};
-// A job that no answer is about for so long after the last fault is forgotten.
+// Within this time after the last fault, the leader must know every accepted job.
 constexpr Seconds kTimeToLearnAllJobs{75};
 constexpr Seconds kTimeToRunAllJobs{475};
-// A replica that is being moved at this moment runs again soon (seed 1124 of ProductionFaults).
+// A replica that is being moved is missing for a short time, so the check is repeated.
 constexpr int kReplicaInspections = 5;
 constexpr Seconds kReplicaInspectionInterval{3};
-// A gang of the size of its team's limit waits for the team's replicas to go, and such gangs run
-// one after the other: within 50 s that was not enough for three of them (seed 625 of
-// ProductionFaults).
+// A gang that needs its team's whole limit cannot start before the team's replicas have ended, and
+// several such gangs run one after the other.
 constexpr Seconds kTimeToRunGangs{250};
 
 void expect_all_replicas_run(World& world) {
@@ -55,8 +55,8 @@
   EXPECT_EQ(world.missing_replicas(), 0U) << world.describe_jobs();
 }
 
-// The faults go on for so long and end; then all that was accepted must run, services until they
-// are cancelled.
+// Injects faults for `fault_time`. After the faults, all accepted jobs must run: arrays and gangs
+// to completion, services until they are cancelled.
 void expect_all_jobs_run(World& world, Seconds fault_time) {
   world.run(fault_time);
   world.end_faults();
@@ -77,12 +77,12 @@
 }
 
 void print_longest_cancellation(const World& world) {
-  std::cout << "longest from a cancellation to gone: "
+  std::cout << "longest time from a cancellation to the end of the last task: "
             << world.rules().longest_cancellation().count() << " of " << kAgentTimes.cancel.count()
             << " s";
 }
 
-// Crashes, partitioned leaders, hangs, vanished and faulty machines, spot notices.
+// Leader crashes, partitioned leaders, hangs, terminated and faulty machines, spot notices.
 TEST_P(ProcessFaults, KeepEveryRuleAndFinish) {
   SCOPED_TRACE("seed " + std::to_string(seed()));
   World world(seed());
@@ -92,7 +92,7 @@
   print_digest(world, seed());
 }
 
-// With learned state handed from leader to leader the rules hold as they do without.
+// Each leader hands its learned state over to the next one.
 TEST_P(LearnedStateHandover, KeepsEveryRuleAndFinishes) {
   SCOPED_TRACE("seed " + std::to_string(seed()));
   World world(seed());
@@ -101,7 +101,8 @@
   print_digest(world, seed());
 }
 
-// Starts of gangs and services that are committed first, by all leaders or by two of three.
+// All leaders, or two of three, store the placements of gangs and services before they send the
+// start commands.
 TEST_P(CommittedStarts, KeepEveryRuleAndFinish) {
   SCOPED_TRACE("seed " + std::to_string(seed()));
   World world(seed());
@@ -113,8 +114,8 @@
   print_digest(world, seed());
 }
 
-// With what operators met later: inbound partitions, late copies of heartbeats, a leader that keeps
-// its agents alone, processes and machines that are back within a fraction of a second.
+// Production faults: inbound partitions, late duplicates of heartbeats, a leader that reaches its
+// agents but not the store, and processes and machines that restart within a second.
 TEST_P(ProductionFaults, KeepEveryRuleAndFinish) {
   SCOPED_TRACE("seed " + std::to_string(seed()));
   World world(seed());
@@ -128,7 +129,8 @@
   print_digest(world, seed());
 }
 
-// Faults that meet, beside all of the others (docs/combined-failures.md).
+// Disruptions of the state service, late writes and uneven run times, in addition to the production
+// faults (docs/combined-failures.md).
 TEST_P(CombinedFaults, KeepEveryRuleAndFinish) {
   SCOPED_TRACE("seed " + std::to_string(seed()));
   World world(seed());
@@ -137,13 +139,13 @@
   expect_all_jobs_run(world, kFaultTime);
   EXPECT_GT(world.store_faults().disruptions(), 0U);
   print_longest_cancellation(world);
-  std::cout << ", " << world.store_faults().disruptions() << " gaps\n";
+  std::cout << ", " << world.store_faults().disruptions() << " disruptions of the store\n";
   print_digest(world, seed());
 }
 
-// Correlated faults, beside all of the others: outbound partitions, a zone that is cut off, no
-// controller for longer than a lease, leaders that change one after the other, jobs cancelled at
-// once whose machines hang. Afterwards nothing is left waiting beside free capacity.
+// Correlated faults in addition to all others: outbound partitions, partitions of a zone, no leader
+// for longer than a lease, chains of failovers, and mass cancellations of jobs whose machines hang.
+// After the faults, no task may wait for long beside free capacity.
 TEST_P(CorrelatedFaults, KeepEveryRuleAndLeaveNothingWaiting) {
   SCOPED_TRACE("seed " + std::to_string(seed()));
   World world(seed());
@@ -169,8 +171,8 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, CombinedFaults, seeds(701, 32));
 INSTANTIATE_TEST_SUITE_P(Seeds, CorrelatedFaults, seeds(901, 32));
 
-// Worlds that show faults which are not mended yet (KNOWN-RED.txt). Once a fault is mended its
-// world stays here.
+// Seeds that revealed faults of the scheduler. Open faults are listed in KNOWN-RED.txt; the seed of
+// a fixed fault stays here as a regression test.
 INSTANTIATE_TEST_SUITE_P(OpenFaults, CommittedStarts, ::testing::Values(1917));
 INSTANTIATE_TEST_SUITE_P(OpenFaults, CorrelatedFaults, ::testing::Values(2588, 5707));
 
