--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -18,7 +18,7 @@
 constexpr double kMinBootFactor = 0.6;  // of the machine type's boot time
 constexpr double kMaxBootFactor = 1.5;
 constexpr double kLostAnswerChance = 0.05;
-constexpr double kReturnLossFactor = 3;  // of the message loss
+constexpr double kReturnLossFactor = 3;  // returns fail more often than messages
 
 }  // namespace
 
--- a/tests/simulation/correlated_faults.cpp
+++ b/tests/simulation/correlated_faults.cpp
@@ -7,10 +7,10 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-// Per step and machine.
+// Probabilities per step and machine.
 constexpr double kOutboundPartitionChance = 0.0005;
-// Per step.
-constexpr double kWidePartitionChance = 0.001;
+// Probabilities per step.
+constexpr double kManyPartitionsChance = 0.001;
 constexpr double kZonePartitionChance = 0.001;
 constexpr double kMassCancellationChance = 0.001;
 constexpr double kFailoverChainChance = 0.0006;
@@ -34,7 +34,7 @@
         environment_.optional_fault_chance(kOutboundPartitionChance))
       partition_outbound(agent,
                          environment_.optional_fault_seconds(kMinPartitionTime, 2 * lease()));
-  if (environment_.optional_fault_chance(kWidePartitionChance)) partition_widely_outbound();
+  if (environment_.optional_fault_chance(kManyPartitionsChance)) partition_many_outbound();
   if (environment_.optional_fault_chance(kZonePartitionChance)) partition_zone();
   if (environment_.optional_fault_chance(kMassCancellationChance)) cancel_many();
   if (environment_.optional_fault_chance(kFailoverChainChance)) begin_failover_chain();
@@ -52,7 +52,7 @@
   ++counts_.outbound_partitions;
 }
 
-void CorrelatedFaults::partition_widely_outbound() {
+void CorrelatedFaults::partition_many_outbound() {
   const bool all = environment_.optional_fault_chance(kAllMachinesChance);
   const auto zone = draw_zone();
   const auto length = environment_.optional_fault_seconds(kMinPartitionTime, 1.5 * lease());
@@ -116,7 +116,7 @@
 void CorrelatedFaults::begin_controller_absence() {
   ++counts_.controller_absences;
   leaders_.end_leader();
-  leaders_.delay_election(Seconds(environment_.optional_fault_uniform(1, 2) * lease()));
+  leaders_.schedule_election(Seconds(environment_.optional_fault_uniform(1, 2) * lease()));
 }
 
 }  // namespace violetpulley::core::simulated
--- a/tests/simulation/correlated_faults.hpp
+++ b/tests/simulation/correlated_faults.hpp
@@ -32,7 +32,7 @@
  private:
   std::string draw_zone();
   void partition_outbound(SimulatedAgent& agent, Seconds length);
-  void partition_widely_outbound();
+  void partition_many_outbound();
   void partition_zone();
   void cancel_many();
   std::vector<JobId> draw_jobs_to_cancel();
--- a/tests/simulation/environment.hpp
+++ b/tests/simulation/environment.hpp
@@ -14,8 +14,7 @@
 
 /// Clock, event queue and seeded random draws. Equal seeds and equal sequences of calls give equal
 /// worlds. Optional faults (production, combined and correlated faults) draw from a second
-/// generator, so that a seed gives the same world without optional faults however many kinds of
-/// them exist.
+/// generator, so that a new kind of optional fault does not change the worlds that have none.
 class Environment {
  public:
   using Callback = std::function<void()>;
--- a/tests/simulation/fleet_simulation_test.cpp
+++ b/tests/simulation/fleet_simulation_test.cpp
@@ -40,7 +40,7 @@
   return result;
 }
 
-TEST(FleetSimulation, FailoversRefuseNoConnectionAndExpireNoLease) {
+TEST(FleetSimulation, NoConnectionIsRefusedAndNoLeaseExpiresAfterFailovers) {
   FleetConfig config;
   const auto result = run_with_failovers(config, 3);
   EXPECT_EQ(result.attempts_ended_by_lease, 0U);
@@ -63,7 +63,7 @@
 }
 
 // All controllers end three times in a row.
-TEST(FleetSimulation, RestartsOfAllControllersExpireNoLease) {
+TEST(FleetSimulation, NoLeaseExpiresAfterRestartsOfAllControllers) {
   FleetConfig config;
   const auto result = run_with_failovers(config, 3, EndedNodes::all);
   EXPECT_EQ(result.attempts_ended_by_lease, 0U);
@@ -83,7 +83,7 @@
 
 // With 1 ms per event, a leader needs 2 s for one heartbeat of each machine and must send its
 // queries more slowly.
-TEST(FleetSimulation, ASlowLeaderExpiresNoLeaseAndReturnsNoMachine) {
+TEST(FleetSimulation, NoLeaseExpiresAndNoMachineIsReturnedUnderASlowLeader) {
   FleetConfig config;
   config.event_processing_time = std::chrono::milliseconds(1);
   config.backlog_share = 2;  // the fleet stays full
@@ -114,8 +114,8 @@
   return result;
 }
 
-// The waiting tasks cost more than the silent machines, so the leader returns these machines within
-// 3 s of its election instead of waiting longer for them.
+// Thousands of tasks wait for a few silent machines. Waiting longer costs more than the machines
+// are worth, so the leader declares them dead and recovers within 3 s of its election.
 TEST(FleetSimulation, SilentMachinesAreDeclaredDeadWhenWaitingCostsMore) {
   const auto result = run_with_dead_machines(20, CloudState::up);
   EXPECT_GE(result.stats.declared_dead, 20U);
--- a/tests/simulation/leaders.cpp
+++ b/tests/simulation/leaders.cpp
@@ -98,12 +98,12 @@
   save_learned_state();
   current_.reset();
   store_.leader_token = 0;
-  delay_election(environment_.uniform_seconds(kMinElectionDelay, kMaxElectionDelay));
+  schedule_election(environment_.uniform_seconds(kMinElectionDelay, kMaxElectionDelay));
   if (environment_.optional_fault_chance(kRestartChance))
-    delay_election(environment_.optional_fault_seconds(kMinRestartDelay, kMaxRestartDelay));
+    schedule_election(environment_.optional_fault_seconds(kMinRestartDelay, kMaxRestartDelay));
 }
 
-void Leaders::delay_election(Seconds delay) {
+void Leaders::schedule_election(Seconds delay) {
   next_election_ = environment_.now() + to_duration(delay);
 }
 
--- a/tests/simulation/leaders.hpp
+++ b/tests/simulation/leaders.hpp
@@ -56,8 +56,8 @@
   /// Ends the leader, as when its process crashes or loses the leader key. The next election
   /// follows within seconds.
   void end_leader();
-  /// Delays the next election until `delay` has passed.
-  void delay_election(Seconds delay);
+  /// Sets the next election to `delay` from now.
+  void schedule_election(Seconds delay);
   /// Makes the leader resign once its other actions have been handled.
   void resign(FencingToken token, bool isolated);
   /// Saves the learned state of the leader if the handover is enabled.
--- a/tests/simulation/process_faults.cpp
+++ b/tests/simulation/process_faults.cpp
@@ -3,10 +3,10 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-// Per step.
+// Probabilities per step.
 constexpr double kLeaderCrashChance = 0.0015;
 constexpr double kLeaderPartitionChance = 0.0008;
-// Per step and machine.
+// Probabilities per step and machine.
 constexpr double kHangChance = 0.0002;
 constexpr double kTerminationChance = 0.0001;
 constexpr double kFaultyMachineChance = 0.0001;
--- a/tests/simulation/production_faults.cpp
+++ b/tests/simulation/production_faults.cpp
@@ -5,12 +5,12 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-// Per step.
+// Probabilities per step.
 constexpr double kStoreAndPeerPartitionChance = 0.0015;
-// Per step and machine.
+// Probabilities per step and machine.
 constexpr double kInboundPartitionChance = 0.0004;
 constexpr double kRestartChance = 0.0002;
-// Per restart.
+// Probabilities per restart.
 constexpr double kEpochGrowsChance = 0.7;
 constexpr double kEndpointChangesChance = 0.5;
 
--- a/tests/simulation/store_faults.cpp
+++ b/tests/simulation/store_faults.cpp
@@ -5,7 +5,7 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-// Per step.
+// Probabilities per step.
 constexpr double kDisruptionChance = 0.004;
 constexpr double kSlowServiceChance = 0.001;
 
--- a/tests/simulation/store_writer.cpp
+++ b/tests/simulation/store_writer.cpp
@@ -24,9 +24,8 @@
       token, environment_.uniform_seconds(kMinWriteTime, kMaxWriteTime), [this, token, save] {
         const auto& record = save.record;
         const bool ok = store_.accepts(token) && !environment_.chance(environment_.message_loss());
-        // Records of provisioned machines have their own pages, so a late one never replaces the
-        // record of
-        // a registered machine.
+        // The record of a provisioned machine has a page of its own, so a late write of it
+        // does not replace the record of the registered machine.
         const bool provisioning_only = record.endpoint.empty();
         if (ok && (!provisioning_only || !store_.machines.contains(record.id)))
           store_.machines[record.id] = record;
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -5,10 +5,10 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-// Per step.
+// Probabilities per step.
 constexpr double kSubmitChance = 0.025;
 constexpr double kCancelChance = 0.003;
-// Per job.
+// Probabilities per job.
 constexpr double kHighPriorityChance = 0.3;
 constexpr double kLargeTaskChance = 0.06;
 constexpr double kSpotChance = 0.7;
