--- a/tests/simulation/leaders.cpp
+++ b/tests/simulation/leaders.cpp
@@ -9,13 +9,13 @@
 
 constexpr milliseconds kClockSkew{25};
 constexpr std::uint64_t kStoreLease = 1;
-// All changes closed so long ago have reached the core, unless the service stalls or is slow.
+// Changes older than this have reached the core, unless the state service is stalled or slow.
 constexpr milliseconds kBarrierAge{400};
-constexpr std::chrono::minutes kResignationPause{3};  // of isolated leaders
+constexpr std::chrono::minutes kResignationPause{3};  // after the resignation of an isolated leader
 constexpr double kFormerLeadersGoneChance = 0.5;
 constexpr double kRestartChance = 0.5;
-// Seconds from a leader's end to the next election; the shorter ones are of a process that is back
-// at once and ends its own lease.
+// Seconds from a leader's end to the next election. The restart delays apply to a process that
+// restarts at once and revokes its own store lease.
 constexpr double kMinElectionDelay = 0.1;
 constexpr double kMaxElectionDelay = 4;
 constexpr double kMinRestartDelay = 0.01;
@@ -32,7 +32,7 @@
 void Leaders::elect() {
   if (store_.outage) return;
   const auto now = environment_.now();
-  store_.serve_new_leader();
+  store_.reset_for_new_leader();
   ++elections_;
   store_.leader_token = ++store_.revision;
   elected_at_ = now;
@@ -40,7 +40,8 @@
       nullptr, Leadership(kAgentTimes, kClockSkew), store_.leader_token, false, false, {}});
   current_->leadership.won(store_.leader_token, kStoreLease, now);
   current_->leadership.record_read_barrier(now);
-  // Leaders may differ in whether they record starts; one that does not removes the mark.
+  // Leaders may differ in whether they commit starts. One that does not clears the mark that all
+  // placements are recorded.
   Tuning tuning;
   tuning.commit_starts =
       commit_policy_ == CommitPolicy::all_leaders ||
@@ -72,10 +73,11 @@
   return recovered;
 }
 
-// The other controllers say that they follow, unless one of them still leads behind a partition.
+// With a probability, reports that all other controllers follow the new leader, unless a former
+// leader still runs by then.
 void Leaders::announce_former_leaders_gone() {
   if (!environment_.chance(kFormerLeadersGoneChance)) return;
-  environment_.after(environment_.seconds_between(0.1, 3), [this, token = current_->token] {
+  environment_.after(environment_.uniform_seconds(0.1, 3), [this, token = current_->token] {
     if (current_ && current_->token == token && !former_) feed(*current_, FormerLeadersGone{});
   });
 }
@@ -87,7 +89,7 @@
 }
 
 void Leaders::save_learned_state() {
-  if (keeps_learned_state_ && current_)
+  if (learned_state_handover_enabled_ && current_)
     learned_state_ =
         current_->controller->learned_state(environment_.now(), environment_.wall_now());
 }
@@ -96,12 +98,12 @@
   save_learned_state();
   current_.reset();
   store_.leader_token = 0;
-  delay_election(environment_.seconds_between(kMinElectionDelay, kMaxElectionDelay));
-  if (environment_.operator_chance(kRestartChance))
-    delay_election(environment_.operator_seconds(kMinRestartDelay, kMaxRestartDelay));
+  schedule_election(environment_.uniform_seconds(kMinElectionDelay, kMaxElectionDelay));
+  if (environment_.optional_fault_chance(kRestartChance))
+    schedule_election(environment_.optional_fault_seconds(kMinRestartDelay, kMaxRestartDelay));
 }
 
-void Leaders::delay_election(Seconds delay) {
+void Leaders::schedule_election(Seconds delay) {
   next_election_ = environment_.now() + to_duration(delay);
 }
 
@@ -118,11 +120,11 @@
 
 void Leaders::step() {
   for (auto* leader : {&current_, &former_})
-    if (*leader) drive(**leader);
+    if (*leader) step_leader(**leader);
   if (!current_ && environment_.now() >= next_election_) elect();
 }
 
-void Leaders::drive(LeaderProcess& leader) {
+void Leaders::step_leader(LeaderProcess& leader) {
   const auto now = environment_.now();
   const bool is_current = &leader == current_.get();
   renew_leadership(leader);
@@ -144,8 +146,9 @@
   if (leader.partitioned || refused) return;
   leader.leadership.record_proof(environment_.now());
   if (store_.changes_stalled && is_current) return;
-  leader.leadership.record_read_barrier(environment_.now() - kBarrierAge -
-                                        (store_.slow() ? kMaxChangeDelay : Duration{}));
+  leader.leadership.record_read_barrier(
+      environment_.now() - kBarrierAge -
+      (store_.changes_may_be_delayed() ? kMaxChangeDelay : Duration{}));
 }
 
 LeaderProcess* Leaders::find(FencingToken token) {
@@ -155,14 +158,15 @@
 }
 
 bool Leaders::reaches(const LeaderProcess& leader, const MachineId& id) const {
-  if (former_ && former_->keeps_agents) return true;
+  if (former_ && former_->reaches_all_agents) return true;
   if (leader.partitioned) return leader.reachable_agents.contains(id);
   return !former_ || !former_->reachable_agents.contains(id);
 }
 
 LeaderProcess* Leaders::receiver_of(const MachineId& id) {
   if (!former_) return current();
-  if (!former_->keeps_agents) return former_->reachable_agents.contains(id) ? former() : current();
+  if (!former_->reaches_all_agents)
+    return former_->reachable_agents.contains(id) ? former() : current();
   const auto* agent = fleet_.find(id);
   return agent != nullptr && agent->follows_former_leader ? former() : current();
 }
--- a/tests/simulation/network.hpp
+++ b/tests/simulation/network.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Messages between the leaders and the agents of a simulated world, with losses, delays, copies
-/// and partitions. Owns no agent and no leader.
+/// Messages between the leaders and the agents of a simulated world, with losses, delays,
+/// duplicates and partitions. Owns only counts of faults.
 #pragma once
 
 #include "simulation/agent_runner.hpp"
@@ -8,7 +8,7 @@
 
 namespace violetpulley::core::simulated {
 
-/// Carries commands to agents and heartbeats to leaders.
+/// Delivers commands to agents and heartbeats to leaders.
 class Network {
  public:
   Network(Environment& environment, Leaders& leaders, AgentFleet& fleet, AgentRunner& runner)
@@ -16,29 +16,31 @@
 
   /// Sends a command batch of the leader.
   void send_commands(const LeaderProcess& leader, const SendCommands& batch);
-  /// Sends the agent's periodic heartbeat to the leader that it follows.
+  /// Sends the agent's periodic heartbeat to the leader that the agent reports to.
   void send_heartbeat(SimulatedAgent& agent);
 
-  /// Copies of heartbeats that arrived late.
+  /// Number of duplicates of heartbeats that arrived late.
   std::size_t late_copies() const { return late_copies_; }
-  /// Command batches that an inbound partition stopped.
-  std::size_t inbound_partitions() const { return inbound_partitions_; }
+  /// Number of deliveries of command batches that an inbound partition blocked.
+  std::size_t blocked_batches() const { return blocked_batches_; }
 
  private:
   void report_unanswered(FencingToken token, const MachineId& id);
   void report_unanswered_later(FencingToken token, const MachineId& id);
-  /// `answered`: the sender still waits for the answer.
-  void deliver(FencingToken token, const SendCommands& batch, bool answered);
-  void deliver_after(Seconds delay, FencingToken token, const SendCommands& batch, bool answered);
-  void deliver_after_partition(FencingToken token, const SendCommands& batch, bool answered);
-  void deliver_after_hang(FencingToken token, const SendCommands& batch, bool answered);
+  /// `awaits_answer`: the sender still waits for the answer.
+  void deliver(FencingToken token, const SendCommands& batch, bool awaits_answer);
+  void deliver_after(Seconds delay, FencingToken token, const SendCommands& batch,
+                     bool awaits_answer);
+  void deliver_after_partition(FencingToken token, const SendCommands& batch, bool awaits_answer);
+  void deliver_after_hang(FencingToken token, const SendCommands& batch, bool awaits_answer);
   void answer_commands(FencingToken token, SimulatedAgent& agent);
-  void copy_later(const Heartbeat& heartbeat);
-  void hold(const Heartbeat& heartbeat);
+  void deliver_late_copy(const Heartbeat& heartbeat);
+  void deliver_late(const Heartbeat& heartbeat);
   void receive(const Heartbeat& heartbeat, TimePoint sent);
   void receive_response(const Heartbeat& heartbeat, TimePoint sent, FencingToken token,
                         const std::vector<Command>& commands);
-  /// No valid answer: the agent tries the next controller a second later.
+  /// Without a valid answer, an agent of the former leader tries the next controller after
+  /// `kNextControllerDelay`.
   void follow_next_controller(const MachineId& id);
 
   Environment& environment_;
@@ -46,7 +48,7 @@
   AgentFleet& fleet_;
   AgentRunner& runner_;
   std::size_t late_copies_ = 0;
-  std::size_t inbound_partitions_ = 0;
+  std::size_t blocked_batches_ = 0;
 };
 
 }  // namespace violetpulley::core::simulated
--- a/tests/simulation/process_faults.hpp
+++ b/tests/simulation/process_faults.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The basic faults of every simulated world: processes end, leaders are partitioned, machines
-/// hang, vanish, break or are reclaimed. Owns no state.
+/// The basic faults of every simulated world: leaders crash or are partitioned; machines hang, are
+/// terminated, become faulty or are reclaimed. Stateless.
 #pragma once
 
 #include "simulation/leaders.hpp"
@@ -13,12 +13,12 @@
   ProcessFaults(Environment& environment, Leaders& leaders, AgentFleet& fleet)
       : environment_(environment), leaders_(leaders), fleet_(fleet) {}
 
-  /// One step: each fault begins with its probability.
+  /// Advances by one step: each fault begins with its probability.
   void step();
 
  private:
   void partition_leader();
-  void disturb(SimulatedAgent& agent);
+  void inject_machine_faults(SimulatedAgent& agent);
 
   Environment& environment_;
   Leaders& leaders_;
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -5,10 +5,10 @@
 namespace violetpulley::core::simulated {
 namespace {
 
-// Chances of each step.
+// Probabilities per step.
 constexpr double kSubmitChance = 0.025;
 constexpr double kCancelChance = 0.003;
-// Chances of each job.
+// Probabilities per job.
 constexpr double kHighPriorityChance = 0.3;
 constexpr double kLargeTaskChance = 0.06;
 constexpr double kSpotChance = 0.7;
@@ -29,7 +29,7 @@
 constexpr double kSmallMachineCpus = 8;
 constexpr Seconds kCheckpointInterval{5};
 
-// In two steps: GCC 12 warns falsely of `"text" + std::to_string(...)`.
+// Appends in two steps, because GCC 12 issues a false warning for `"text" + std::to_string(...)`.
 std::string numbered(const char* prefix, int number) {
   std::string name(prefix);
   name += std::to_string(number);
@@ -49,7 +49,7 @@
   if (!spec.same_zone && chance(kServiceChance)) make_service(spec);
   if (spec.shape == Shape::array && chance(kCheckpointChance)) {
     spec.checkpoint_every = kCheckpointInterval;
-    spec.checkpoint_time = environment_.seconds_between(0.5, 3);
+    spec.checkpoint_time = environment_.uniform_seconds(0.5, 3);
   }
   if (spec.shape == Shape::array && !spec.spread && chance(kGangChance)) make_gang(spec);
   return spec;
@@ -70,7 +70,7 @@
   spec.image_gb = 1;
   spec.spot_allowed = chance(kSpotChance);
   draw_constraints(spec);
-  spec.estimate = environment_.seconds_between(2, 30);
+  spec.estimate = environment_.uniform_seconds(2, 30);
   return spec;
 }
 
@@ -80,7 +80,7 @@
   if (chance(kTypeChance)) {
     const bool large = spec.per_task.cpus > kSmallMachineCpus || chance(kLargeTypeChance);
     spec.types = {large ? "large" : "small"};
-    if (large) spec.zone.reset();  // "large" exists in one zone alone
+    if (large) spec.zone.reset();  // "large" exists in only one zone
   }
   if (spec.types.empty() && !spec.zone && !large_task) {
     spec.same_zone = chance(kSameZoneChance);
@@ -88,7 +88,7 @@
   }
 }
 
-// Few and small enough that all of them fit at once, beside other work.
+// Keeps services few and small enough to run all at once beside other jobs.
 void Users::make_service(JobSpec& spec) {
   spec.shape = Shape::service;
   spec.estimate = Seconds(0);
@@ -97,7 +97,7 @@
   spec.priority = Priority::production;
   spec.types.clear();
   spec.spread = !spec.zone && chance(kServiceSpreadChance);
-  environment_.after(environment_.seconds_between(60, 200), [this, id = spec.id] {
+  environment_.after(environment_.uniform_seconds(60, 200), [this, id = spec.id] {
     if (submitting_ && jobs_.is_open(id)) jobs_.cancel(id);
   });
 }
@@ -116,14 +116,14 @@
 }
 
 TaskIndex Users::draw_count(double low, double high) {
-  return static_cast<TaskIndex>(environment_.between(low, high));
+  return static_cast<TaskIndex>(environment_.uniform(low, high));
 }
 
 void Users::cancel_any() {
-  auto victim = store_.jobs.begin();
+  auto selected = store_.jobs.begin();
   const auto count = static_cast<double>(store_.jobs.size());
-  std::advance(victim, static_cast<long>(environment_.between(0, count - 0.01)));
-  jobs_.cancel(JobId(victim->first));
+  std::advance(selected, static_cast<long>(environment_.uniform(0, count - 0.01)));
+  jobs_.cancel(JobId(selected->first));
 }
 
 void Users::cancel_services() {
