--- a/src/commands/pack.cpp
+++ b/src/commands/pack.cpp
@@ -77,7 +77,7 @@
     }
     fmt::print("{}{}{}: {}\n", machine.id, machine.zone.empty() ? "" : " in " + machine.zone,
                machine.rented ? "" : " (to be rented)", tasks.empty() ? "empty" : tasks);
-    for (std::size_t r = 0; r < solver::kResources; ++r)
+    for (std::size_t r = 0; r < solver::kResourceCount; ++r)
       if (machine.capacity.amounts[r] > 0)
         fmt::print("  {:<7}{} {:g} of {:g}\n", solver::kResourceNames[r],
                    bar(used.amounts[r], machine.capacity.amounts[r]), units(used.amounts[r]),
--- a/src/config/case_file.cpp
+++ b/src/config/case_file.cpp
@@ -20,7 +20,8 @@
 using solver::kOne;
 namespace rj = rapidjson;
 
-// Amounts have six digits behind the point; the greatest keeps sums over 100,000 tasks in range.
+// Amounts have six decimal places. With the maximum amount, sums over 100,000 tasks stay within the
+// range of solver::Amount.
 constexpr const char* kSchema = R"({
   "type": "object", "additionalProperties": false, "required": ["machines", "jobs"],
   "definitions": {
@@ -73,15 +74,15 @@
       const auto name = entry.first.Scalar();
       if (out.HasMember(name.c_str()))
         throw SettingsError("line " + std::to_string(entry.first.Mark().line + 1) + ": " + name +
-                            " stands there twice");
+                            " is given twice");
       out.AddMember(rj::Value(name.c_str(), memory), json_value(entry.second, memory), memory);
     }
   } else if (node.IsScalar()) {
-    // Quoted scalars are texts, whatever they look like.
+    // Quoted scalars are strings, also if they look like a number or a flag.
     bool flag = false;
     double number = 0;
     std::int64_t integer = 0;
-    // A quoted text and any other text come to the same.
+    // The branches of quoted and of plain strings are equal.
     // NOLINTBEGIN(bugprone-branch-clone)
     if (node.Tag() == "!")
       out.SetString(node.Scalar().c_str(), memory);
@@ -98,7 +99,7 @@
   return out;
 }
 
-// The line on which "/jobs/3/cpus" stands, or the nearest thing around it that there is.
+// Line of a node such as "/jobs/3/cpus", or of its nearest ancestor that exists.
 int line_at(const YAML::Node& root, const rj::Pointer& path) {
   YAML::Node node = root;
   int line = root.Mark().line;
@@ -131,12 +132,12 @@
   if (document.Accept(validator)) return;
   const auto path = validator.GetInvalidDocumentPointer();
   const std::string keyword = validator.GetInvalidSchemaKeyword();
-  std::string what = "breaks \"" + keyword + "\" of the schema";
-  if (keyword == "additionalProperties") what = "has a field that is not known";
-  if (keyword == "required") what = "lacks a field that is required (id or name, and cpus)";
+  std::string what = "violates \"" + keyword + "\" of the schema";
+  if (keyword == "additionalProperties") what = "has an unknown field";
+  if (keyword == "required") what = "lacks a required field (id or name, and cpus)";
   if (keyword == "type") what = "is of the wrong type";
   if (keyword == "minimum" || keyword == "maximum") what = "is out of range";
-  if (keyword == "enum") what = "is none of the words that are allowed";
+  if (keyword == "enum") what = "is not one of the allowed values";
   throw SettingsError("line " + std::to_string(line_at(root, path)) + ": " + path_text(path) + " " +
                       what);
 }
@@ -222,7 +223,7 @@
   std::set<std::string> seen;
   for (const auto& entry : range)
     if (!seen.insert(name(entry)).second)
-      throw SettingsError(std::string(what) + " " + name(entry) + " stands there twice");
+      throw SettingsError(std::string(what) + " " + name(entry) + " is defined twice");
 }
 
 std::string amount_text(Amount amount) {
@@ -291,7 +292,7 @@
   check_names(out.jobs, "job", [](const auto& j) { return j.id; });
   check_names(out.teams, "team", [](const auto& t) { return t.name; });
   if (const auto violation = broken_limit(out, current_placement(out)))
-    throw SettingsError("what runs breaks a limit: " + *violation);
+    throw SettingsError("the running tasks break a limit: " + *violation);
   return out;
 }
 
--- a/src/diagnostics/placement_explanation.cpp
+++ b/src/diagnostics/placement_explanation.cpp
@@ -16,8 +16,8 @@
   return {{amount(resources.cpus), amount(resources.gpus), amount(resources.memory_gb)}};
 }
 
-// Why a machine takes no tasks of the job, as a stable code of the operators' interface; null: the
-// machine may take tasks.
+// Why a machine takes no tasks of the job, as a stable code of the operator API; null: the machine
+// may take tasks.
 const char* set_aside_cause(const core::Machine& machine, const core::JobId& job,
                             const core::EndedAttempts& ended_attempts) {
   if (machine.releasing) return "returned";
@@ -59,8 +59,8 @@
   bool same_team = false;
 };
 
-// The job as two problems of the solver: `empty` with machines that run nothing else, `now` beside
-// what other jobs run.
+// The job as two problems of the solver: `empty` has machines without tasks of other jobs, `now`
+// has machines with the capacity that tasks of other jobs leave free.
 struct SolverProblems {
   solver::Problem empty;
   solver::Problem now;
@@ -79,7 +79,7 @@
     team_use_ += solver_resources(controller.ended_attempts().use_of(solver_job_.team));
     for (const auto& team : teams)
       if (team.name == solver_job_.team) set_team(team);
-    // A gang that waits has nothing on machines that counts: what is left is being stopped.
+    // Tasks of a waiting gang that are still on machines are being stopped, so they do not count.
     if (solver_job_.shape == solver::Shape::gang) solver_job_.running_tasks.clear();
     problems_.empty.jobs = {solver_job_};
     problems_.now.jobs = {solver_job_};
@@ -87,7 +87,7 @@
   }
 
  private:
-  // What the tasks on a machine leave for the job.
+  // Capacity of a machine that other jobs leave free, and the tasks of this job on it.
   struct MachineUse {
     solver::Resources free;
     std::uint32_t own_tasks = 0;
@@ -136,7 +136,7 @@
   void set_team(const core::Team& team) {
     solver::Team solver_team{team.name, {}, {{amount(team.max_cpus), amount(team.max_gpus), 0}}};
     problems_.empty.teams = {solver_team};
-    // A limit of 0 means no limit, so a limit that is used up becomes the smallest amount.
+    // A limit of 0 means no limit, so an exhausted limit becomes the smallest amount.
     for (const auto resource : {solver::cpus, solver::gpus})
       if (solver_team.limit.amounts[resource] > 0)
         solver_team.limit.amounts[resource] =
@@ -160,7 +160,7 @@
   return fits(solver::PlacementState(problem, current_placement(problem)), 0);
 }
 
-// The situation once the first `ended` of the other assignments have ended.
+// The present problem after the first `ended` of the other assignments have ended.
 solver::Problem problem_after(const SolverProblems& problems, std::size_t ended) {
   auto later = problems.now;
   for (std::size_t i = 0; i < ended; ++i) {
@@ -175,7 +175,8 @@
   return later;
 }
 
-// When enough other assignments have ended for one more task, or the gang, to fit; none: never.
+// Time until enough other assignments have ended for one more task, or the gang, to fit; none: the
+// job does not fit even after all of them have ended.
 std::optional<Seconds> time_until_fit(SolverProblems& problems) {
   auto& others = problems.others;
   std::sort(others.begin(), others.end(), [](const OtherAssignment& a, const OtherAssignment& b) {
@@ -219,7 +220,8 @@
   return names;
 }
 
-// Tasks that wait for the return of a machine, and what such machines keep of the team's limit.
+// Causes from tasks that wait until a machine is returned, and from the share of the team's limit
+// that ended attempts on such machines still hold.
 void add_delayed_start_causes(PlacementExplanation& out, const core::EndedAttempts& ended_attempts,
                               const core::JobSpec& spec) {
   const auto [first, last] = ended_attempts.of_job(spec.id);
--- a/src/solver/exact.cpp
+++ b/src/solver/exact.cpp
@@ -1,6 +1,7 @@
-// Branch and bound: job after job, and for each every way to share its tasks out among the
-// machines; of machines that are alike by then only one order is tried. A branch is left when
-// nothing in it can be better than the best found, part by part of the score.
+/// @file
+/// Branch and bound over the jobs in order of priority: for each job, every distribution of its
+/// tasks over the machines is tried. Of interchangeable machines only one order is tried. A branch
+/// is pruned when its bound is not better than the best score found. Owns the search state.
 #include <algorithm>
 #include <tuple>
 
@@ -40,7 +41,7 @@
     return out;
   }
 
-  // What no completion of the present state can exceed, in any part.
+  // Bound of the score: no completion of the present state is better in any part.
   Score bound() const {
     Score out;
     out.placed.resize(priorities_.size());
@@ -79,8 +80,9 @@
     return job.shape == Shape::gang && most < job.tasks ? state_.placed(j) : most;
   }
 
-  // Of the jobs of one priority, by the room that is left over all machines: for each resource by
-  // itself those first that count most for what they take, the last one whole.
+  // Bound of the placed weight of one priority, from the free capacity summed over all machines.
+  // For each resource, tasks are taken by descending weight density; the last one may exceed the
+  // capacity. The lowest sum over the resources is the bound.
   Amount placed_bound(int priority, const std::vector<std::uint32_t>& placeable,
                       const Resources& free) const {
     std::vector<std::size_t> expandable;
@@ -91,7 +93,7 @@
       if (placeable[j] > state_.placed(j)) expandable.push_back(j);
     }
     Amount least = -1;
-    for (std::size_t r = 0; r < kResources; ++r) {
+    for (std::size_t r = 0; r < kResourceCount; ++r) {
       std::sort(expandable.begin(), expandable.end(), [&](std::size_t a, std::size_t b) {
         return weight_density(a, r) > weight_density(b, r);
       });
@@ -109,7 +111,7 @@
     }
     return least;
   }
-  // Weight for a thousandth of a unit; what takes nothing comes first.
+  // Weight per thousandth of a unit of the resource; jobs that need none of it come first.
   Amount weight_density(std::size_t j, std::size_t r) const {
     const auto& job = problem_.jobs[j];
     return job.per_task.amounts[r] == 0 ? INT64_MAX : job.weight() * 1000 / job.per_task.amounts[r];
@@ -145,7 +147,8 @@
     decided_[j] = false;
   }
 
-  // For each machine the one before it that is alike for all that is still to be placed.
+  // For each machine the nearest earlier one that is interchangeable with it for all jobs that are
+  // still to be placed.
   std::vector<std::optional<std::size_t>> interchangeable_predecessors(std::size_t depth) const {
     std::vector<std::optional<std::size_t>> predecessors(problem_.machines.size());
     for (std::size_t m = 1; m < predecessors.size(); ++m)
@@ -195,7 +198,7 @@
   const Problem& problem_;
   SearchOptions fast_options_;
   std::uint64_t max_steps_;
-  PlacementState state_;  // what may not be moved is there from the start, whatever comes before it
+  PlacementState state_;  // begins with the tasks that may not be moved
   std::vector<int> priorities_;
   std::vector<bool> decided_;
   std::vector<std::size_t> job_order_;
--- a/src/solver/fast.cpp
+++ b/src/solver/fast.cpp
@@ -1,6 +1,8 @@
-// The fast search: the waiting jobs are filled in, in several orders, room is made by moves in
-// chains, and then some machines are emptied again and again and what was on them placed anew, as
-// long as that makes it better (large neighbourhood search).
+/// @file
+/// The fast search. Initial placements are built from several job orders, where chains of moves
+/// make room for tasks that do not fit. Large neighbourhood search then improves the best
+/// placement: each round evicts most jobs from one to three machines and places all jobs again.
+/// Owns the best placement and the random generator.
 #include <algorithm>
 #include <numeric>
 #include <random>
@@ -14,14 +16,14 @@
 
 using JobOrder = std::vector<std::size_t>;
 
-// By priority, those that are hard to place first among equals.
+// By priority; among equal priorities the largest job first, since it is the hardest to place.
 JobOrder by_priority_and_size(const Problem& problem) {
   Resources all;
   for (const auto& machine : problem.machines) all += machine.capacity;
-  const auto size = [&](std::size_t j) {  // in thousandths of the fleet, its greatest share
+  const auto size = [&](std::size_t j) {  // largest share of the fleet, in millionths
     const auto& job = problem.jobs[j];
     std::int64_t max_share = 0;
-    for (std::size_t r = 0; r < kResources; ++r)
+    for (std::size_t r = 0; r < kResourceCount; ++r)
       if (all.amounts[r] > 0)
         max_share = std::max(max_share, job.per_task.amounts[r] *
                                             (job.shape == Shape::gang ? job.tasks : 1) /
@@ -95,7 +97,7 @@
     return true;
   }
 
-  // A machine that holds something, by chance.
+  // A random machine that has tasks; any machine if none has.
   std::size_t random_used_machine(const TaskPlacer& placer) {
     const auto begin = random_() % problem_.machines.size();
     for (std::size_t i = 0; i < problem_.machines.size(); ++i) {
@@ -119,7 +121,8 @@
       }
     }
     shuffle_within_priority(order, problem_, random_);
-    // Half of the time what was out before comes first, else it would never get a turn.
+    // In half of the rounds the jobs that were not evicted go first. Otherwise evicted jobs that
+    // come earlier in the order would always take their capacity back.
     if (random_() % 2 == 0)
       std::stable_partition(order.begin(), order.end(), [&](std::size_t j) { return !evicted[j]; });
     place_all(placer, order);
--- a/src/solver/filling.cpp
+++ b/src/solver/filling.cpp
@@ -32,8 +32,9 @@
   return state_.tasks_on(j, m) - (job.movable ? 0 : job.running_on(m));
 }
 
-// Its own places first, then machines in use before empty ones, those of its bin before others
-// (DESIGN), rented before not, and the fullest first.
+// Order of preference: machines that still lack tasks of the job that run there now, then machines
+// in use before empty ones, the lowest added mixing cost (DESIGN), rented machines before others,
+// the lowest price of empty machines, and the fullest machine.
 std::vector<std::size_t> TaskPlacer::ranked_machines(std::size_t j,
                                                      std::optional<std::size_t> excluded_machine,
                                                      std::size_t max_machines) {
@@ -50,8 +51,8 @@
       mixing =
           mixing_cost(machine, std::min(bins->first, job.bin), std::max(bins->second, job.bin)) -
           mixing_cost(machine, bins->first, bins->second);
-    std::int64_t left = 0;  // after one task, in thousandths of the machine, over all resources
-    for (std::size_t r = 0; r < kResources; ++r)
+    std::int64_t left = 0;  // free after one task, in thousandths, summed over resources
+    for (std::size_t r = 0; r < kResourceCount; ++r)
       if (machine.capacity.amounts[r] > 0)
         left += (state_.free(m).amounts[r] - job.per_task.amounts[r]) /
                 (machine.capacity.amounts[r] / 1000 + 1);
@@ -73,7 +74,7 @@
     if (state_.placed(j) == job.tasks) return;
     ++steps_;
     auto count = state_.max_more_tasks(j, m);
-    // What ran there comes back first, and no more, as long as others of it have a home.
+    // No more tasks than run there now: the others keep their own machines if these have room.
     if (const auto running_here = job.running_on(m); running_here > state_.tasks_on(j, m))
       count = std::min(count, running_here - state_.tasks_on(j, m));
     if (count > 0) change(j, m, count);
@@ -87,7 +88,8 @@
 void TaskPlacer::place(std::size_t j) {
   const auto& job = problem_.jobs[j];
   if (state_.placed(j) == job.tasks) return;
-  // Each of them takes a task, unless zones are limited: then it is not known how many it needs.
+  // Each machine takes at least one task, so one machine for each task is enough. Constraints on
+  // zones may exclude machines later, so all machines are needed then.
   const bool zone_constrained = job.same_zone || job.spread;
   const auto machines =
       ranked_machines(j, {}, zone_constrained ? SIZE_MAX : job.tasks - state_.placed(j));
@@ -97,7 +99,7 @@
     if (job.shape == Shape::gang && state_.placed(j) < job.tasks) undo_to(start);
     return;
   }
-  // The zone that takes most, the first of equals.
+  // The zone that takes the most tasks, the first among equals.
   std::vector<std::string> zones;
   for (const auto m : machines)
     if (std::find(zones.begin(), zones.end(), state_.zone_of(m)) == zones.end())
@@ -136,7 +138,8 @@
   const auto& job = problem_.jobs[j];
   const auto start = undo_point();
   if (job.shape != Shape::gang) return make_room_for_one(j, depth, {});
-  // Zones are not tried one by one here: rounds of taking out and placing anew do that.
+  // Zones are not tried one by one: the neighbourhood search does that by evicting and placing the
+  // gang again.
   while (state_.placed(j) < job.tasks) {
     const auto machines = ranked_machines(j, {}, 1);
     if (!machines.empty()) {
@@ -156,7 +159,7 @@
   return false;
 }
 
-// Takes tasks of one other job off the machine until a task fits, and places them elsewhere.
+// Removes tasks of one other job from the machine until a task fits, and places them elsewhere.
 bool TaskPlacer::make_room_on(std::size_t j, std::size_t m, int depth) {
   Relaxation any_amount;
   any_amount.resources.fill(true);
--- a/src/solver/filling.hpp
+++ b/src/solver/filling.hpp
@@ -1,5 +1,6 @@
-// Placing the tasks of one job at a time, and taking that back. Shared by the fast search and by
-// the reasons.
+/// @file
+/// Places and removes the tasks of one job at a time and can undo these changes. Used by the fast
+/// search and by the explanations. Owns the placement under construction and an undo log.
 #pragma once
 
 #include <vector>
@@ -8,12 +9,12 @@
 
 namespace violetpulley::solver {
 
-// Moves that one move may set off.
+/// Number of further moves that one move may cause.
 inline constexpr int kMaxEjectionChain = 2;
 
 class TaskPlacer {
  public:
-  // From a placement that keeps every limit. No room is made after so many steps.
+  /// `placement` must keep every limit. After `max_steps`, no more tasks are moved to make room.
   TaskPlacer(const Problem& problem, const Placement& placement, std::uint64_t max_steps);
 
   const PlacementState& state() const { return state_; }
@@ -23,14 +24,17 @@
   UndoPoint undo_point() const { return undo_log_.size(); }
   void undo_to(UndoPoint undo_point);
 
-  // As many tasks of the job as fit, a gang whole or not at all.
+  /// Places as many tasks of the job as fit; a gang is placed whole or not at all.
   void place(std::size_t job);
-  // Whether one task, or the whole gang, came in by moving others, each of them moved on at most
-  // `depth` times in a chain. If not, nothing is changed.
+  /// Places one task, or the whole gang, by moving tasks of other jobs. A moved task may cause a
+  /// chain of at most `depth` further moves. Returns false, with nothing changed, if no room is
+  /// found.
   bool make_room(std::size_t job, int depth);
-  // Takes out what may be taken of a job on a machine; a gang leaves all its machines.
+  /// Removes the movable tasks of a job from a machine; a gang is removed from all its machines, or
+  /// not at all if it may not be moved.
   void evict(std::size_t job, std::size_t machine);
-  // How many tasks of the job may leave the machine: all but those that run there unmovable.
+  /// Number of tasks of the job that may leave the machine: all but running tasks that may not be
+  /// moved.
   std::uint32_t removable(std::size_t job, std::size_t machine) const;
 
  private:
@@ -41,7 +45,7 @@
   };
   void change(std::size_t job, std::size_t machine, std::int64_t delta);
   void place_on(std::size_t job, const std::vector<std::size_t>& machines);
-  // The first `max_machines` of the machines that have room for a task, the best first.
+  // The best `max_machines` machines that have room for a task, the best first.
   std::vector<std::size_t> ranked_machines(std::size_t job,
                                            std::optional<std::size_t> excluded_machine,
                                            std::size_t max_machines);
--- a/src/solver/model.cpp
+++ b/src/solver/model.cpp
@@ -56,10 +56,10 @@
 
 namespace {
 
-// What a placement makes of one job.
+// Tasks of one job in a placement.
 struct JobTotals {
   std::int64_t placed = 0;
-  std::int64_t lost = 0;  // running tasks that end or run elsewhere
+  std::int64_t lost = 0;  // running tasks that are stopped or moved
 };
 
 JobTotals totals_of(const Job& job, const std::vector<std::uint32_t>& tasks_on) {
@@ -70,7 +70,8 @@
     running += job.running_on(m);
     if (job.running_on(m) > tasks_on[m]) totals.lost += job.running_on(m) - tasks_on[m];
   }
-  if (job.shape == Shape::gang && totals.lost > 0) totals.lost = running;  // a gang restarts whole
+  if (job.shape == Shape::gang && totals.lost > 0)
+    totals.lost = running;  // all tasks of a gang restart
   return totals;
 }
 
@@ -79,7 +80,7 @@
   int max;
 };
 
-// The run-time bins that each machine mixes; none: nothing is placed there.
+// Range of run-time bins on each machine; none: the machine has no tasks.
 std::vector<std::optional<BinRange>> bins_by_machine(const Problem& problem,
                                                      const Placement& placement) {
   std::vector<std::optional<BinRange>> bins(problem.machines.size());
@@ -133,7 +134,8 @@
     std::uint32_t count = 0;
     for (std::size_t m = 0; m < problem.machines.size(); ++m) {
       const auto here = placement[j][m];
-      if (!job.movable && here < job.running_on(m)) return job.id + " may not be moved";
+      if (!job.movable && here < job.running_on(m))
+        return job.id + " is not movable but loses running tasks";
       if (here == 0) continue;
       if (!allowed_on(job, problem.machines[m]))
         return job.id + " may not run on " + problem.machines[m].id;
@@ -141,23 +143,23 @@
       zones[problem.machines[m].zone] += here;
       taken[m] += job.per_task * here;
     }
-    if (count > job.tasks) return job.id + " has fewer tasks";
+    if (count > job.tasks) return job.id + " is placed with more tasks than it has";
     if (job.shape == Shape::gang && count != 0 && count != job.tasks)
-      return job.id + " runs whole or not at all";
-    if (job.same_zone && zones.size() > 1) return job.id + " must be in one zone";
+      return job.id + " is a gang and is placed only in part";
+    if (job.same_zone && zones.size() > 1) return job.id + " must have all tasks in one zone";
     for (const auto& [zone, here] : zones)
       if (job.spread && here > max_tasks_in_zone(job))
         return job.id + " has too many tasks in " + zone;
     used[job.team] += job.per_task * count;
   }
   for (std::size_t m = 0; m < problem.machines.size(); ++m)
-    for (std::size_t r = 0; r < kResources; ++r)
+    for (std::size_t r = 0; r < kResourceCount; ++r)
       if (taken[m].amounts[r] > problem.machines[m].capacity.amounts[r])
         return problem.machines[m].id + " has too few " + kResourceNames[r];
   for (const auto& team : problem.teams)
     for (const auto r : {cpus, gpus})
       if (team.limit.amounts[r] > 0 && used[team.name].amounts[r] > team.limit.amounts[r])
-        return team.name + " may use fewer " + kResourceNames[r];
+        return team.name + " exceeds its limit of " + kResourceNames[r];
   return std::nullopt;
 }
 
--- a/src/solver/reasons.cpp
+++ b/src/solver/reasons.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMaxRemedySteps = 200'000;  // an answer is awaited
+constexpr std::uint64_t kMaxRemedySteps = 200'000;  // bounds the response time
 
 std::uint32_t fill_zone(PlacementState& state, std::size_t j,
                         const std::optional<std::string>& zone, const Relaxation& relaxed) {
@@ -20,16 +20,16 @@
   return state.placed(j) - before;
 }
 
-// Sets of reasons, the smaller ones first.
+// All non-empty sets of reasons, the smaller ones first.
 std::vector<std::vector<Reason>> sets_by_size() {
   std::vector<unsigned> masks;
-  for (unsigned mask = 1; mask < 1U << kReasons; ++mask) masks.push_back(mask);
+  for (unsigned mask = 1; mask < 1U << kReasonCount; ++mask) masks.push_back(mask);
   std::stable_sort(masks.begin(), masks.end(),
                    [](unsigned a, unsigned b) { return std::popcount(a) < std::popcount(b); });
   std::vector<std::vector<Reason>> out;
   for (const auto mask : masks) {
     auto& set = out.emplace_back();
-    for (std::size_t i = 0; i < kReasons; ++i)
+    for (std::size_t i = 0; i < kReasonCount; ++i)
       if ((mask >> i & 1U) != 0) set.push_back(static_cast<Reason>(i));
   }
   return out;
@@ -138,7 +138,7 @@
   return out;
 }
 
-// Tasks of one job are alike, so filling machine after machine finds whether it fits.
+// Tasks of one job are identical, so filling one machine after the other decides whether it fits.
 bool fits(const PlacementState& state, std::size_t j, const Relaxation& relaxed) {
   const auto& problem = state.problem();
   const auto& job = problem.jobs[j];
--- a/src/solver/reasons.hpp
+++ b/src/solver/reasons.hpp
@@ -1,38 +1,40 @@
-// Why a job, or the rest of it, is not placed: the fewest wishes and limits without which it would
-// fit, found by dropping them one set after another, and what would let it in at the least cost.
+/// @file
+/// Explains why tasks of a job are not placed: the smallest set of constraints without which one
+/// more task, or the whole gang, would fit, and a change that would let it fit. The sets are tried
+/// one after the other, smaller ones first. Owns no state.
 #pragma once
 
 #include "solver/state.hpp"
 
 namespace violetpulley::solver {
 
-// Stable names for programs are in `code_of`.
+/// A constraint that keeps a job out; `code_of` gives its stable name.
 enum class Reason { cpus, gpus, memory, types, zone, spot, same_zone, spread, team_limit };
-inline constexpr std::size_t kReasons = 9;
+inline constexpr std::size_t kReasonCount = 9;
 
 const char* code_of(Reason reason);
-// "zone" -> "it may run in zone north only".
+/// Text for people, such as "it may run in zone north only".
 std::string sentence_of(Reason reason, const Job& job);
 Relaxation relaxation_of(const std::vector<Reason>& reasons);
 
 struct Remedy {
   enum class Kind { none, wait, move };
   Kind kind = Kind::none;
-  int bin = 0;            // wait: for all tasks up to this bin of remaining run time
-  std::string job;        // move: a task of this
-  std::string machine;    // move: away from there
-  std::size_t moves = 0;  // move: how many tasks in all
+  int bin = 0;            ///< wait: until all tasks up to this run-time bin have ended
+  std::string job;        ///< move: job of one of the tasks that move
+  std::string machine;    ///< move: machine that this task leaves
+  std::size_t moves = 0;  ///< move: number of tasks that move
 };
 
 struct Explanation {
-  std::uint32_t missing = 0;  // tasks that are not placed; 0: nothing to explain
-  bool impossible = false;    // not even on these machines when they are empty
-  bool no_machines = false;   // there is none at all; then there are no reasons
+  std::uint32_t missing = 0;  ///< tasks that are not placed; 0: all other fields are unset
+  bool impossible = false;    ///< the job does not fit even on empty machines
+  bool no_machines = false;   ///< the problem has no machines; then `reasons` is empty
   std::vector<Reason> reasons;
   Remedy remedy;
 };
 
-// Whether one more task of the job, or the whole gang, fits beside what is placed.
+/// Whether one more task of the job, or the whole gang, fits beside the placed tasks.
 bool fits(const PlacementState& state, std::size_t job, const Relaxation& relaxed = {});
 
 Explanation explain(const Problem& problem, const Placement& placement, std::size_t job);
--- a/src/solver/solver.hpp
+++ b/src/solver/solver.hpp
@@ -1,43 +1,52 @@
-// Two searches over one problem. The fast one is bounded by rounds, never by time, so that it
-// repeats; the exact one proves what it finds, or tells how much better it could be at most.
-//
-// What runs now (`Job::home`) must keep every limit: see `broken_limit(problem, homes(problem))`.
+/// @file
+/// Placement search over one problem. The fast search is a heuristic limited by rounds and steps,
+/// never by time, so that its results are reproducible. The exact search proves the optimum or
+/// returns a bound of the score. Owns no state.
+///
+/// The tasks that run now (`Job::running_tasks`) must keep every limit:
+/// `broken_limit(problem, current_placement(problem))` must be empty.
 #pragma once
 
 #include "solver/state.hpp"
 
 namespace violetpulley::solver {
 
+/// Limits of the fast search.
 struct SearchOptions {
-  std::uint32_t job_orders = 4;  // in which jobs are tried from the start; 0: what runs is kept
-  std::uint32_t rounds = 60;     // of taking some jobs out and placing them anew
+  /// Orders of the jobs from which initial placements are built; 0: the search starts from the
+  /// current placement.
+  std::uint32_t job_orders = 4;
+  /// Rounds of large neighbourhood search.
+  std::uint32_t rounds = 60;
   std::uint64_t seed = 1;
-  std::uint64_t max_steps = 2'000'000;  // looks at a machine for a job, after which no room is made
+  /// Machines inspected for a job. After this many the search moves no more tasks to make room and
+  /// starts no further round.
+  std::uint64_t max_steps = 2'000'000;
 };
 
 struct SearchResult {
   Placement placement;
   Score score;
-  std::uint64_t steps = 0;  // what the search looked at
+  std::uint64_t steps = 0;  ///< taken by the search
 };
 
 struct ExactResult {
   SearchResult best;
-  bool proven = false;  // nothing is better
-  Score bound;          // nothing is better than this
+  bool proven = false;  ///< no placement has a better score
+  Score bound;          ///< no placement has a better score than this
 };
 
 SearchResult search_fast(const Problem& problem, const SearchOptions& options = {});
-// Stops after so many steps and then has proved its bound alone.
-// `first`: of the fast search that it starts from.
+/// Stops after `max_steps`; then the result is unproven and only its bound holds. `fast_options`
+/// are those of the fast search that gives the initial placement.
 ExactResult search_exact(const Problem& problem, std::uint64_t max_steps = 20'000'000,
                          const SearchOptions& fast_options = {});
 
-// The placement with nothing moved: what runs stays, and free room is filled in order of priority.
-// The plain packing that the searches are compared with.
+/// Moves nothing: running tasks stay, and free capacity is filled in order of priority. The
+/// baseline for both searches.
 SearchResult place_greedily(const Problem& problem);
 
-// No placement is better than this in any part, whatever is moved.
+/// Bound of the score: no placement is better than it in any part.
 Score bound_of(const Problem& problem);
 
 }  // namespace violetpulley::solver
--- a/src/solver/state.cpp
+++ b/src/solver/state.cpp
@@ -32,14 +32,14 @@
 std::uint32_t PlacementState::max_more_tasks(std::size_t j, std::size_t m,
                                              const Relaxation& relaxed) const {
   const auto& job = problem_->jobs[j];
-  // What is full is most of what a round looks at, so that is seen first.
-  for (std::size_t r = 0; r < kResources; ++r)
+  // Checked first, since most machines that a search inspects are full.
+  for (std::size_t r = 0; r < kResourceCount; ++r)
     if (job.per_task.amounts[r] > free_[m].amounts[r] && job.per_task.amounts[r] > 0 &&
         !relaxed.resources[r])
       return 0;
   if (!allowed_on(job, problem_->machines[m], relaxed)) return 0;
   std::int64_t most = job.tasks - placed_[j];
-  for (std::size_t r = 0; r < kResources; ++r)
+  for (std::size_t r = 0; r < kResourceCount; ++r)
     if (job.per_task.amounts[r] > 0 && !relaxed.resources[r])
       most = std::min(most, free_[m].amounts[r] / job.per_task.amounts[r]);
   const auto in_zone = tasks_by_zone_[j][zone_index_[m]];
--- a/src/solver/state.hpp
+++ b/src/solver/state.hpp
@@ -1,5 +1,6 @@
-// A placement in the making, with what is left of rooms, zones and limits. Owns its numbers; the
-// problem must outlive it.
+/// @file
+/// A placement under construction, with the remaining capacity of machines, zones and teams kept up
+/// to date. Owns the placement and these sums; the problem must outlive it.
 #pragma once
 
 #include <map>
@@ -10,7 +11,7 @@
 
 class PlacementState {
  public:
-  // Empty: not even what runs now is placed.
+  /// An empty placement: running tasks are not placed either.
   explicit PlacementState(const Problem& problem);
   PlacementState(const Problem& problem, const Placement& placement);
 
@@ -23,14 +24,15 @@
   const Resources& free(std::size_t machine) const { return free_[machine]; }
   const std::string& zone_of(std::size_t machine) const { return problem_->machines[machine].zone; }
 
-  // How many more tasks of the job this machine could take by its room, the job's own limits and
-  // its team's. For a gang that says nothing about the rest of it.
+  /// Number of further tasks of the job that this machine can take within its free capacity, the
+  /// constraints of the job and the limit of the job's team. Whether the other tasks of a gang fit
+  /// is not checked.
   std::uint32_t max_more_tasks(std::size_t job, std::size_t machine,
                                const Relaxation& relaxed = {}) const;
   void add(std::size_t job, std::size_t machine, std::uint32_t count);
   void remove(std::size_t job, std::size_t machine, std::uint32_t count);
 
-  // The range of bins on a machine; none: it is empty.
+  /// Lowest and highest run-time bin on a machine; none: the machine is empty.
   std::optional<std::pair<int, int>> bin_range(std::size_t machine) const;
 
  private:
@@ -38,10 +40,10 @@
   Placement placement_;
   std::vector<std::uint32_t> placed_;
   std::vector<Resources> free_;
-  std::vector<std::optional<std::size_t>> team_index_;  // of each job, if it has limits
+  std::vector<std::optional<std::size_t>> team_index_;  // by job; none: no limit
   std::vector<Resources> team_use_;
-  std::vector<std::size_t> zone_index_;                    // of each machine, by number
-  std::vector<std::vector<std::uint32_t>> tasks_by_zone_;  // of each job: tasks by zone
+  std::vector<std::size_t> zone_index_;                    // by machine
+  std::vector<std::vector<std::uint32_t>> tasks_by_zone_;  // by job and zone
   std::vector<std::map<int, std::uint32_t>> tasks_by_bin_;
 };
 
--- a/src/solver/steps.cpp
+++ b/src/solver/steps.cpp
@@ -50,7 +50,7 @@
     if (!step.changes.empty()) steps_.push_back(std::move(step));
   }
 
-  // What leaves and comes nowhere else.
+  // Stops running tasks that have no place in the target placement.
   void stop_surplus_tasks(std::size_t j) {
     std::int64_t excess = 0;
     for (std::size_t m = 0; m < problem_.machines.size(); ++m) excess += surplus(j, m);
@@ -68,7 +68,7 @@
     }
   }
 
-  // As many tasks as have room where they go; a gang goes whole.
+  // Moves the tasks that have room on their target machines; a gang moves whole.
   bool move_tasks(std::size_t j) {
     if (is_gang(j)) return move_gang(j);
     bool moved = false;
@@ -79,7 +79,8 @@
         TransitionStep step{TransitionStep::Kind::move, j, {}, 0};
         change_tasks(step, from, -requested);
         auto count = std::min<std::int64_t>(requested, state_.max_more_tasks(j, to));
-        // A job of one zone leaves it with all that it has there, or not yet.
+        // A same-zone job may not have tasks in two zones between steps, so it changes zones with
+        // all tasks at once or not yet.
         if (problem_.jobs[j].same_zone && count < requested &&
             state_.zone_of(from) != state_.zone_of(to))
           count = 0;
@@ -98,7 +99,7 @@
     if (!is_changed(j) || state_.placed(j) == 0) return false;
     const auto saved_state = state_;
     TransitionStep step{TransitionStep::Kind::move, j, {}, 0};
-    // All of its tasks stop, also those that come back to their machine.
+    // All tasks of the gang stop, also those that return to their machines.
     for (std::size_t m = 0; m < problem_.machines.size(); ++m)
       change_tasks(step, m, -std::int64_t{state_.tasks_on(j, m)});
     for (std::size_t m = 0; m < problem_.machines.size(); ++m) {
@@ -112,7 +113,8 @@
     return true;
   }
 
-  // Nothing can move: the tasks that lose least are stopped and started at the end.
+  // No task can move: stops the task, or the gang, that loses the least work. It is started again
+  // at the end.
   bool stop_cheapest_task() {
     std::optional<std::pair<std::size_t, std::size_t>> cheapest;
     Amount min_loss = 0;
@@ -136,7 +138,7 @@
     return true;
   }
 
-  // Everything that had to leave has left, so what is missing has room.
+  // All tasks that had to leave their machines have left, so the missing tasks have room.
   void start(std::size_t j) {
     TransitionStep step{TransitionStep::Kind::start, j, {}, 0};
     for (std::size_t m = 0; m < problem_.machines.size(); ++m)
--- a/src/solver/steps.hpp
+++ b/src/solver/steps.hpp
@@ -1,6 +1,8 @@
-// From what runs now to a placement, step by step: after each step every limit is kept, and no task
-// is stopped twice. A task that moves is stopped, and started elsewhere once that is confirmed, so
-// a cycle needs no third machine: one task of it is out until the others have made room.
+/// @file
+/// Plans the transition from one placement to another as a sequence of steps. Every limit holds
+/// after each step, and no task is stopped twice. A moving task is stopped first and started
+/// elsewhere once the stop is confirmed, so a cycle of moves needs no spare machine: one of its
+/// tasks stays stopped until the others have moved. Owns no state.
 #pragma once
 
 #include "solver/model.hpp"
@@ -11,15 +13,15 @@
   enum class Kind { stop, move, start };
   struct Change {
     std::size_t machine = 0;
-    std::int64_t task_delta = 0;  // how many more
+    std::int64_t task_delta = 0;  ///< change of the number of tasks on the machine
   };
   Kind kind = Kind::start;
   std::size_t job = 0;
-  std::vector<Change> changes;  // of a move: away first
-  Amount loss = 0;              // what is stopped here loses
+  std::vector<Change> changes;  ///< of a move: the machine that is left comes first
+  Amount loss = 0;              ///< lost work of the tasks that this step stops
 };
 
-// Both placements must keep every limit.
+/// Both placements must keep every limit.
 std::vector<TransitionStep> plan_transition(const Problem& problem, const Placement& from,
                                             const Placement& to);
 void apply(const TransitionStep& step, Placement& placement);
--- a/tests/solver/exhaustive_search.hpp
+++ b/tests/solver/exhaustive_search.hpp
@@ -1,6 +1,7 @@
-// The definition that the solver is held against: tries every way to share out every job's tasks
-// and keeps the best that breaks no rule. Written apart from src/solver on purpose: it uses its
-// types and nothing else. So slow that it takes only small cases.
+/// @file
+/// Reference for the solver: tries every distribution of the tasks of all jobs and keeps the best
+/// one that breaks no limit. Deliberately independent of the code in src/solver: it uses only its
+/// types. Feasible for small cases only. Owns no state.
 #pragma once
 
 #include <functional>
@@ -12,7 +13,7 @@
 
 namespace violetpulley::solver::exhaustive {
 
-// What of a whole placement is wrong.
+/// Names a limit that a placement breaks; none: it keeps all limits.
 inline std::optional<std::string> violation(const Problem& problem, const Placement& placement) {
   std::map<std::string, std::array<Amount, 2>> used;
   std::vector<std::array<Amount, 3>> load(problem.machines.size());
@@ -51,7 +52,7 @@
   return std::nullopt;
 }
 
-// Greater is better.
+/// Compares as `Score` does; greater is better.
 using ObjectiveValue = std::tuple<Amount, std::vector<Amount>, Amount, Amount, Amount>;
 
 inline ObjectiveValue value(const Problem& problem, const Placement& placement) {
@@ -106,9 +107,9 @@
   return {score.guaranteed, score.placed, -score.loss, -score.machines, -score.price};
 }
 
-// Every placement, machine by machine and job by job; those that are too much for a machine already
-// are not gone on with. `visit` is called with all that are whole and not wrong. False: there are
-// more than so many steps to it.
+/// Enumerates the placements job by job and machine by machine; a branch ends as soon as a machine
+/// is overloaded. Calls `visit` with each placement that keeps all limits. Returns false if the
+/// enumeration needs more than `max_steps`.
 inline bool for_each_placement(const Problem& problem, std::uint64_t max_steps,
                                const std::function<void(const Placement&)>& visit) {
   Placement placement(problem.jobs.size(), std::vector<std::uint32_t>(problem.machines.size()));
@@ -141,6 +142,7 @@
   return steps <= max_steps;
 }
 
+/// Value of the best placement; none: the enumeration needs more than `max_steps`.
 inline std::optional<ObjectiveValue> best_value(const Problem& problem, std::uint64_t max_steps) {
   std::optional<ObjectiveValue> out;
   const bool complete = for_each_placement(problem, max_steps, [&](const Placement& placement) {
--- a/tests/solver/solver_test.cpp
+++ b/tests/solver/solver_test.cpp
@@ -1,5 +1,5 @@
-// The solver in the small: thousands of seeded cases against an exhaustive search, and each hard
-// case by itself. VIOLETPULLEY_SOLVER_CASES sets how many cases (docs/solver.md).
+// Seeded random cases compared with an exhaustive search, and a test of each hard case.
+// VIOLETPULLEY_SOLVER_CASES sets the number of random cases (docs/solver.md).
 #include "solver/solver.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 namespace violetpulley::solver {
 namespace {
 
-// Not `"m" + std::to_string(i)`: GCC 12 warns of that wrongly (-Wrestrict).
+// Replaces `"m" + std::to_string(i)`, for which GCC 12 gives a false warning (-Wrestrict).
 template <class Number>
 std::string numbered(const char* what, Number number) {
   std::ostringstream out;
@@ -40,7 +40,8 @@
   return out;
 }
 
-// A case of up to eight machines and twelve jobs of mixed shapes. Most of them are full.
+// A random case of up to eight machines and twelve jobs of mixed shapes. In most cases the machines
+// are full.
 Problem generate(std::mt19937_64& random) {
   const auto pick = [&](std::int64_t below) {
     return static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(below));
@@ -72,7 +73,7 @@
     if (one_in(4)) team.limit.amounts[gpus] = (1 + pick(2)) * kOne;
   }
   const auto jobs = 1 + pick(12);
-  // Many jobs stay in small cases only where each has few places.
+  // With many jobs and machines, few allowed machines per job keep the exhaustive search feasible.
   const bool few_places = jobs > 4 && machines > 3;
   PlacementState state(out);
   for (std::int64_t j = 0; j < jobs; ++j) {
@@ -94,7 +95,7 @@
     added.loss = pick(5) * kOne;
     out.jobs.push_back(added);
   }
-  // Some of it runs now, in places that keep every limit.
+  // Some tasks run now, on machines where they keep every limit.
   PlacementState now(out);
   for (std::size_t j = 0; j < out.jobs.size(); ++j) {
     if (machines == 0 || !one_in(2)) continue;
@@ -111,14 +112,14 @@
   return out;
 }
 
-// Everything that must hold of one case. Empty: it does. `gap_thousandths`: set where the fast
-// search places less than the best, in thousandths of the best's placed weight at the first
-// priority that differs.
+// Result of the checks of one case.
 struct CheckResult {
-  std::string failure;
-  bool exhausted = true;      // the exhaustive search came to its end
-  int gap_thousandths = -1;   // 0: as good; -1 not known
-  bool scores_worse = false;  // it places as much, and loses, keeps or pays more
+  std::string failure;    // empty: all checks passed
+  bool exhausted = true;  // the exhaustive search was complete
+  // How much less than the optimum the fast search places, in thousandths of the optimum's placed
+  // weight at the first priority that differs; 0: as much; -1: unknown.
+  int gap_thousandths = -1;
+  bool scores_worse = false;  // any part of the fast search's score differs from the optimum
   std::size_t reasons = 0;
   std::size_t impossible = 0;
   std::size_t steps = 0;
@@ -132,10 +133,11 @@
     const auto why = explain(problem, placement, j);
     if (why.missing == 0) continue;
     if (why.no_machines) {
-      if (!problem.machines.empty()) return "there are machines";
+      if (!problem.machines.empty()) return "no_machines is set although there are machines";
       continue;
     }
-    // Alone, by trying every placement of it: also what runs unmovable is left out for that.
+    // Whether the job is possible on empty machines, from all placements of this job alone. Its
+    // running tasks are ignored, also those that may not be moved.
     Problem alone = problem;
     alone.jobs = {problem.jobs[j]};
     alone.jobs[0].running_tasks.clear();
@@ -147,15 +149,17 @@
                                          if (count > 0) possible = true;
                                        }) &&
         possible == why.impossible)
-      return problem.jobs[j].id + (possible ? " is possible" : " is impossible");
+      return problem.jobs[j].id +
+             (possible ? " fits on empty machines but is reported as impossible"
+                       : " does not fit on empty machines but is reported as possible");
     out.impossible += why.impossible ? 1 : 0;
     if (why.reasons.empty() && !fits(why.impossible ? PlacementState(problem) : state, j))
-      return problem.jobs[j].id + " has no reason";
+      return problem.jobs[j].id + " does not fit, but no reason is given";
     out.reasons += why.reasons.size();
     const PlacementState empty(problem);
     const auto& explained_state = why.impossible ? empty : state;
     if (!why.reasons.empty() && !fits(explained_state, j, relaxation_of(why.reasons)))
-      return problem.jobs[j].id + " does not fit without its reasons";
+      return problem.jobs[j].id + " does not fit although its reasons are relaxed";
     for (std::size_t kept = 0; kept < why.reasons.size(); ++kept) {
       auto others = why.reasons;
       others.erase(others.begin() + static_cast<std::ptrdiff_t>(kept));
@@ -179,20 +183,21 @@
     for (const auto& change : step.changes)
       if (change.task_delta < 0) stopped[step.job] -= change.task_delta;
   }
-  if (now != to) return "the steps do not lead there";
+  if (now != to) return "the steps do not lead to the target placement";
   for (const auto& [j, count] : stopped) {
     std::int64_t running = 0;
     for (const auto n : problem.jobs[j].running_tasks) running += n;
     if (count > running) return "a task is stopped twice";
   }
-  if (loss != score_of(problem, to).loss) return "the steps lose more or less than the score says";
+  if (loss != score_of(problem, to).loss)
+    return "the loss of the steps differs from the loss of the score";
   return "";
 }
 
 CheckResult check(const Problem& problem) {
   CheckResult out;
   if (exhaustive::violation(problem, current_placement(problem))) {
-    out.failure = std::string("the case itself is wrong");
+    out.failure = std::string("the generated case breaks a limit");
     return out;
   }
   const auto fast = search_fast(problem);
@@ -203,7 +208,7 @@
       return out;
     }
     if (exhaustive::value(problem, found->placement) != exhaustive::value(found->score)) {
-      out.failure = std::string("the score is not that of the placement");
+      out.failure = std::string("the score differs from the value of the placement");
       return out;
     }
     out.failure = check_steps(problem, found->placement, out);
@@ -211,18 +216,20 @@
     if (!out.failure.empty()) return out;
   }
   if (exact.best.score.better_than(exact.bound))
-    out.failure = std::string("the best is better than the bound");
-  // By itself, not from what the fast search found.
+    out.failure = std::string("the best result is better than the bound");
+  // Without the result of the fast search as the initial placement.
   const auto alone = search_exact(problem, 1'000'000, {0, 0, 1, 0});
   if (alone.proven && exact.proven && alone.best.score != exact.best.score)
-    out.failure = std::string("the exact search alone comes to something else");
+    out.failure = std::string("the exact search without the fast search proves another optimum");
   const auto best = exhaustive::best_value(problem, kMaxExhaustiveSteps);
   out.exhausted = best.has_value();
   if (!best) return out;
   const auto found = exhaustive::value(exact.best.score);
-  if (found > *best) out.failure = std::string("better than everything there is");
-  if (exact.proven && found != *best) out.failure = std::string("the exact search is worse");
-  if (exhaustive::value(exact.bound) < *best) out.failure = std::string("the bound is not one");
+  if (found > *best) out.failure = std::string("the result is better than the exhaustive optimum");
+  if (exact.proven && found != *best)
+    out.failure = std::string("the proven result differs from the exhaustive optimum");
+  if (exhaustive::value(exact.bound) < *best)
+    out.failure = std::string("the bound is below the exhaustive optimum");
   out.gap_thousandths = 0;
   const auto fast_value = exhaustive::value(fast.score);
   out.scores_worse = fast_value != *best;
@@ -241,7 +248,7 @@
   return out;
 }
 
-// The smallest case that still fails: jobs, machines and teams are left out one by one.
+// Reduces a failing case: removes jobs, machines and teams one by one while the case still fails.
 Problem shrink(Problem problem) {
   for (bool smaller = true; smaller;) {
     smaller = false;
@@ -274,9 +281,9 @@
   return problem;
 }
 
-// docs/solver.md states these; the run outside CI prints the histogram.
-constexpr int kMaxGapThousandths = 1000;  // thousandths: at most, what the fast search may miss
-constexpr double kMaxWorseShare = 0.05;   // of the cases in which it places less than the best
+// Stated in docs/solver.md. The test prints a histogram of the gaps for runs outside CI.
+constexpr int kMaxGapThousandths = 1000;  // upper bound of the gap of the fast search in one case
+constexpr double kMaxWorseShare = 0.05;   // share of cases in which it places less than the optimum
 
 TEST(Solver, ResultsOnSmallCasesAgreeWithAnExhaustiveSearch) {
   const char* cases_setting = std::getenv("VIOLETPULLEY_SOLVER_CASES");
@@ -306,8 +313,8 @@
   }
   std::cout << cases << " cases, " << exhausted
             << " of them exhausted; the fast search places less in " << placed_less
-            << ", is worse in anything in " << scored_worse << "; " << totals.reasons
-            << " reasons, " << totals.impossible << " impossible, " << totals.steps << " steps\n";
+            << ", has a worse score in " << scored_worse << "; " << totals.reasons << " reasons, "
+            << totals.impossible << " impossible, " << totals.steps << " steps\n";
   for (const auto& [up_to, count] : histogram)
     std::cout << "  up to " << up_to << " thousandths less: " << count << "\n";
   EXPECT_GE(exhausted, cases / 2);
@@ -323,7 +330,7 @@
   return out;
 }
 
-// a fills m0 once b has left it, b fits m1 once c has left that, and only m2 takes c.
+// Job a fits on m0 after b has left, b fits on m1 after c has left, and c fits only on m2.
 Problem chain_of_moves() {
   Problem out;
   out.machines = {machine("m0", 4), machine("m1", 3), machine("m2", 2)};
@@ -345,7 +352,7 @@
     CheckResult out;
     EXPECT_EQ(check_steps(problem, found.placement, out), "");
     const auto steps = plan_transition(problem, current_placement(problem), found.placement);
-    ASSERT_EQ(steps.size(), 3U);  // c, then b, then a
+    ASSERT_EQ(steps.size(), 3U);  // in the order c, b, a
     EXPECT_EQ(steps[0].job, 2U);
     EXPECT_EQ(steps[1].job, 1U);
   }
@@ -368,7 +375,7 @@
   EXPECT_EQ(check_steps(problem, swapped, out), "");
   const auto steps = plan_transition(problem, current_placement(problem), swapped);
   ASSERT_EQ(steps.size(), 3U);
-  EXPECT_EQ(steps[0].job, 1U) << "the one that loses less waits";
+  EXPECT_EQ(steps[0].job, 1U) << "the task that loses less work stays stopped";
 }
 
 TEST(Solver, TasksThatEndAreStoppedBeforeOthersMove) {
@@ -386,7 +393,7 @@
   EXPECT_EQ(steps[1].kind, TransitionStep::Kind::move);
 }
 
-// Found by case 13970 of 20,000: half of a job of one zone was moved to another.
+// Guards against a plan that moves half of a same-zone job to another zone in one step.
 TEST(Solver, ASameZoneJobMovesToAnotherZoneWithAllOfItsTasks) {
   Problem problem;
   problem.machines = {machine("m0", 4, "c", 2), machine("m1", 3, "a", 6)};
@@ -507,7 +514,7 @@
           "line 4: /jobs/0/cpus");
   refused("machines: []\njobs:\n  - {id: j, cpus: 1, colour: red}\n", "line 3");
   refused("machines: []\njobs: [{id: j, cpus: \"1\"}]", "wrong type");
-  refused("machines: [{id: m, cpus: 1}, {id: m, cpus: 1}]\njobs: []", "m stands there twice");
+  refused("machines: [{id: m, cpus: 1}, {id: m, cpus: 1}]\njobs: []", "m is defined twice");
   refused("machines: [{id: m, cpus: 1}]\njobs: [{id: j, cpus: 2, running: {m: 1}}]",
           "too few cpus");
   refused("machines: [{id: m, cpus: 1}]\njobs: [{id: j, cpus: 2, running: {n: 1}}]",
