--- a/src/diagnostics/cost_breakdown.cpp
+++ b/src/diagnostics/cost_breakdown.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // Shares of a machine by use; they add up to 1.
-using Shares = std::array<double, kUses>;
+using Shares = std::array<double, kUseCount>;
 
-// The share of the resource that is used most.
+// Largest share over all resources.
 double share_of(const core::Resources& part, const core::Resources& total) {
   double share = 0;
   if (total.cpus > 0) share = std::max(share, part.cpus / total.cpus);
@@ -40,7 +40,8 @@
     out[static_cast<std::size_t>(use_of(assignment))] += share;
     sum += share;
   }
-  // Tasks of different shapes together take less than the sum of their greatest shares.
+  // The largest share of each task may be that of another resource, so the sum of these shares may
+  // exceed the used share of the machine and is scaled to it.
   const auto used = std::min(1.0, share_of(machine.used, machine.capacity));
   if (sum > 0)
     for (auto& share : out) share *= used / sum;
@@ -57,7 +58,7 @@
   const double hours = std::chrono::duration<double, std::ratio<3600>>(since).count();
   for (const auto& [id, machine] : fleet.all()) {
     const auto shares = shares_of(machine);
-    for (std::size_t use = 0; use < kUses; ++use)
+    for (std::size_t use = 0; use < kUseCount; ++use)
       cost_by_use_[use] += shares[use] * machine.price * hours;
   }
 }
@@ -67,12 +68,12 @@
 }
 
 std::string CostBreakdown::text() const {
-  static constexpr std::array<const char*, kUses> kNames{
+  static constexpr std::array<const char*, kUseCount> kNames{
       "running", "fetching", "stopping", "free beside work", "empty", "reserved", "booting"};
   std::ostringstream out;
   const auto all = total_cost();
   out << std::fixed << std::setprecision(2) << "spent " << all;
-  for (std::size_t use = 0; use < kUses && all > 0; ++use)
+  for (std::size_t use = 0; use < kUseCount && all > 0; ++use)
     out << (use == 0 ? ": " : ", ") << kNames[use] << " " << std::setprecision(1)
         << cost_by_use_[use] / all * 100 << "%";
   return out.str();
--- a/src/diagnostics/placement_explanation.hpp
+++ b/src/diagnostics/placement_explanation.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// Explains why a job of this leader waits now. The core's state is turned into two problems of the
-/// solver: one with every machine empty, one with the machines as they are. Changes nothing; the
-/// work is bounded, since what other jobs run is folded into the free capacity of each machine.
+/// Explains why a job of this leader waits. The state of the core is converted to two problems of
+/// the solver: one in which all machines are empty and one with their present free capacity. Tasks
+/// of other jobs only reduce the free capacity and are not modelled, which bounds the work. Changes
+/// no state.
 #pragma once
 
 #include "core/controller.hpp"
@@ -11,10 +12,8 @@
 
 /// One reason why a job waits.
 struct Cause {
-  /// Stable, for programs.
-  std::string code;
-  /// For people.
-  std::string text;
+  std::string code;  ///< stable, for programs
+  std::string text;  ///< for people
 };
 
 /// Why a job waits, and what would have to change.
@@ -29,17 +28,17 @@
   bool impossible = false;
   /// The fewest constraints without which one more task, or the gang, would fit.
   std::vector<Cause> causes;
-  /// When the job would fit if other tasks end as expected and no work is added; none: unknown.
+  /// Time until the job fits if other tasks end as expected and no job is added; none: unknown.
   std::optional<core::Seconds> fits_in;
   /// Machines that may take tasks.
   std::size_t machines = 0;
   /// Machines that take no tasks, by cause.
   std::map<std::string, std::size_t> set_aside;
-  /// Machine types that the job may use and that hold one task.
+  /// Machine types that the job may use and that have the capacity for one of its tasks.
   std::vector<std::string> rentable_types;
 };
 
-/// Explains the state of a job. None: the leader does not know the job, so the job is not open.
+/// Explains why tasks of a job wait. None: the leader has no open job with this ID.
 std::optional<PlacementExplanation> explain_placement(const core::Controller& controller,
                                                       const std::vector<core::Team>& teams,
                                                       const std::vector<core::MachineType>& types,
--- a/tests/diagnostics/placement_explanation_test.cpp
+++ b/tests/diagnostics/placement_explanation_test.cpp
@@ -1,4 +1,4 @@
-// Why a job waits, asked of a leader's core and over the operators' address.
+// Explanations of waiting jobs, from the controller of a leader and over the operator API.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -48,7 +48,7 @@
     controller_->job_opened(record, now_);
   }
 
-  // Rounds, with workers that do at once what they are told.
+  // Runs 30 scheduling rounds with workers that execute each command at once.
   void run_rounds() {
     for (int i = 0; i < 30; ++i) {
       now_ += std::chrono::milliseconds(200);
@@ -157,8 +157,10 @@
   EXPECT_EQ(codes(explain("elsewhere")), Codes{"zone"});
   const auto gang = explain("gang");
   EXPECT_TRUE(gang.impossible);
-  EXPECT_EQ(codes(gang), Codes{"cpus"}) << "nine of four processors on two machines of 16";
-  EXPECT_EQ(codes(explain("spread")), Codes{"zone"}) << "without its spread it would fit as well";
+  EXPECT_EQ(codes(gang), Codes{"cpus"})
+      << "nine tasks of four processors do not fit on two machines of 16";
+  EXPECT_EQ(codes(explain("spread")), Codes{"zone"})
+      << "it would also fit without spread, but zone is tried first";
   EXPECT_FALSE(diagnostics::explain_placement(*controller_, teams_, types_, "unknown", now_));
 }
 
@@ -167,12 +169,12 @@
   costs.sample(controller_->fleet(), now_);
   EXPECT_EQ(costs.total_cost(), 0);
   EXPECT_EQ(costs.text(), "spent 0.00");
-  // An hour of two empty machines, at 2 each.
+  // Two empty machines at a price of 2 for an hour.
   now_ += std::chrono::hours(1);
   costs.sample(controller_->fleet(), now_);
   EXPECT_DOUBLE_EQ(costs.cost_of(diagnostics::Use::empty), 4);
-  // Three tasks of four processors on machines of 16: 12 of 32 processors are used. One is on
-  // each machine at least, or else its machine is empty.
+  // Three tasks of four processors on two machines of 16 use 12 of 32 processors. The rest is
+  // unused capacity, or an empty machine if all three tasks run on one machine.
   open("some", 3, {4, 0, 1});
   run_rounds();
   ASSERT_EQ(explain("some").on_machines, 3U);
@@ -237,7 +239,7 @@
   const auto without_leader = make_operator_api(false);
   const auto response = request(*without_leader, "GET", "/v1/jobs/j/why");
   EXPECT_EQ(response.status, 503);
-  // Two that hold each other for the leader pass a question on once.
+  // Two controllers that take each other for the leader forward a request only once.
   const auto second = make_operator_api(false, without_leader->local_endpoint());
   EXPECT_EQ(request(*second, "GET", "/v1/jobs/j/why").status, 503);
   const auto leader = make_operator_api(true);
