--- a/src/config/case_file.hpp
+++ b/src/config/case_file.hpp
@@ -1,4 +1,6 @@
-// Cases for `violetpulley pack`, written by hand (YAML, docs/solver.md has an example).
+/// @file
+/// Case files of `violetpulley pack`: placement problems written by hand in YAML (docs/solver.md
+/// has an example). Owns no state.
 #pragma once
 
 #include "config/settings.hpp"
@@ -6,10 +8,10 @@
 
 namespace violetpulley::config {
 
-// Throws SettingsError with the line or the path of what is wrong, also if what runs breaks a
-// limit.
+/// Throws SettingsError with the line, path or name of the invalid entry, also if the running tasks
+/// break a limit.
 solver::Problem parse_case(const std::string& yaml);
-// A text that `parse_case` reads as the same problem.
+/// Case file that `parse_case` reads as the same problem.
 std::string case_text(const solver::Problem& problem);
 
 }  // namespace violetpulley::config
--- a/src/config/history_settings.cpp
+++ b/src/config/history_settings.cpp
@@ -68,7 +68,7 @@
   };
   read_fields(yaml, "history settings", setters);
   if (out.location == HistoryLocation::directory && out.directory.empty())
-    throw SettingsError("directory: is missing, and home is directory");
+    throw SettingsError("directory: is missing, but is required when home is directory");
   return out;
 }
 
--- a/src/config/history_settings.hpp
+++ b/src/config/history_settings.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The operators' settings of the history (deploy/history.yaml, docs/history.md).
+/// The operators' settings of the event history (deploy/history.yaml, docs/history.md).
 #pragma once
 
 #include <filesystem>
@@ -10,7 +10,7 @@
 
 namespace violetpulley::config {
 
-/// Where the history is kept.
+/// Where the history is stored; the setting is `home`.
 enum class HistoryLocation { off, directory, state_service };
 
 struct HistorySettings {
@@ -22,10 +22,11 @@
   core::Seconds max_age{3600};
 };
 
-/// Throws SettingsError with the field at fault. `key_file` is read and checked here.
+/// Throws SettingsError that names the invalid field. Also reads and checks the file that
+/// `key_file` names.
 HistorySettings load_history_settings(const std::filesystem::path& path);
 HistorySettings parse_history_settings(const std::string& yaml);
-/// Reads a key; throws SettingsError that names `field`.
+/// Reads a key file; throws SettingsError that names `field`.
 history::Key load_key(const std::filesystem::path& path, const std::string& field);
 
 }  // namespace violetpulley::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -113,7 +113,7 @@
 void read_deployment(const toml::table& table, Settings& settings) {
   const auto nodes = number_at(table, "settings.", "nodes", 1);
   if (static_cast<std::size_t>(nodes) != settings.nodes())
-    fail("settings.nodes", "does not match the number of siblings");
+    fail("settings.nodes", "must be the number of siblings plus one");
   read_zones(table, settings);
   settings.clock_skew = std::chrono::milliseconds(
       static_cast<long>(std::ceil(number_at(table, "settings.", "skew_ms", 0))));
@@ -147,14 +147,15 @@
              });
 }
 
-// A cancellation must leave a leader time to serve, see Leadership::min_cancel_time.
+// The promised cancellation time must leave a leader time to serve requests, see
+// Leadership::min_cancel_time.
 void check_cancel_time(const Settings& settings, const std::string& field) {
   const auto min_time = core::Leadership::min_cancel_time(settings.workers, settings.clock_skew);
   if (settings.workers.cancel >= min_time) return;
   std::ostringstream problem;
   problem << "must be at least " << std::fixed << std::setprecision(1)
           << std::ceil(min_time.count() * 10) / 10 << " with this lease_s and skew_ms, or a leader "
-          << "that loses the state service could break it";
+          << "that loses the state service could exceed it";
   fail(field, problem.str());
 }
 
@@ -185,7 +186,7 @@
       static_cast<std::size_t>(number_at(limits, "settings.limits.", "max_sockets", 50));
 }
 
-// The first fault in the order of the file is the one that is reported.
+// Fields are read in the order of the file, so the first error in the file is reported.
 Settings from_table(const toml::table& root) {
   Settings settings;
   read_addresses(root, settings);
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The platform's settings file (TOML) and the operators' own settings (YAML), both checked. The
-/// names in the files are those of the deployment guide; this header uses the project's terms.
+/// The platform's settings file (TOML) and the operators' settings file (YAML), parsed and checked.
+/// Names in the files are those of the deployment guide and may differ from the names in this
+/// header. Owns no state.
 #pragma once
 
 #include <filesystem>
@@ -23,7 +24,7 @@
   std::string peer_address;
 };
 
-/// A service-level objective of the operators.
+/// A service-level objective.
 struct Objective {
   /// "finished", "deadline" and others; unknown kinds are ignored.
   std::string kind;
@@ -60,14 +61,14 @@
   std::size_t nodes() const { return peers.size() + 1; }
 };
 
-/// The operators' own file.
+/// The operators' settings.
 struct OperatorSettings {
   core::Tuning tuning;
   /// Address of the diagnostics endpoint; empty: none.
   std::string why_address;
 };
 
-/// The functions below throw SettingsError at the first fault. `source` names the file in messages.
+/// The functions below throw SettingsError at the first error. `source` names the file in messages.
 Settings load_settings(const std::filesystem::path& path);
 Settings parse_settings(const std::string& text, const std::string& source);
 OperatorSettings load_operator_settings(const std::filesystem::path& path);
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// The operators' own settings, in YAML. Unknown names are refused: a misspelt name would otherwise
-/// change nothing without notice. The YAML names are older than the project's terms and stay, since
-/// operators have files that use them; this file maps them.
+/// The operators' settings, in YAML. Unknown names are rejected, since a misspelt setting would
+/// otherwise be ignored silently. The YAML names are a stable interface that operators' files use;
+/// where they differ from the names of the fields, this file maps them.
 #include "config/yaml_fields.hpp"
 #include "net/http_client.hpp"
 
@@ -14,7 +14,7 @@
   try {
     net::parse_endpoint(address);
   } catch (const std::exception&) {
-    throw SettingsError(name + ": must be an address and a port, as 127.0.0.1:7400" +
+    throw SettingsError(name + ": must be an address and a port, such as 127.0.0.1:7400" +
                         line_of(node));
   }
   return address;
@@ -26,7 +26,7 @@
   };
 }
 
-// A whole number, cut off after the point.
+// Decimal places are cut off.
 template <class Integer>
 FieldSetter count_field(Integer& field, Range range) {
   return [&field, range](const YAML::Node& node, const std::string& name) {
--- a/src/config/yaml_fields.hpp
+++ b/src/config/yaml_fields.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Fields of the operators' YAML files, checked: every message of a fault names the line and the
-/// field. Throws SettingsError throughout.
+/// Parses and checks fields of the operators' YAML files. The functions throw SettingsError that
+/// names the field and its line. Owns no state.
 #pragma once
 
 #include <yaml-cpp/yaml.h>
@@ -20,7 +20,7 @@
   double max;
 };
 
-/// Reads one field from a node; the text is the name of the field.
+/// Reads one field from a node; the string is the name of the field in messages.
 using FieldSetter = std::function<void(const YAML::Node&, const std::string&)>;
 using FieldSetters = std::map<std::string, FieldSetter>;
 
@@ -52,7 +52,7 @@
 
 inline std::string text(const YAML::Node& node, const std::string& name) {
   if (!node.IsScalar() || node.Scalar().empty())
-    throw SettingsError(name + ": must be a text" + line_of(node));
+    throw SettingsError(name + ": must be a string that is not empty" + line_of(node));
   return node.Scalar();
 }
 
@@ -62,7 +62,7 @@
   };
 }
 
-/// Reads a map whose names are all known; `what` names the file in messages.
+/// Reads a map and rejects names without a setter; `what` names the file in messages.
 inline void read_fields(const std::string& yaml, const std::string& what,
                         const FieldSetters& setters) {
   YAML::Node root;
