--- a/src/diagnostics/cost_breakdown.cpp
+++ b/src/diagnostics/cost_breakdown.cpp
@@ -71,11 +71,11 @@
   static constexpr std::array<const char*, kUseCount> kNames{
       "running", "fetching", "stopping", "free beside work", "empty", "reserved", "booting"};
   std::ostringstream out;
-  const auto all = total_cost();
-  out << std::fixed << std::setprecision(2) << "spent " << all;
-  for (std::size_t use = 0; use < kUseCount && all > 0; ++use)
+  const auto total = total_cost();
+  out << std::fixed << std::setprecision(2) << "spent " << total;
+  for (std::size_t use = 0; use < kUseCount && total > 0; ++use)
     out << (use == 0 ? ": " : ", ") << kNames[use] << " " << std::setprecision(1)
-        << cost_by_use_[use] / all * 100 << "%";
+        << cost_by_use_[use] / total * 100 << "%";
   return out.str();
 }
 
--- a/src/solver/filling.cpp
+++ b/src/solver/filling.cpp
@@ -74,7 +74,8 @@
     if (state_.placed(j) == job.tasks) return;
     ++steps_;
     auto count = state_.max_more_tasks(j, m);
-    // No more tasks than run there now: the others keep their own machines if these have room.
+    // At most as many tasks as run there now, so that the other tasks of the job can stay on their
+    // own machines.
     if (const auto running_here = job.running_on(m); running_here > state_.tasks_on(j, m))
       count = std::min(count, running_here - state_.tasks_on(j, m));
     if (count > 0) change(j, m, count);
--- a/src/solver/filling.hpp
+++ b/src/solver/filling.hpp
@@ -9,7 +9,7 @@
 
 namespace violetpulley::solver {
 
-/// Number of further moves that one move may cause.
+/// Maximum length of the chain of further moves that one move may cause.
 inline constexpr int kMaxEjectionChain = 2;
 
 class TaskPlacer {
@@ -30,8 +30,8 @@
   /// chain of at most `depth` further moves. Returns false, with nothing changed, if no room is
   /// found.
   bool make_room(std::size_t job, int depth);
-  /// Removes the movable tasks of a job from a machine; a gang is removed from all its machines, or
-  /// not at all if it may not be moved.
+  /// Removes the removable tasks of a job from a machine; a gang is removed from all its machines,
+  /// or not at all if any of its tasks is not removable.
   void evict(std::size_t job, std::size_t machine);
   /// Number of tasks of the job that may leave the machine: all but running tasks that may not be
   /// moved.
