--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// The operators' own settings, in YAML. Unknown names are refused: a misspelt name would otherwise
-/// change nothing without notice. The YAML names are older than the project's terms and stay, since
-/// operators have files that use them; this file maps them.
+/// The operators' settings, in YAML. Unknown names are rejected, since a misspelt setting would
+/// otherwise be ignored silently. The YAML names are a stable interface that operators' files use;
+/// where they differ from the names of the fields, this file maps them.
 #include "config/yaml_fields.hpp"
 #include "net/http_client.hpp"
 
@@ -14,7 +14,7 @@
   try {
     net::parse_endpoint(address);
   } catch (const std::exception&) {
-    throw SettingsError(name + ": must be an address and a port, as 127.0.0.1:7400" +
+    throw SettingsError(name + ": must be an address and a port, such as 127.0.0.1:7400" +
                         line_of(node));
   }
   return address;
@@ -26,7 +26,7 @@
   };
 }
 
-// A whole number, cut off after the point.
+// Decimal places are cut off.
 template <class Integer>
 FieldSetter count_field(Integer& field, Range range) {
   return [&field, range](const YAML::Node& node, const std::string& name) {
@@ -44,8 +44,8 @@
   };
 }
 
-FieldSetters setters_of(Operators& operators) {
-  auto& tuning = operators.tuning;
+FieldSetters setters_of(OperatorSettings& settings) {
+  auto& tuning = settings.tuning;
   return {
       {"bin_unit_s", seconds_field(tuning.bin_unit, {0.01, 3600})},
       {"round_s", seconds_field(tuning.round_interval, {0.1, 60})},
@@ -67,16 +67,16 @@
       {"most_orders", count_field(tuning.max_commands_in_flight, {8, 100'000})},
       {"commit_starts", flag_field(tuning.commit_starts)},
       {"bound_tasks_may_move", flag_field(tuning.bound_tasks_may_move)},
-      {"why_address", address_field(operators.why_address)},
+      {"why_address", address_field(settings.why_address)},
   };
 }
 
 }  // namespace
 
-Operators parse_operators(const std::string& yaml) {
-  Operators operators;
-  read_fields(yaml, "operators' settings", setters_of(operators));
-  return operators;
+OperatorSettings parse_operator_settings(const std::string& yaml) {
+  OperatorSettings settings;
+  read_fields(yaml, "operators' settings", setters_of(settings));
+  return settings;
 }
 
 }  // namespace violetpulley::config
