--- a/bench/history_bench.cpp
+++ b/bench/history_bench.cpp
@@ -47,22 +47,22 @@
   // `digests`: of the actions, which only a history needs.
   Yard(int machines, core::TaskIndex tasks_a_machine, bool digests, Sink sink)
       : tasks_a_machine_(tasks_a_machine), digests_(digests), sink_(std::move(sink)) {
-    origin_.token = 7;
-    origin_.settings.teams = {{"t", 0, 0, 0, 0}};
-    origin_.settings.cloud_calls_per_s = 3;
-    origin_.former_leases_end = now_ + std::chrono::seconds(60);
+    elected_event_.token = 7;
+    elected_event_.settings.teams = {{"t", 0, 0, 0, 0}};
+    elected_event_.settings.cloud_calls_per_s = 3;
+    elected_event_.former_leases_end = now_ + std::chrono::seconds(60);
     for (int i = 0; i < machines; ++i) {
       char name[16];
       std::snprintf(name, sizeof name, "m-%06d", i);
-      origin_.recovered.machines.push_back(
+      elected_event_.recovered.machines.push_back(
           {name, "10.0.0.1:1", "big", i % 2 ? "a" : "b", true, {}});
       auto& worker = workers_[name];
       worker.heartbeat = {name, "10.0.0.1:1", "big", i % 2 ? "a" : "b", true, 1, 0, 7, {}, {}};
       worker.next = now_ + milliseconds(i * 6000 / machines);
     }
-    controller_ = core::make_controller(origin_, now_);
+    controller_ = core::make_controller(elected_event_, now_);
     elected_at_ = now_;
-    sink_({7, now_, core::Event(origin_)}, *controller_, false);
+    sink_({7, now_, core::Event(elected_event_)}, *controller_, false);
     feed(core::CatalogReceived{{{"big", {64, 0, 512}, 60, 1, 3.7, 1.1, Seconds(20), {"a", "b"}}}});
   }
 
@@ -74,7 +74,7 @@
     const auto end = now_ + core::to_duration(length);
     while (now_ < end) step();
   }
-  const core::LeaderElected& origin() const { return origin_; }
+  const core::LeaderElected& elected_event() const { return elected_event_; }
   TimePoint elected_at() const { return elected_at_; }
   std::uint64_t written() const { return written_; }
   std::uint64_t jobs_done() const { return jobs_done_; }
@@ -179,7 +179,7 @@
   Sink sink_;
   TimePoint now_{std::chrono::hours(1)};
   TimePoint elected_at_{};
-  core::LeaderElected origin_;
+  core::LeaderElected elected_event_;
   std::map<core::MachineId, Worker> workers_;
   std::unique_ptr<core::Controller> controller_;
   std::uint64_t written_ = 0;
@@ -212,23 +212,23 @@
                                                core::WallTime{});
   }
   void operator()(const Record& record, core::Controller& controller, bool between,
-                  const core::LeaderElected& origin, TimePoint elected_at) {
+                  const core::LeaderElected& elected_event, TimePoint elected_at) {
     const auto written_from = core::Clock::now();
-    if (const auto* event = std::get_if<core::Event>(&record.what))
+    if (const auto* event = std::get_if<core::Event>(&record.content))
       log_->record(record.token, record.at, *event);
     else
-      log_->record_actions(record.token, record.at, std::get<ActionsRecorded>(record.what).digest);
+      log_->record_actions(record.token, record.at, std::get<ActionsRecorded>(record.content).digest);
     if (between) log_->flush(record.at);
     writing_ += Seconds(core::Clock::now() - written_from).count();
     if (!between || !saves_) return;
-    const auto begun = cpu_now();
+    const auto started_at = cpu_now();
     if (log_->snapshotting())
       log_->continue_snapshot();
     else if (log_->snapshot_due(record.at))
-      log_->begin_snapshot(controller, origin, elected_at, record.at, core::WallTime{});
+      log_->begin_snapshot(controller, elected_event, elected_at, record.at, core::WallTime{});
     else
       return;
-    const auto took = cpu_now() - begun;
+    const auto took = cpu_now() - started_at;
     saving_ += took;
     longest_ = std::max(longest_, took);
   }
@@ -257,7 +257,7 @@
       Yard yard(50, 10, true,
                 [&](const Record& record, core::Controller& controller, bool between) {
                   if (yard_at != nullptr)
-                    recorder(record, controller, between, yard_at->origin(), yard_at->elected_at());
+                    recorder(record, controller, between, yard_at->elected_event(), yard_at->elected_at());
                   else
                     recorder(record, controller, between, {}, {});
                 });
@@ -267,7 +267,7 @@
     }
     const auto bytes = size_of(path);
     const auto before = resident_mb();
-    const auto begun = cpu_now();
+    const auto started_at = cpu_now();
     history::Directory files(path, false);
     history::Replay replay;
     const auto contents =
@@ -275,8 +275,8 @@
     std::printf(
         "recovery %s: %8llu records, %8.1f MB on disk, %6.3f s, %6.1f MB more memory, %llu jobs\n",
         saves ? "with saves   " : "without saves",
-        static_cast<unsigned long long>(contents.events()), static_cast<double>(bytes) / 1e6,
-        cpu_now() - begun, resident_mb() - before, static_cast<unsigned long long>(jobs));
+        static_cast<unsigned long long>(contents.record_count()), static_cast<double>(bytes) / 1e6,
+        cpu_now() - started_at, resident_mb() - before, static_cast<unsigned long long>(jobs));
     std::filesystem::remove_all(path);
   }
 }
@@ -295,10 +295,10 @@
                                    {"recall_s", nullptr}, {"cuts", std::move(cuts)}}
                         .dump();
   constexpr int kTimes = 3000;
-  const auto begun = cpu_now();
+  const auto started_at = cpu_now();
   for (int i = 0; i < kTimes; ++i)
     if (agent::parse_heartbeat(body).tasks.size() != tasks) std::abort();
-  return (cpu_now() - begun) / kTimes;
+  return (cpu_now() - started_at) / kTimes;
 }
 
 // The same events with the history off and on, at the size of the largest deployment.
@@ -321,13 +321,13 @@
         machines, tasks, on, [&](const Record& record, core::Controller& controller, bool between) {
           static const core::LeaderElected kNone;
           if (recorder)
-            (*recorder)(record, controller, between, yard_at != nullptr ? yard_at->origin() : kNone,
+            (*recorder)(record, controller, between, yard_at != nullptr ? yard_at->elected_event() : kNone,
                         yard_at != nullptr ? yard_at->elected_at() : TimePoint{});
         });
     yard_at = &yard;
-    const auto begun = cpu_now();
+    const auto started_at = cpu_now();
     yard.run_for(length);
-    spent[on ? 1 : 0] = cpu_now() - begun;
+    spent[on ? 1 : 0] = cpu_now() - started_at;
     records = yard.written();
     jobs = yard.jobs_done();
     on_machines = yard.tasks_on_machines();
--- a/src/commands/exit_codes.hpp
+++ b/src/commands/exit_codes.hpp
@@ -4,12 +4,12 @@
 
 namespace violetpulley::commands {
 
-inline constexpr int kFine = 0;
+inline constexpr int kSuccess = 0;
 /// A history is damaged or a replay differs.
 inline constexpr int kCheckFailed = 1;
 /// Settings, options or files are missing or malformed.
-inline constexpr int kBadSettings = 2;
+inline constexpr int kInvalidInput = 2;
 /// The controller could not start or ended by an error.
-inline constexpr int kCannotServe = 3;
+inline constexpr int kServiceFailed = 3;
 
 }  // namespace violetpulley::commands
--- a/src/commands/history.cpp
+++ b/src/commands/history.cpp
@@ -29,7 +29,7 @@
   bool json = false;
 };
 
-std::optional<history::Key> key_of(const std::string& file, const std::string& option) {
+std::optional<history::Key> load_key_option(const std::string& file, const std::string& option) {
   if (file.empty()) return std::nullopt;
   return config::load_key(file, option);
 }
@@ -49,7 +49,7 @@
 }
 
 template <class Work>
-int guarded(const Options& options, const Work& work) {
+int run_reporting_errors(const Options& options, const Work& work) {
   try {
     return work();
   } catch (const history::CorruptionError& problem) {
@@ -59,7 +59,7 @@
   } catch (const history::FileError& problem) {
     std::cerr << "violetpulley: " << problem.what() << "\n";
   }
-  return kBadSettings;
+  return kInvalidInput;
 }
 
 // Checks all files; a torn tail is only reported.
@@ -75,50 +75,50 @@
   Json segments = Json::array();
   for (const auto& segment : contents.segments)
     segments.push_back({{"name", segment.name},
-                        {"first", segment.head.first_event},
+                        {"first", segment.header.first_record},
                         {"records", segment.records},
                         {"bytes", segment.bytes},
                         {"torn_bytes", segment.torn_bytes}});
   Json snapshots = Json::array();
   for (const auto& snapshot : contents.snapshots)
     snapshots.push_back({{"name", snapshot.name},
-                         {"records", snapshot.head.events},
+                         {"records", snapshot.header.record_count},
                          {"bytes", snapshot.bytes},
                          {"state", history::hex(snapshot.state_digest)}});
   return {{"ok", true},
           {"history", contents.history},
-          {"records", contents.events()},
+          {"records", contents.record_count()},
           {"segments", std::move(segments)},
           {"saves", std::move(snapshots)}};
 }
 
 void print_table(const history::Contents& contents) {
   for (const auto& segment : contents.segments)
-    std::cout << segment.name << "  records " << segment.head.first_event << " to "
-              << segment.head.first_event + segment.records << ", " << segment.bytes << " bytes\n";
+    std::cout << segment.name << "  records " << segment.header.first_record << " to "
+              << segment.header.first_record + segment.records << ", " << segment.bytes << " bytes\n";
   for (const auto& snapshot : contents.snapshots)
-    std::cout << snapshot.name << "  covers records up to " << snapshot.head.events << ", state "
+    std::cout << snapshot.name << "  covers records up to " << snapshot.header.record_count << ", state "
               << history::hex(snapshot.state_digest) << ", " << snapshot.bytes << " bytes\n";
-  std::cout << "good: " << contents.events() << " records\n";
+  std::cout << "good: " << contents.record_count() << " records\n";
 }
 
 int verify(const Options& options) {
   history::Directory files(options.directory, false);
-  history::Reader reader(files, key_of(options.key_file, "--key"));
+  history::Reader reader(files, load_key_option(options.key_file, "--key"));
   const auto contents = check_contents(reader);
   if (options.json)
     std::cout << json_of(contents).dump() << "\n";
   else
     print_table(contents);
-  return kFine;
+  return kSuccess;
 }
 
 int show(const Options& options) {
   history::Directory files(options.directory, false);
-  history::Reader reader(files, key_of(options.key_file, "--key"));
+  history::Reader reader(files, load_key_option(options.key_file, "--key"));
   const auto contents = check_contents(reader);
-  std::optional<core::TimePoint> begun;
-  const auto wanted = [](const auto& names, const std::string& name) {
+  std::optional<core::TimePoint> started_at;
+  const auto matches = [](const auto& names, const std::string& name) {
     return name.empty() || std::find(names.begin(), names.end(), name) != names.end();
   };
   if (!options.json)
@@ -127,11 +127,11 @@
               << "what\n";
   for (const auto& segment : contents.segments)
     reader.read_segment(segment.name, [&](const history::Record& record, std::uint64_t number) {
-      if (!begun) begun = record.at;
-      const auto time = core::Seconds(record.at - *begun).count();
+      if (!started_at) started_at = record.at;
+      const auto time = core::Seconds(record.at - *started_at).count();
       const auto subjects = history::subjects_of(record);
-      if (time < options.from_s || time > options.to_s || !wanted(subjects.jobs, options.job) ||
-          !wanted(subjects.machines, options.machine))
+      if (time < options.from_s || time > options.to_s || !matches(subjects.jobs, options.job) ||
+          !matches(subjects.machines, options.machine))
         return true;
       if (options.json)
         std::cout << history::to_json(record, number).dump() << "\n";
@@ -141,12 +141,12 @@
                   << history::kind_of(record) << history::describe(record) << "\n";
       return true;
     });
-  return kFine;
+  return kSuccess;
 }
 
 int replay(const Options& options) {
   history::Directory files(options.directory, false);
-  history::Reader reader(files, key_of(options.key_file, "--key"));
+  history::Reader reader(files, load_key_option(options.key_file, "--key"));
   const auto contents = check_contents(reader);
   history::Replay replay;
   reader.replay(contents, replay, options.from_start,
@@ -156,29 +156,29 @@
   const auto actions = history::hex(replay.actions_digest());
   if (options.json) {
     Json out{
-        {"ok", !difference}, {"records", replay.events()}, {"state", state}, {"actions", actions}};
+        {"ok", !difference}, {"records", replay.record_count()}, {"state", state}, {"actions", actions}};
     if (difference)
       out["difference"] = {{"record", difference->record},
                            {"recorded", history::hex(difference->recorded)},
                            {"replayed", history::hex(difference->replayed)}};
     std::cout << out.dump() << "\n";
   } else {
-    std::cout << "records " << replay.events() << "\nstate   " << state << "\nactions " << actions
+    std::cout << "records " << replay.record_count() << "\nstate   " << state << "\nactions " << actions
               << "\n";
     if (difference)
       std::cout << "differs first at record " << difference->record << ": recorded "
                 << history::hex(difference->recorded) << ", replayed "
                 << history::hex(difference->replayed) << "\n";
   }
-  return difference ? kCheckFailed : kFine;
+  return difference ? kCheckFailed : kSuccess;
 }
 
 // Replaces the history by one snapshot; with a new key, the new files are signed with that key.
 int compact(const Options& options) {
   history::Directory files(options.directory, true);
-  const auto key = key_of(options.key_file, "--key");
+  const auto key = load_key_option(options.key_file, "--key");
   const auto new_key =
-      options.new_key_file.empty() ? key : key_of(options.new_key_file, "--new-key");
+      options.new_key_file.empty() ? key : load_key_option(options.new_key_file, "--new-key");
   history::Reader reader(files, key);
   const auto contents = check_contents(reader);
   history::Replay replay;
@@ -187,15 +187,15 @@
     std::cerr << "violetpulley: the history is empty, there is nothing to compact\n";
     return kCheckFailed;
   }
-  const auto events = contents.events();
+  const auto events = contents.record_count();
   history::EventLog log(files, new_key, {}, contents, contents.history, replay.wall_now());
-  log.begin_snapshot(*replay.controller(), replay.origin(), replay.elected_at(), replay.now(),
+  log.begin_snapshot(*replay.controller(), replay.elected_event(), replay.elected_at(), replay.now(),
                      replay.wall_now());
   while (log.snapshotting()) log.continue_snapshot();
   log.prune(1);
   std::cout << "compacted: " << events << " records are in one save, state "
             << history::hex(replay.state_digest()) << "\n";
-  return kFine;
+  return kSuccess;
 }
 
 }  // namespace
@@ -204,29 +204,29 @@
   auto* command = app.add_subcommand("history", "read a history that a controller wrote");
   command->require_subcommand(1);
   const auto options = std::make_shared<Options>();
-  const auto add = [&](const std::string& name, const std::string& about,
+  const auto add = [&](const std::string& name, const std::string& description,
                        int (*run)(const Options&)) {
-    auto* sub = command->add_subcommand(name, about);
+    auto* sub = command->add_subcommand(name, description);
     sub->add_option("directory", options->directory, "the history's directory")->required();
     sub->add_option("--key", options->key_file, "the key file that its MACs are checked with");
     sub->callback(
-        [options, &result, run] { result = guarded(*options, [&] { return run(*options); }); });
+        [options, &result, run] { result = run_reporting_errors(*options, [&] { return run(*options); }); });
     return sub;
   };
-  auto* shown = add("show", "the records as a table", &show);
-  shown->add_option("--job", options->job, "only records about this job");
-  shown->add_option("--machine", options->machine, "only records about this machine");
-  shown->add_option("--from-s", options->from_s, "seconds after the first record, from");
-  shown->add_option("--to-s", options->to_s, "seconds after the first record, to");
-  auto* verified = add("verify", "check all; exit code 1 with the first damage", &verify);
-  auto* replayed = add("replay", "run the core over the events and compare", &replay);
-  replayed->add_option("--until", options->until, "stop before the record of this number")
+  auto* show_command = add("show", "the records as a table", &show);
+  show_command->add_option("--job", options->job, "only records about this job");
+  show_command->add_option("--machine", options->machine, "only records about this machine");
+  show_command->add_option("--from-s", options->from_s, "seconds after the first record, from");
+  show_command->add_option("--to-s", options->to_s, "seconds after the first record, to");
+  auto* verify_command = add("verify", "check all; exit code 1 with the first damage", &verify);
+  auto* replay_command = add("replay", "run the core over the events and compare", &replay);
+  replay_command->add_option("--until", options->until, "stop before the record of this number")
       ->each([options](const std::string&) { options->until_given = true; });
-  replayed->add_flag("--from-start", options->from_start,
+  replay_command->add_flag("--from-start", options->from_start,
                      "use no save, as far as the events go back");
-  auto* compacted = add("compact", "put everything into one save", &compact);
-  compacted->add_option("--new-key", options->new_key_file, "sign the new files with this key");
-  for (auto* sub : {shown, verified, replayed})
+  auto* compact_command = add("compact", "put everything into one save", &compact);
+  compact_command->add_option("--new-key", options->new_key_file, "sign the new files with this key");
+  for (auto* sub : {show_command, verify_command, replay_command})
     sub->add_flag("--json", options->json, "JSON instead of a table");
 }
 
--- a/src/commands/pack.cpp
+++ b/src/commands/pack.cpp
@@ -22,7 +22,7 @@
 using solver::Amount;
 using solver::Problem;
 
-constexpr int kBar = 20;  // characters
+constexpr int kBarCharacters = 20;  // characters
 
 struct Options {
   std::string file;
@@ -33,17 +33,17 @@
   std::uint64_t steps = 20'000'000;
 };
 
-struct Outcome {
+struct Solution {
   solver::Found found;
   std::optional<solver::Proof> proof;
   std::vector<solver::Step> steps;
   std::vector<std::pair<std::size_t, solver::Why>> left_out;
 };
 
-double units(Amount amount) { return static_cast<double>(amount) / solver::kOne; }
+double to_units(Amount amount) { return static_cast<double>(amount) / solver::kOne; }
 
-Outcome solve(const Problem& problem, const Options& options) {
-  Outcome out;
+Solution solve(const Problem& problem, const Options& options) {
+  Solution out;
   if (options.exact) {
     out.proof = search_exact(problem, options.steps);
     out.found = out.proof->best;
@@ -59,9 +59,9 @@
   return out;
 }
 
-std::string bar(Amount used, Amount of) {
-  const auto full = of == 0 ? 0 : static_cast<std::size_t>(used * kBar / of);
-  return "[" + std::string(full, '#') + std::string(kBar - full, '.') + "]";
+std::string usage_bar(Amount used, Amount of) {
+  const auto used_characters = of == 0 ? 0 : static_cast<std::size_t>(used * kBarCharacters / of);
+  return "[" + std::string(used_characters, '#') + std::string(kBarCharacters - used_characters, '.') + "]";
 }
 
 void print_machines(const Problem& problem, const solver::Placement& placement) {
@@ -80,8 +80,8 @@
     for (std::size_t r = 0; r < solver::kResources; ++r)
       if (machine.room.of[r] > 0)
         fmt::print("  {:<7}{} {:g} of {:g}\n", solver::kResourceNames[r],
-                   bar(used.of[r], machine.room.of[r]), units(used.of[r]),
-                   units(machine.room.of[r]));
+                   usage_bar(used.of[r], machine.room.of[r]), to_units(used.of[r]),
+                   to_units(machine.room.of[r]));
   }
 }
 
@@ -94,12 +94,12 @@
   if (!steps.empty()) fmt::print("\nSteps:\n");
   std::size_t number = 0;
   for (const auto& step : steps) {
-    std::string where;
+    std::string change_list;
     for (const auto& change : step.changes)
-      where += fmt::format(" {} {} {}", change.tasks < 0 ? "away from" : "to",
+      change_list += fmt::format(" {} {} {}", change.tasks < 0 ? "away from" : "to",
                            problem.machines[change.machine].id, std::abs(change.tasks));
     fmt::print("{:>4}. {} {}:{}{}\n", ++number, kind_name(step.kind), problem.jobs[step.job].id,
-               where, step.loss > 0 ? fmt::format(", loses {:g}", units(step.loss)) : "");
+               change_list, step.loss > 0 ? fmt::format(", loses {:g}", to_units(step.loss)) : "");
   }
 }
 
@@ -116,9 +116,9 @@
   return "";
 }
 
-void print_reasons(const Problem& problem, const Outcome& outcome) {
-  if (!outcome.left_out.empty()) fmt::print("\nLeft out:\n");
-  for (const auto& [j, why] : outcome.left_out) {
+void print_reasons(const Problem& problem, const Solution& solution) {
+  if (!solution.left_out.empty()) fmt::print("\nLeft out:\n");
+  for (const auto& [j, why] : solution.left_out) {
     const auto& job = problem.jobs[j];
     fmt::print("  {}: {} of {} tasks; {}\n", job.id, why.missing, job.tasks,
                why.no_machines  ? "there is no machine"
@@ -132,28 +132,28 @@
 
 Json score_json(const solver::Score& score) {
   Json placed = Json::array();
-  for (const auto level : score.placed) placed.push_back(units(level));
-  return {{"guaranteed", units(score.guaranteed)},
+  for (const auto level : score.placed) placed.push_back(to_units(level));
+  return {{"guaranteed", to_units(score.guaranteed)},
           {"placed", placed},
-          {"loss", units(score.loss)},
+          {"loss", to_units(score.loss)},
           {"machines", score.machines},
-          {"price", units(score.price)}};
+          {"price", to_units(score.price)}};
 }
 
-Json to_json(const Problem& problem, const Outcome& outcome, bool explained) {
-  Json out{{"score", score_json(outcome.found.score)}, {"steps_looked_at", outcome.found.steps}};
-  if (outcome.proof) {
-    out["proven"] = outcome.proof->proven;
-    out["bound"] = score_json(outcome.proof->bound);
+Json to_json(const Problem& problem, const Solution& solution, bool with_reasons) {
+  Json out{{"score", score_json(solution.found.score)}, {"steps_looked_at", solution.found.steps}};
+  if (solution.proof) {
+    out["proven"] = solution.proof->proven;
+    out["bound"] = score_json(solution.proof->bound);
   }
   auto& placement = out["placement"] = Json::array();
   for (std::size_t j = 0; j < problem.jobs.size(); ++j)
     for (std::size_t m = 0; m < problem.machines.size(); ++m)
-      if (const auto count = outcome.found.placement[j][m]; count > 0)
+      if (const auto count = solution.found.placement[j][m]; count > 0)
         placement.push_back(
             {{"job", problem.jobs[j].id}, {"machine", problem.machines[m].id}, {"tasks", count}});
   auto& steps = out["steps"] = Json::array();
-  for (const auto& step : outcome.steps) {
+  for (const auto& step : solution.steps) {
     Json changes = Json::array();
     for (const auto& change : step.changes)
       changes.push_back(
@@ -161,11 +161,11 @@
     steps.push_back({{"kind", kind_name(step.kind)},
                      {"job", problem.jobs[step.job].id},
                      {"changes", changes},
-                     {"loss", units(step.loss)}});
+                     {"loss", to_units(step.loss)}});
   }
-  if (!explained) return out;
+  if (!with_reasons) return out;
   auto& left_out = out["left_out"] = Json::array();
-  for (const auto& [j, why] : outcome.left_out) {
+  for (const auto& [j, why] : solution.left_out) {
     Json reasons = Json::array();
     for (const auto reason : why.reasons)
       reasons.push_back(
@@ -186,30 +186,30 @@
   text << file.rdbuf();
   if (!file) {
     std::cerr << "violetpulley: " << options.file << " cannot be read\n";
-    return kBadSettings;
+    return kInvalidInput;
   }
   Problem problem;
   try {
     problem = config::parse_case(text.str());
   } catch (const config::SettingsError& error) {
     std::cerr << "violetpulley: " << options.file << ": " << error.what() << "\n";
-    return kBadSettings;
+    return kInvalidInput;
   }
-  const auto outcome = solve(problem, options);
+  const auto solution = solve(problem, options);
   if (options.json) {
-    std::cout << to_json(problem, outcome, options.explain).dump(2) << "\n";
+    std::cout << to_json(problem, solution, options.explain).dump(2) << "\n";
   } else {
-    print_machines(problem, outcome.found.placement);
-    print_steps(problem, outcome.steps);
-    if (options.explain) print_reasons(problem, outcome);
+    print_machines(problem, solution.found.placement);
+    print_steps(problem, solution.steps);
+    if (options.explain) print_reasons(problem, solution);
     fmt::print("\n{} of {} jobs are placed, {} machines, {:g} an hour{}\n",
-               problem.jobs.size() - outcome.left_out.size(), problem.jobs.size(),
-               outcome.found.score.machines, units(outcome.found.score.price),
-               !outcome.proof          ? ""
-               : outcome.proof->proven ? "; nothing is better"
+               problem.jobs.size() - solution.left_out.size(), problem.jobs.size(),
+               solution.found.score.machines, to_units(solution.found.score.price),
+               !solution.proof          ? ""
+               : solution.proof->proven ? "; nothing is better"
                                        : "; stopped before it was proven, see bound in --json");
   }
-  return outcome.left_out.empty() ? kFine : kCheckFailed;
+  return solution.left_out.empty() ? kSuccess : kCheckFailed;
 }
 
 }  // namespace
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -33,7 +33,7 @@
     settings = load(options);
   } catch (const config::SettingsError& problem) {
     std::cerr << "violetpulley: " << problem.what() << "\n";
-    return kBadSettings;
+    return kInvalidInput;
   }
   return work(std::move(settings));
 }
@@ -43,7 +43,7 @@
 int check(const ServeOptions& options) {
   return with_settings(options, [](const AllSettings& settings) {
     std::cout << "settings of " << settings.platform.member << " are good\n";
-    return kFine;
+    return kSuccess;
   });
 }
 
@@ -61,9 +61,9 @@
       io.run();
     } catch (const std::exception& problem) {
       std::cerr << "violetpulley: " << problem.what() << "\n";
-      return kCannotServe;
+      return kServiceFailed;
     }
-    return kFine;
+    return kSuccess;
   });
 }
 
--- a/src/history/describe.cpp
+++ b/src/history/describe.cpp
@@ -73,7 +73,7 @@
 
 Subjects subjects_of(const Record& record) {
   Subjects out;
-  const auto* event = std::get_if<core::Event>(&record.what);
+  const auto* event = std::get_if<core::Event>(&record.content);
   if (event == nullptr) return out;
   const auto visit = [&]<typename T>(const T& e) {
     // The branches differ in the type of the event.
@@ -109,13 +109,13 @@
 }
 
 std::string kind_of(const Record& record) {
-  const auto* event = std::get_if<core::Event>(&record.what);
+  const auto* event = std::get_if<core::Event>(&record.content);
   return event == nullptr ? "acted" : core::name_of(*event);
 }
 
 std::string describe(const Record& record) {
-  const auto* event = std::get_if<core::Event>(&record.what);
-  return event == nullptr ? "digest " + hex(std::get<ActionsRecorded>(record.what).digest)
+  const auto* event = std::get_if<core::Event>(&record.content);
+  return event == nullptr ? "digest " + hex(std::get<ActionsRecorded>(record.content).digest)
                           : event_line(*event);
 }
 
--- a/src/history/digest.hpp
+++ b/src/history/digest.hpp
@@ -20,10 +20,10 @@
   /// Adds the msgpack form of a value (history/pack.hpp).
   template <class T>
   void add(const T& value) {
-    sink_.clear();
-    Out out(sink_);
+    buffer_.clear();
+    Packer out(buffer_);
     write(out, value);
-    add_bytes({sink_.data(), sink_.size()});
+    add_bytes({buffer_.data(), buffer_.size()});
   }
   void add_bytes(std::string_view bytes) {
     XXH3_64bits_update(state_.get(), bytes.data(), bytes.size());
@@ -38,7 +38,7 @@
 
  private:
   std::unique_ptr<XXH3_state_t, XXH_errorcode (*)(XXH3_state_t*)> state_;
-  Sink sink_;
+  Buffer buffer_;
 };
 
 /// 16 hexadecimal digits.
--- a/src/history/event_log.cpp
+++ b/src/history/event_log.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr std::size_t kSnapshotsKept = 2;
-constexpr std::size_t kReadBack = std::size_t{4} << 20U;  // bytes read at once
-constexpr std::size_t kWriteAt = std::size_t{64} * 1024;  // bytes that wait at most between flushes
+constexpr std::size_t kReadBackBytes = std::size_t{4} << 20U;  // bytes read at once
+constexpr std::size_t kMaxPendingBytes = std::size_t{64} * 1024;  // bytes that wait at most between flushes
 
-std::string part_name(std::uint64_t segment) { return snapshot_name(segment) + ".part"; }
+std::string temporary_name(std::uint64_t segment) { return snapshot_name(segment) + ".part"; }
 
 }  // namespace
 
@@ -20,24 +20,24 @@
       key_(key),
       settings_(settings),
       history_(contents.history.empty() ? new_id : contents.history),
-      first_event_(contents.events()) {
+      first_record_(contents.record_count()) {
   for (const auto& name : contents.unfinished) files_.remove(name);
   if (const auto* last = contents.last()) {
-    segment_ = last->head.segment;
+    segment_ = last->header.segment;
     previous_tail_ = last->tail;
-    if (last->torn_bytes > 0) cut_torn_tail(*last);
+    if (last->torn_bytes > 0) truncate_torn_tail(*last);
   }
   begin_segment(wall);
 }
 
 // The whole frames are written to a second file, which then replaces the first.
-void EventLog::cut_torn_tail(const SegmentInfo& segment) {
+void EventLog::truncate_torn_tail(const SegmentInfo& segment) {
   const auto whole = files_.read(segment.name).substr(0, segment.bytes);
-  const auto beside = segment.name + ".part";
-  files_.append(beside, whole);
-  files_.sync(beside);
-  files_.rename(beside, segment.name);
-  files_.sync_names();
+  const auto temporary = segment.name + ".part";
+  files_.append(temporary, whole);
+  files_.sync(temporary);
+  files_.rename(temporary, segment.name);
+  files_.sync_directory();
 }
 
 void EventLog::begin_segment(core::WallTime wall) {
@@ -46,35 +46,35 @@
   records_ = 0;
   heartbeats_ = {};
   frames_->add(
-      packed(SegmentHeader{history_, segment_, first_event_, text_of(previous_tail_), wall}));
+      packed(SegmentHeader{history_, segment_, first_record_, tag_bytes(previous_tail_), wall}));
   write_out();
   files_.sync(segment_name(segment_));
-  files_.sync_names();
-  frames_->synced();
+  files_.sync_directory();
+  frames_->mark_synced();
   unsynced_ = false;
 }
 
 // As `write` does it for a WrittenRecord that holds `what`, without a copy of the event.
-template <class What>
-void EventLog::add(core::FencingToken token, core::TimePoint at, const What& what) {
-  constexpr unsigned kind =
-      std::is_same_v<What, HeartbeatChanges> ? 2 : std::is_same_v<What, ActionsRecorded>;
-  sink_.clear();
-  Out out(sink_);
+template <class Content>
+void EventLog::add(core::FencingToken token, core::TimePoint at, const Content& content) {
+  constexpr unsigned alternative =
+      std::is_same_v<Content, HeartbeatChanges> ? 2 : std::is_same_v<Content, ActionsRecorded>;
+  buffer_.clear();
+  Packer out(buffer_);
   out.pack_array(3);
   write(out, token);
   write(out, at);
   out.pack_array(2);
-  out.pack(kind);
-  write(out, what);
-  frames_->add({sink_.data(), sink_.size()});
+  out.pack(alternative);
+  write(out, content);
+  frames_->add({buffer_.data(), buffer_.size()});
   ++records_;
-  if (frames_->waiting() >= kWriteAt) write_out();
+  if (frames_->pending_bytes() >= kMaxPendingBytes) write_out();
 }
 
 void EventLog::abandon_snapshot() {
   if (!snapshot_) return;
-  const auto name = part_name(snapshot_->segment);
+  const auto name = temporary_name(snapshot_->segment);
   snapshot_.reset();
   files_.remove(name);
 }
@@ -82,8 +82,8 @@
 void EventLog::record(core::FencingToken token, core::TimePoint at, const core::Event& event) {
   if (std::holds_alternative<core::LeaderElected>(event)) abandon_snapshot();
   if (const auto* heartbeat = heartbeat_of(event)) {
-    const bool answer = std::holds_alternative<core::CommandsAnswered>(event);
-    if (const auto* changes = heartbeats_.changes(*heartbeat, answer))
+    const bool answers_commands = std::holds_alternative<core::CommandsAnswered>(event);
+    if (const auto* changes = heartbeats_.changes(*heartbeat, answers_commands))
       return add(token, at, *changes);
   }
   add(token, at, event);
@@ -94,16 +94,16 @@
 }
 
 void EventLog::write_out() {
-  if (frames_->waiting() == 0) return;
+  if (frames_->pending_bytes() == 0) return;
   const auto bytes = frames_->take();
   files_.append(segment_name(segment_), bytes);
-  segment_bytes_ += bytes.size();
+  bytes_since_snapshot_ += bytes.size();
   unsynced_ = true;
 }
 
 void EventLog::sync(core::TimePoint now) {
   if (unsynced_) files_.sync(segment_name(segment_));
-  frames_->synced();
+  frames_->mark_synced();
   unsynced_ = false;
   last_sync_ = now;
 }
@@ -121,38 +121,38 @@
 bool EventLog::snapshot_due(core::TimePoint now) const {
   if (snapshot_ || !last_snapshot_) return false;
   return now - *last_snapshot_ >= core::to_duration(settings_.snapshot_interval) ||
-         segment_bytes_ >= settings_.max_bytes;
+         bytes_since_snapshot_ >= settings_.max_bytes_between_snapshots;
 }
 
-void EventLog::begin_snapshot(core::Controller& controller, const core::LeaderElected& origin,
+void EventLog::begin_snapshot(core::Controller& controller, const core::LeaderElected& elected_event,
                               core::TimePoint elected_at, core::TimePoint now,
                               core::WallTime wall) {
   write_out();
   sync(now);
   last_snapshot_ = now;
-  segment_bytes_ = 0;
-  first_event_ += records_;
+  bytes_since_snapshot_ = 0;
+  first_record_ += records_;
   previous_tail_ = frames_->tail();
   begin_segment(wall);
-  SnapshotHeader head{history_, segment_,   first_event_, now,
-                      wall,     elected_at, origin,       text_of(previous_tail_)};
-  head.origin.recovered = {};
+  SnapshotHeader header{history_, segment_,   first_record_, now,
+                      wall,     elected_at, elected_event,       tag_bytes(previous_tail_)};
+  header.elected_event.recovered = {};
   snapshot_.emplace(Snapshot{
       segment_, FrameWriter(FileKind::snapshot, key_), StateCapture(controller), {}, false, 0, {}});
-  snapshot_->frames.add(packed(SnapshotPiece(std::move(head))));
+  snapshot_->frames.add(packed(SnapshotPiece(std::move(header))));
 }
 
 void EventLog::write_slice() {
   const auto bytes = snapshot_->frames.take();
   snapshot_->written_digest.add_bytes(bytes);
-  files_.append(part_name(snapshot_->segment), bytes);
+  files_.append(temporary_name(snapshot_->segment), bytes);
 }
 
 void EventLog::continue_snapshot() {
   if (!snapshot_) return;
   auto& snapshot = *snapshot_;
-  if (snapshot.complete) return check_back();
-  const auto name = part_name(snapshot.segment);
+  if (snapshot.complete) return verify_written_file();
+  const auto name = temporary_name(snapshot.segment);
   if (auto slice = snapshot.state.next(settings_.slice_bytes)) {
     snapshot.frames.add(packed(SnapshotPiece(std::move(*slice))));
     write_slice();
@@ -166,14 +166,14 @@
 
 // The bytes are read back before the snapshot counts: an unreadable snapshot must not replace a
 // readable one.
-void EventLog::check_back() {
+void EventLog::verify_written_file() {
   auto& snapshot = *snapshot_;
-  const auto name = part_name(snapshot.segment);
-  const auto bytes = files_.read(name, snapshot.bytes_read_back, kReadBack);
+  const auto name = temporary_name(snapshot.segment);
+  const auto bytes = files_.read(name, snapshot.bytes_read_back, kReadBackBytes);
   snapshot.read_back_digest.add_bytes(bytes);
   snapshot.bytes_read_back += bytes.size();
-  if (snapshot.bytes_read_back < snapshot.frames.written() && !bytes.empty()) return;
-  if (snapshot.bytes_read_back != snapshot.frames.written() ||
+  if (snapshot.bytes_read_back < snapshot.frames.written_bytes() && !bytes.empty()) return;
+  if (snapshot.bytes_read_back != snapshot.frames.written_bytes() ||
       snapshot.read_back_digest.value() != snapshot.written_digest.value())
     throw CorruptionError(name, snapshot.bytes_read_back,
                           "what was read back is not what was written");
@@ -181,9 +181,9 @@
 }
 
 void EventLog::finish_snapshot() {
-  const auto name = part_name(snapshot_->segment);
+  const auto name = temporary_name(snapshot_->segment);
   files_.rename(name, snapshot_name(snapshot_->segment));
-  files_.sync_names();
+  files_.sync_directory();
   snapshot_.reset();
   ++snapshots_made_;
   prune(kSnapshotsKept);
@@ -205,7 +205,7 @@
   for (const auto& name : names)
     if (const auto segment = segment_number(name); segment && *segment < oldest)
       files_.remove(name);
-  files_.sync_names();
+  files_.sync_directory();
 }
 
 }  // namespace violetpulley::history
--- a/src/history/event_log.hpp
+++ b/src/history/event_log.hpp
@@ -23,7 +23,7 @@
   SyncPolicy sync = SyncPolicy::interval;
   core::Seconds sync_interval{1};
   core::Seconds snapshot_interval{60};
-  std::uint64_t max_bytes = std::uint64_t{1} << 30U;  // of events since the last snapshot
+  std::uint64_t max_bytes_between_snapshots = std::uint64_t{1} << 30U;  // of events since the last snapshot
   std::size_t slice_bytes = std::size_t{256} * 1024;  // of a snapshot, written at once
 };
 
@@ -49,7 +49,7 @@
   /// Captures the state, in which all events recorded so far and no others must be applied. The
   /// controller must live until the snapshot is finished or abandoned; a new LeaderElected event
   /// abandons the snapshot. Throws FileError.
-  void begin_snapshot(core::Controller& controller, const core::LeaderElected& origin,
+  void begin_snapshot(core::Controller& controller, const core::LeaderElected& elected_event,
                       core::TimePoint elected_at, core::TimePoint now, core::WallTime wall);
   /// Writes the next slice of the snapshot; after the last one reads the file back and renames it.
   /// Throws FileError, and CorruptionError if the bytes read back differ.
@@ -62,7 +62,7 @@
   bool snapshotting() const { return snapshot_.has_value(); }
 
   /// Number of records in the history so far.
-  std::uint64_t events() const { return first_event_ + records_; }
+  std::uint64_t record_count() const { return first_record_ + records_; }
   /// Snapshots finished by this log.
   std::uint64_t snapshots_made() const { return snapshots_made_; }
 
@@ -76,14 +76,14 @@
     std::size_t bytes_read_back = 0;
     Digest read_back_digest;
   };
-  void cut_torn_tail(const SegmentInfo& segment);
+  void truncate_torn_tail(const SegmentInfo& segment);
   void begin_segment(core::WallTime wall);
-  template <class What>
-  void add(core::FencingToken token, core::TimePoint at, const What& what);
+  template <class Content>
+  void add(core::FencingToken token, core::TimePoint at, const Content& content);
   void write_out();
   void sync(core::TimePoint now);
   void write_slice();
-  void check_back();
+  void verify_written_file();
   void finish_snapshot();
 
   Files& files_;
@@ -91,13 +91,13 @@
   LogSettings settings_;
   HistoryId history_;
   std::uint64_t segment_ = 0;
-  std::uint64_t first_event_ = 0;
+  std::uint64_t first_record_ = 0;
   std::uint64_t records_ = 0;
   Tag previous_tail_{};
   std::optional<FrameWriter> frames_;
   HeartbeatChangesWriter heartbeats_;  // of this segment
-  Sink sink_;
-  std::uint64_t segment_bytes_ = 0;  // of all segments since the last snapshot
+  Buffer buffer_;
+  std::uint64_t bytes_since_snapshot_ = 0;  // of all segments since the last snapshot
   std::optional<core::TimePoint> last_sync_;
   bool unsynced_ = false;
   std::optional<core::TimePoint> last_snapshot_;
--- a/src/history/files.hpp
+++ b/src/history/files.hpp
@@ -42,7 +42,7 @@
   /// A file that does not exist is no error.
   virtual void remove(const std::string& name) = 0;
   /// Created, changed and removed names outlive a power cut once this call returns.
-  virtual void sync_names() = 0;
+  virtual void sync_directory() = 0;
 };
 
 /// A directory of this machine, locked against a second writer.
@@ -50,7 +50,7 @@
  public:
   /// `writing`: creates the directory if it does not exist and takes the lock; readers take none.
   /// Throws FileError, also when another process holds the lock.
-  Directory(std::string path, bool writing);
+  Directory(std::string path, bool writable);
   ~Directory() override;
 
   std::vector<std::string> list() override;
@@ -60,16 +60,16 @@
   void sync(const std::string& name) override;
   void rename(const std::string& from, const std::string& to) override;
   void remove(const std::string& name) override;
-  void sync_names() override;
+  void sync_directory() override;
 
  private:
-  int handle_of(const std::string& name);
-  std::string full(const std::string& name) const { return path_ + "/" + name; }
-  void close_all();
+  int append_handle(const std::string& name);
+  std::string path_of(const std::string& name) const { return path_ + "/" + name; }
+  void close_append_handles();
 
   std::string path_;
-  int lock_ = -1;
-  std::map<std::string, int> open_;  // files being appended to: a segment and a snapshot
+  int lock_fd_ = -1;
+  std::map<std::string, int> append_handles_;  // files being appended to: a segment and a snapshot
 };
 
 }  // namespace violetpulley::history
--- a/src/history/frames.cpp
+++ b/src/history/frames.cpp
@@ -8,19 +8,19 @@
 namespace {
 
 constexpr std::string_view kMagic = "VPHIST";
-constexpr std::size_t kHeadBytes = 10;     // magic, kind, version, signed
-constexpr std::size_t kFrontBytes = 20;    // length, checksum, synced
+constexpr std::size_t kFileHeaderBytes = 10;     // magic, kind, version, signed
+constexpr std::size_t kFrameHeaderBytes = 20;    // length, checksum, synced
 constexpr std::size_t kSyncedOffset = 12;  // where the last of these begins
-constexpr std::uint32_t kMaxPayload = 64U << 20U;
+constexpr std::uint32_t kMaxPayloadBytes = 64U << 20U;
 
 template <class T>
-void put(std::string& out, T value) {
+void append_little_endian(std::string& out, T value) {
   for (std::size_t i = 0; i < sizeof(T); ++i)
     out.push_back(static_cast<char>(value >> (8 * i) & 0xFF));
 }
 
 template <class T>
-T get(std::string_view bytes, std::size_t at) {
+T read_little_endian(std::string_view bytes, std::size_t at) {
   T value = 0;
   for (std::size_t i = 0; i < sizeof(T); ++i)
     value |= static_cast<T>(static_cast<unsigned char>(bytes[at + i])) << (8 * i);
@@ -41,14 +41,14 @@
   Key key{};
   std::size_t length = 0;
   const char* end = nullptr;
-  const int bad =
+  const int result =
       sodium_hex2bin(key.data(), key.size(), text.data(), text.size(), nullptr, &length, &end);
-  if (bad != 0 || length != key.size() || end != text.data() + text.size())
+  if (result != 0 || length != key.size() || end != text.data() + text.size())
     throw std::invalid_argument("a key is 64 hexadecimal digits");
   return key;
 }
 
-Tag Chain::extend(std::string_view frame) {
+Tag MacChain::extend(std::string_view frame) {
   if (!key_) return {};
   crypto_generichash_state state;
   crypto_generichash_init(&state, key_->data(), key_->size(), tail_.size());
@@ -59,35 +59,35 @@
   return tail_;
 }
 
-std::string file_head(FileKind kind, bool keyed) {
-  std::string head(kMagic);
-  head.push_back(static_cast<char>(kind));
-  put<std::uint16_t>(head, kFormatVersion);
-  head.push_back(keyed ? 1 : 0);
-  return head;
+std::string file_header(FileKind kind, bool keyed) {
+  std::string header(kMagic);
+  header.push_back(static_cast<char>(kind));
+  append_little_endian<std::uint16_t>(header, kFormatVersion);
+  header.push_back(keyed ? 1 : 0);
+  return header;
 }
 
 FrameWriter::FrameWriter(FileKind kind, std::optional<Key> key)
-    : chain_(key), pending_(file_head(kind, key.has_value())), written_bytes_(pending_.size()) {
+    : chain_(key), pending_(file_header(kind, key.has_value())), written_bytes_(pending_.size()) {
   chain_.extend(pending_);
 }
 
 void FrameWriter::add(std::string_view payload) {
-  if (payload.size() > kMaxPayload) throw std::length_error("a record is too large");
+  if (payload.size() > kMaxPayloadBytes) throw std::length_error("a record is too large");
   const auto length = static_cast<std::uint32_t>(payload.size());
-  const auto before = pending_.size();
-  put(pending_, length);
-  put(pending_, std::uint64_t{0});  // the checksum, when what it covers stands behind it
-  put(pending_, synced_bytes_);
+  const auto frame_begin = pending_.size();
+  append_little_endian(pending_, length);
+  append_little_endian(pending_, std::uint64_t{0});  // the checksum, when what it covers stands behind it
+  append_little_endian(pending_, synced_bytes_);
   pending_.append(payload);
-  const auto covered = std::string_view(pending_).substr(before + kSyncedOffset);
+  const auto covered = std::string_view(pending_).substr(frame_begin + kSyncedOffset);
   auto sum = checksum(length, covered, number_++);
   for (std::size_t i = 0; i < sizeof sum; ++i, sum >>= 8U)
-    pending_[before + sizeof length + i] = static_cast<char>(sum & 0xFF);
+    pending_[frame_begin + sizeof length + i] = static_cast<char>(sum & 0xFF);
   if (chain_.keyed()) {
-    pending_.append(text_of(chain_.extend(covered)));
+    pending_.append(tag_bytes(chain_.extend(covered)));
   }
-  written_bytes_ += pending_.size() - before;
+  written_bytes_ += pending_.size() - frame_begin;
 }
 
 std::string FrameWriter::take() {
@@ -98,7 +98,7 @@
 FrameReader::FrameReader(std::string name, std::string_view bytes, FileKind kind,
                          std::optional<Key> key)
     : name_(std::move(name)), bytes_(bytes), key_(key), chain_(key) {
-  if (bytes_.size() < kHeadBytes) {
+  if (bytes_.size() < kFileHeaderBytes) {
     torn_bytes_ = bytes_.size();
     torn_cause_ = "the head of the file is cut off";
     return;
@@ -107,7 +107,7 @@
     throw CorruptionError(name_, 0, "this is no file of a history");
   if (bytes_[6] != static_cast<char>(kind))
     throw CorruptionError(name_, 6, "it is of another kind");
-  const auto version = get<std::uint16_t>(bytes_, 7);
+  const auto version = read_little_endian<std::uint16_t>(bytes_, 7);
   if (version != kFormatVersion)
     throw CorruptionError(name_, 7,
                           "format version " + std::to_string(version) +
@@ -116,59 +116,59 @@
     throw CorruptionError(name_, 9, "neither signed nor unsigned");
   signed_ = bytes_[9] == 1;
   if (key && !signed_) throw CorruptionError(name_, 9, "it is not signed, although a key is set");
-  chain_.extend(bytes_.substr(0, kHeadBytes));
-  offset_ = kHeadBytes;
+  chain_.extend(bytes_.substr(0, kFileHeaderBytes));
+  offset_ = kFileHeaderBytes;
 }
 
 std::optional<FrameReader::Frame> FrameReader::frame_at(std::size_t at, std::uint64_t number,
-                                                        const char*& why) const {
-  const auto left = bytes_.size() - at;
-  why = "a frame is cut off";
-  if (left < kFrontBytes) return std::nullopt;
-  const auto length = get<std::uint32_t>(bytes_, at);
-  const std::size_t whole = kFrontBytes + length + (signed_ ? Tag{}.size() : 0);
-  if (length > kMaxPayload || whole > left) return std::nullopt;
+                                                        const char*& cause) const {
+  const auto remaining = bytes_.size() - at;
+  cause = "a frame is cut off";
+  if (remaining < kFrameHeaderBytes) return std::nullopt;
+  const auto length = read_little_endian<std::uint32_t>(bytes_, at);
+  const std::size_t frame_bytes = kFrameHeaderBytes + length + (signed_ ? Tag{}.size() : 0);
+  if (length > kMaxPayloadBytes || frame_bytes > remaining) return std::nullopt;
   Frame frame;
   frame.covered = bytes_.substr(at + kSyncedOffset, 8 + length);
-  frame.payload = bytes_.substr(at + kFrontBytes, length);
-  frame.synced = get<std::uint64_t>(bytes_, at + kSyncedOffset);
-  frame.end = at + whole;
-  why = "a checksum is wrong";
-  if (get<std::uint64_t>(bytes_, at + 4) != checksum(length, frame.covered, number))
+  frame.payload = bytes_.substr(at + kFrameHeaderBytes, length);
+  frame.synced = read_little_endian<std::uint64_t>(bytes_, at + kSyncedOffset);
+  frame.end = at + frame_bytes;
+  cause = "a checksum is wrong";
+  if (read_little_endian<std::uint64_t>(bytes_, at + 4) != checksum(length, frame.covered, number))
     return std::nullopt;
   return frame;
 }
 
 // The frame's number is not known behind damage: a few follow, so small numbers of lost frames are
 // tried. A chance match needs 64 equal bits.
-bool FrameReader::proved_synced(std::size_t at) const {
-  constexpr std::uint64_t kMaxLost = 64;
-  const char* why = nullptr;
-  for (auto from = at; from + kFrontBytes <= bytes_.size(); ++from) {
-    const auto length = get<std::uint32_t>(bytes_, from);
-    if (length > kMaxPayload || length > bytes_.size() - from) continue;
-    if (get<std::uint64_t>(bytes_, from + kSyncedOffset) <= at) continue;  // would prove nothing
-    if (get<std::uint64_t>(bytes_, from + kSyncedOffset) > from) continue;
-    for (auto lost = std::uint64_t{0}; lost <= kMaxLost; ++lost)
-      if (frame_at(from, number_ + lost, why)) return true;
+bool FrameReader::is_proven_synced(std::size_t at) const {
+  constexpr std::uint64_t kMaxLostFrames = 64;
+  const char* cause = nullptr;
+  for (auto from = at; from + kFrameHeaderBytes <= bytes_.size(); ++from) {
+    const auto length = read_little_endian<std::uint32_t>(bytes_, from);
+    if (length > kMaxPayloadBytes || length > bytes_.size() - from) continue;
+    if (read_little_endian<std::uint64_t>(bytes_, from + kSyncedOffset) <= at) continue;  // would prove nothing
+    if (read_little_endian<std::uint64_t>(bytes_, from + kSyncedOffset) > from) continue;
+    for (auto lost_frames = std::uint64_t{0}; lost_frames <= kMaxLostFrames; ++lost_frames)
+      if (frame_at(from, number_ + lost_frames, cause)) return true;
   }
   return false;
 }
 
 std::optional<std::string_view> FrameReader::next() {
   if (torn_bytes_ > 0 || offset_ >= bytes_.size()) return std::nullopt;
-  const char* why = nullptr;
-  const auto frame = frame_at(offset_, number_, why);
+  const char* cause = nullptr;
+  const auto frame = frame_at(offset_, number_, cause);
   if (!frame) {
-    if (proved_synced(offset_)) throw CorruptionError(name_, offset_, why);
+    if (is_proven_synced(offset_)) throw CorruptionError(name_, offset_, cause);
     torn_bytes_ = bytes_.size() - offset_;
-    torn_cause_ = why;
+    torn_cause_ = cause;
     return std::nullopt;
   }
   if (key_) {
     const auto tag = chain_.extend(frame->covered);
-    const auto given = bytes_.substr(frame->end - tag.size(), tag.size());
-    if (sodium_memcmp(tag.data(), given.data(), tag.size()) != 0)
+    const auto stored_tag = bytes_.substr(frame->end - tag.size(), tag.size());
+    if (sodium_memcmp(tag.data(), stored_tag.data(), tag.size()) != 0)
       throw CorruptionError(
           name_, offset_,
           "the checksum is right and the MAC is wrong: it was changed, or written with "
--- a/src/history/frames.hpp
+++ b/src/history/frames.hpp
@@ -24,11 +24,11 @@
 /// Damage of a file that was already synced, or a file that does not fit the others: the file, the
 /// offset in bytes, and the cause. A torn tail is no damage.
 struct CorruptionError : std::runtime_error {
-  CorruptionError(std::string at, std::size_t position, std::string why)
-      : std::runtime_error(at + " at byte " + std::to_string(position) + ": " + why),
-        file(std::move(at)),
+  CorruptionError(std::string file_name, std::size_t position, std::string reason)
+      : std::runtime_error(file_name + " at byte " + std::to_string(position) + ": " + reason),
+        file(std::move(file_name)),
         offset(position),
-        cause(std::move(why)) {}
+        cause(std::move(reason)) {}
   std::string file;
   std::size_t offset;
   std::string cause;
@@ -40,7 +40,7 @@
 using Tag = std::array<unsigned char, 16>;
 
 /// The bytes of a tag, as records and frames hold them.
-inline std::string text_of(const Tag& tag) {
+inline std::string tag_bytes(const Tag& tag) {
   return {reinterpret_cast<const char*>(tag.data()), tag.size()};
 }
 
@@ -49,9 +49,9 @@
 Key parse_key(std::string_view text);
 
 /// The chain of MACs of one file; without a key all tags are zero.
-class Chain {
+class MacChain {
  public:
-  explicit Chain(std::optional<Key> key) : key_(key) {}
+  explicit MacChain(std::optional<Key> key) : key_(key) {}
   bool keyed() const { return key_.has_value(); }
   /// The tag of the next frame, which covers all frames before.
   Tag extend(std::string_view frame);
@@ -67,7 +67,7 @@
 inline constexpr std::uint16_t kFormatVersion = 7;
 
 /// The fixed head: magic, kind, version, whether the frames are signed.
-std::string file_head(FileKind kind, bool keyed);
+std::string file_header(FileKind kind, bool keyed);
 
 /// Encodes the frames of one file; the caller writes the bytes.
 class FrameWriter {
@@ -78,14 +78,14 @@
   void add(std::string_view payload);
   /// Returns the pending bytes, the head of a new file included.
   std::string take();
-  std::size_t waiting() const { return pending_.size(); }
-  std::uint64_t written() const { return written_bytes_; }  // bytes so far, pending ones included
+  std::size_t pending_bytes() const { return pending_.size(); }
+  std::uint64_t written_bytes() const { return written_bytes_; }  // bytes so far, pending ones included
   const Tag& tail() const { return chain_.tail(); }
   /// All bytes taken so far outlive a power cut.
-  void synced() { synced_bytes_ = taken_bytes_; }
+  void mark_synced() { synced_bytes_ = taken_bytes_; }
 
  private:
-  Chain chain_;
+  MacChain chain_;
   std::string pending_;
   std::uint64_t number_ = 0;
   std::uint64_t written_bytes_ = 0;
@@ -117,15 +117,15 @@
     std::size_t end = 0;
   };
   /// The frame at an offset; without a good frame, none and the cause in `why`.
-  std::optional<Frame> frame_at(std::size_t at, std::uint64_t number, const char*& why) const;
+  std::optional<Frame> frame_at(std::size_t at, std::uint64_t number, const char*& cause) const;
   /// Whether a good frame behind `at` shows that the place had been synced.
-  bool proved_synced(std::size_t at) const;
+  bool is_proven_synced(std::size_t at) const;
 
   std::string name_;
   std::string_view bytes_;
   bool signed_ = false;
   std::optional<Key> key_;
-  Chain chain_;
+  MacChain chain_;
   std::size_t offset_ = 0;
   std::uint64_t number_ = 0;
   std::size_t torn_bytes_ = 0;
--- a/src/history/heartbeat_changes.cpp
+++ b/src/history/heartbeat_changes.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 // Whether the heartbeats differ in nothing but the fields that HeartbeatChanges can express.
-bool same_machine(const core::Heartbeat& a, const core::Heartbeat& b) {
+bool equal_attributes(const core::Heartbeat& a, const core::Heartbeat& b) {
   return a.endpoint == b.endpoint && a.type == b.type && a.zone == b.zone && a.spot == b.spot &&
          a.notice == b.notice;
 }
 
 std::uint64_t fingerprint(const core::TaskStatus& task) {
-  const std::uint64_t rest = task.task.index ^ static_cast<std::uint64_t>(task.state) << 40U ^
+  const std::uint64_t fields = task.task.index ^ static_cast<std::uint64_t>(task.state) << 40U ^
                              static_cast<std::uint64_t>(task.cause) << 48U ^
                              static_cast<std::uint64_t>(task.checkpoint_saved) << 56U;
-  const auto seed = task.attempt * 0x9E3779B97F4A7C15ULL ^ rest * 0xC2B2AE3D27D4EB4FULL;
+  const auto seed = task.attempt * 0x9E3779B97F4A7C15ULL ^ fields * 0xC2B2AE3D27D4EB4FULL;
   return XXH3_64bits_withSeed(task.task.job.data(), task.task.job.size(), seed);
 }
 
@@ -35,45 +35,45 @@
 }
 
 const HeartbeatChanges* HeartbeatChangesWriter::changes(const core::Heartbeat& heartbeat,
-                                                        bool answer) {
-  now_.clear();
-  for (const auto& task : heartbeat.tasks) now_.push_back(fingerprint(task));
-  const auto [entry, fresh] = last_.try_emplace(heartbeat.machine);
+                                                        bool answers_commands) {
+  fingerprints_.clear();
+  for (const auto& task : heartbeat.tasks) fingerprints_.push_back(fingerprint(task));
+  const auto [entry, inserted] = last_.try_emplace(heartbeat.machine);
   auto& last = entry->second;
-  auto& before = last.tasks;
-  if (fresh || !same_machine(last.machine, heartbeat)) {
-    last.machine = heartbeat;
-    last.machine.tasks.clear();
-    before.swap(now_);
+  auto& previous = last.fingerprints;
+  if (inserted || !equal_attributes(last.attributes, heartbeat)) {
+    last.attributes = heartbeat;
+    last.attributes.tasks.clear();
+    previous.swap(fingerprints_);
     return nullptr;
   }
   changes_.machine = heartbeat.machine;
-  changes_.answer = answer;
+  changes_.answers_commands = answers_commands;
   changes_.epoch = heartbeat.epoch;
   changes_.heartbeat_sequence = heartbeat.heartbeat_sequence;
   changes_.token = heartbeat.token;
-  changes_.gone.clear();
-  changes_.come.clear();
+  changes_.removed.clear();
+  changes_.added.clear();
   // Lists keep their order, so one pass finds the unchanged entries; another order only costs
   // bytes.
-  std::size_t old = 0;
-  for (std::size_t place = 0; place < now_.size(); ++place) {
-    if (old < before.size() && before[old] == now_[place]) {
-      ++old;
+  std::size_t old_index = 0;
+  for (std::size_t index = 0; index < fingerprints_.size(); ++index) {
+    if (old_index < previous.size() && previous[old_index] == fingerprints_[index]) {
+      ++old_index;
       continue;
     }
-    const auto same =
-        std::find(before.begin() + static_cast<std::ptrdiff_t>(old), before.end(), now_[place]);
-    if (same == before.end()) {
-      changes_.come.emplace_back(static_cast<std::uint32_t>(place), heartbeat.tasks[place]);
+    const auto match =
+        std::find(previous.begin() + static_cast<std::ptrdiff_t>(old_index), previous.end(), fingerprints_[index]);
+    if (match == previous.end()) {
+      changes_.added.emplace_back(static_cast<std::uint32_t>(index), heartbeat.tasks[index]);
       continue;
     }
-    const auto found = static_cast<std::size_t>(same - before.begin());
-    for (; old < found; ++old) changes_.gone.push_back(static_cast<std::uint32_t>(old));
-    ++old;
+    const auto found = static_cast<std::size_t>(match - previous.begin());
+    for (; old_index < found; ++old_index) changes_.removed.push_back(static_cast<std::uint32_t>(old_index));
+    ++old_index;
   }
-  for (; old < before.size(); ++old) changes_.gone.push_back(static_cast<std::uint32_t>(old));
-  before.swap(now_);
+  for (; old_index < previous.size(); ++old_index) changes_.removed.push_back(static_cast<std::uint32_t>(old_index));
+  previous.swap(fingerprints_);
   return &changes_;
 }
 
@@ -85,41 +85,41 @@
   last.epoch = changes.epoch;
   last.heartbeat_sequence = changes.heartbeat_sequence;
   last.token = changes.token;
-  if (changes.gone.empty() && changes.come.empty()) return last;
-  auto gone = changes.gone.begin();
-  auto come = changes.come.begin();
+  if (changes.removed.empty() && changes.added.empty()) return last;
+  auto removed = changes.removed.begin();
+  auto added = changes.added.begin();
   std::vector<core::TaskStatus> tasks;
-  const auto take_new = [&] {
-    for (; come != changes.come.end() && come->first == tasks.size(); ++come)
-      tasks.push_back(come->second);
+  const auto append_added = [&] {
+    for (; added != changes.added.end() && added->first == tasks.size(); ++added)
+      tasks.push_back(added->second);
   };
-  for (std::uint32_t old = 0; old < last.tasks.size(); ++old) {
-    take_new();
-    if (gone != changes.gone.end() && *gone == old)
-      ++gone;
+  for (std::uint32_t old_index = 0; old_index < last.tasks.size(); ++old_index) {
+    append_added();
+    if (removed != changes.removed.end() && *removed == old_index)
+      ++removed;
     else
-      tasks.push_back(std::move(last.tasks[old]));
+      tasks.push_back(std::move(last.tasks[old_index]));
   }
-  take_new();
-  if (gone != changes.gone.end() || come != changes.come.end())
+  append_added();
+  if (removed != changes.removed.end() || added != changes.added.end())
     throw DecodeError("changes of " + changes.machine + " do not fit the last heartbeat");
   last.tasks = std::move(tasks);
   return last;
 }
 
-Record HeartbeatChangesReader::whole(WrittenRecord&& written) {
+Record HeartbeatChangesReader::restore(WrittenRecord&& written) {
   Record out{written.token, written.at, ActionsRecorded{}};
-  if (auto* event = std::get_if<core::Event>(&written.what)) {
+  if (auto* event = std::get_if<core::Event>(&written.content)) {
     if (const auto* heartbeat = heartbeat_of(*event)) last_[heartbeat->machine] = *heartbeat;
-    out.what = std::move(*event);
-  } else if (const auto* changes = std::get_if<HeartbeatChanges>(&written.what)) {
+    out.content = std::move(*event);
+  } else if (const auto* changes = std::get_if<HeartbeatChanges>(&written.content)) {
     const auto& heartbeat = apply(*changes);
-    if (changes->answer)
-      out.what = core::Event(core::CommandsAnswered{heartbeat.machine, heartbeat});
+    if (changes->answers_commands)
+      out.content = core::Event(core::CommandsAnswered{heartbeat.machine, heartbeat});
     else
-      out.what = core::Event(core::HeartbeatReceived{heartbeat});
+      out.content = core::Event(core::HeartbeatReceived{heartbeat});
   } else {
-    out.what = std::get<ActionsRecorded>(written.what);
+    out.content = std::get<ActionsRecorded>(written.content);
   }
   return out;
 }
--- a/src/history/heartbeat_changes.hpp
+++ b/src/history/heartbeat_changes.hpp
@@ -17,15 +17,15 @@
  public:
   /// What is to be written in place of the heartbeat; null: the heartbeat as it is. `answer`: the
   /// heartbeat is the response to commands. Valid until the next call.
-  const HeartbeatChanges* changes(const core::Heartbeat& heartbeat, bool answer);
+  const HeartbeatChanges* changes(const core::Heartbeat& heartbeat, bool answers_commands);
 
  private:
-  struct Last {
-    core::Heartbeat machine;  // without its tasks
-    std::vector<std::uint64_t> tasks;
+  struct LastHeartbeat {
+    core::Heartbeat attributes;  // without its tasks
+    std::vector<std::uint64_t> fingerprints;
   };
-  std::unordered_map<core::MachineId, Last> last_;
-  std::vector<std::uint64_t> now_;
+  std::unordered_map<core::MachineId, LastHeartbeat> last_;
+  std::vector<std::uint64_t> fingerprints_;
   HeartbeatChanges changes_;
 };
 
@@ -33,7 +33,7 @@
 class HeartbeatChangesReader {
  public:
   /// The record that was given to the writer. Throws DecodeError if changes do not fit.
-  Record whole(WrittenRecord&& written);
+  Record restore(WrittenRecord&& written);
 
  private:
   core::Heartbeat& apply(const HeartbeatChanges& changes);
--- a/src/history/pack.hpp
+++ b/src/history/pack.hpp
@@ -27,8 +27,8 @@
   using std::runtime_error::runtime_error;
 };
 
-using Sink = msgpack::sbuffer;
-using Out = msgpack::packer<Sink>;
+using Buffer = msgpack::sbuffer;
+using Packer = msgpack::packer<Buffer>;
 
 namespace detail {
 
@@ -62,13 +62,13 @@
 template <class K, class V>
 inline constexpr bool is_unordered<std::unordered_map<K, V>> = true;
 
-struct Nothing {
+struct IgnoreFields {
   template <class... T>
   void operator()(T&&...) const {}
 };
 template <class T>
 concept Struct = requires(T& value) {
-  T::fields(value, Nothing{});
+  T::fields(value, IgnoreFields{});
 };
 
 template <class T>
@@ -83,7 +83,7 @@
 
 /// Appends a value.
 template <class T>
-void write(Out& out, const T& value) {
+void write(Packer& out, const T& value) {
   if constexpr (std::is_enum_v<T>) {
     out.pack(static_cast<std::int64_t>(value));
   } else if constexpr (detail::is_duration<T>) {
@@ -125,97 +125,97 @@
 
 namespace detail {
 
-inline const msgpack::object_array& array_of(const msgpack::object& from, std::size_t min_size) {
-  if (from.type != msgpack::type::ARRAY || from.via.array.size < min_size)
+inline const msgpack::object_array& expect_array(const msgpack::object& object, std::size_t min_size) {
+  if (object.type != msgpack::type::ARRAY || object.via.array.size < min_size)
     throw DecodeError("an array of " + std::to_string(min_size) + " values was expected");
-  return from.via.array;
+  return object.via.array;
 }
 
 }  // namespace detail
 
 /// Reads a value. Throws DecodeError.
 template <class T>
-void read(const msgpack::object& from, T& value);
+void read(const msgpack::object& object, T& value);
 
 namespace detail {
 
 template <class T>
-void read_container(const msgpack::object& from, T& value) {
-  const auto& parts = array_of(from, 0);
+void read_container(const msgpack::object& object, T& value) {
+  const auto& elements = expect_array(object, 0);
   value.clear();
-  for (std::uint32_t i = 0; i < parts.size; ++i) {
+  for (std::uint32_t i = 0; i < elements.size; ++i) {
     if constexpr (requires { typename T::mapped_type; }) {
-      const auto& entry = array_of(parts.ptr[i], 2);
+      const auto& entry = expect_array(elements.ptr[i], 2);
       typename T::key_type key{};
       read(entry.ptr[0], key);
       read(entry.ptr[1], value[std::move(key)]);
     } else if constexpr (requires { typename T::key_type; }) {
       typename T::key_type key{};
-      read(parts.ptr[i], key);
+      read(elements.ptr[i], key);
       value.insert(value.end(), std::move(key));
     } else {
-      read(parts.ptr[i], value.emplace_back());
+      read(elements.ptr[i], value.emplace_back());
     }
   }
 }
 
 template <class T>
-void read_variant(const msgpack::object& from, T& value) {
-  const auto& parts = array_of(from, 2);
+void read_variant(const msgpack::object& object, T& value) {
+  const auto& elements = expect_array(object, 2);
   std::uint64_t index = 0;
-  read(parts.ptr[0], index);
-  const auto choose = [&]<std::size_t... I>(std::index_sequence<I...>) {
-    return ((index == I ? (read(parts.ptr[1], value.template emplace<I>()), true) : false) || ...);
+  read(elements.ptr[0], index);
+  const auto emplace_alternative = [&]<std::size_t... I>(std::index_sequence<I...>) {
+    return ((index == I ? (read(elements.ptr[1], value.template emplace<I>()), true) : false) || ...);
   };
-  if (!choose(std::make_index_sequence<std::variant_size_v<T>>{}))
+  if (!emplace_alternative(std::make_index_sequence<std::variant_size_v<T>>{}))
     throw DecodeError("kind " + std::to_string(index) + " is unknown");
 }
 
 template <class T>
-void read_struct(const msgpack::object& from, T& value) {
+void read_struct(const msgpack::object& object, T& value) {
   T::fields(value, [&](auto&... field) {
-    const auto& parts = array_of(from, sizeof...(field));
+    const auto& elements = expect_array(object, sizeof...(field));
     std::size_t at = 0;
-    (read(parts.ptr[at++], field), ...);
+    (read(elements.ptr[at++], field), ...);
   });
 }
 
 }  // namespace detail
 
 template <class T>
-void read(const msgpack::object& from, T& value) {
+void read(const msgpack::object& object, T& value) {
   if constexpr (std::is_enum_v<T>) {
     std::int64_t number = 0;
-    read(from, number);
+    read(object, number);
     value = static_cast<T>(number);
   } else if constexpr (detail::is_duration<T>) {
     typename T::rep count{};
-    read(from, count);
+    read(object, count);
     value = T(count);
   } else if constexpr (detail::is_time<T>) {
     typename T::duration since{};
-    read(from, since);
+    read(object, since);
     value = T(since);
   } else if constexpr (detail::is_optional<T>) {
-    if (from.is_nil()) {
+    if (object.is_nil()) {
       value.reset();
     } else {
       value.emplace();
-      read(from, *value);
+      read(object, *value);
     }
   } else if constexpr (detail::is_pair<T>) {
-    const auto& parts = detail::array_of(from, 2);
-    read(parts.ptr[0], const_cast<std::remove_const_t<typename T::first_type>&>(value.first));
-    read(parts.ptr[1], value.second);
+    const auto& elements = detail::expect_array(object, 2);
+    read(elements.ptr[0], const_cast<std::remove_const_t<typename T::first_type>&>(value.first));
+    read(elements.ptr[1], value.second);
   } else if constexpr (detail::is_variant<T>) {
-    detail::read_variant(from, value);
+    detail::read_variant(object, value);
   } else if constexpr (detail::Container<T>) {
-    detail::read_container(from, value);
+    detail::read_container(object, value);
   } else if constexpr (detail::Struct<T>) {
-    detail::read_struct(from, value);
+    detail::read_struct(object, value);
   } else {
     try {
-      from.convert(value);
+      object.convert(value);
     } catch (const msgpack::type_error&) {
       throw DecodeError("a value of another type was expected");
     }
@@ -225,10 +225,10 @@
 /// The msgpack form of a value.
 template <class T>
 std::string packed(const T& value) {
-  Sink sink;
-  Out out(sink);
+  Buffer buffer;
+  Packer out(buffer);
   write(out, value);
-  return {sink.data(), sink.size()};
+  return {buffer.data(), buffer.size()};
 }
 
 /// The value of a msgpack form. Throws DecodeError.
--- a/src/history/reader.cpp
+++ b/src/history/reader.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr std::string_view kUnfinished = ".part";
+constexpr std::string_view kTemporarySuffix = ".part";
 
 // A payload whose checksum is right and which is still not what it should be.
-CorruptionError not_a_record(const std::string& file, std::size_t offset,
+CorruptionError undecodable_record(const std::string& file, std::size_t offset,
                              const DecodeError& problem) {
   return {file, offset,
           std::string("the checksum is right and the record is not: ") + problem.what()};
@@ -22,39 +22,39 @@
   try {
     return unpacked<T>(payload);
   } catch (const DecodeError& problem) {
-    throw not_a_record(file, offset, problem);
+    throw undecodable_record(file, offset, problem);
   }
 }
 
 }  // namespace
 
-std::uint64_t Contents::events() const {
-  if (const auto* segment = last()) return segment->head.first_event + segment->records;
-  return snapshots.empty() ? 0 : snapshots.back().head.events;
+std::uint64_t Contents::record_count() const {
+  if (const auto* segment = last()) return segment->header.first_record + segment->records;
+  return snapshots.empty() ? 0 : snapshots.back().header.record_count;
 }
 
 SegmentInfo Reader::read_segment(const std::string& name,
-                                 const std::function<bool(const Record&, std::uint64_t)>& each) {
+                                 const std::function<bool(const Record&, std::uint64_t)>& on_record) {
   const auto bytes = files_.read(name);
   FrameReader frames(name, bytes, FileKind::events, key_);
   SegmentInfo info;
   info.name = name;
-  const auto head = frames.next();
-  if (head) {
-    info.head = read_payload<SegmentHeader>(name, 0, *head);
+  const auto header = frames.next();
+  if (header) {
+    info.header = read_payload<SegmentHeader>(name, 0, *header);
     HeartbeatChangesReader heartbeats;
-    bool wanted = true;
-    while (wanted) {
+    bool more_wanted = true;
+    while (more_wanted) {
       const auto offset = frames.offset();
       const auto payload = frames.next();
       if (!payload) break;
       Record record;
       try {
-        record = heartbeats.whole(unpacked<WrittenRecord>(*payload));
+        record = heartbeats.restore(unpacked<WrittenRecord>(*payload));
       } catch (const DecodeError& problem) {
-        throw not_a_record(name, offset, problem);
+        throw undecodable_record(name, offset, problem);
       }
-      wanted = each(record, info.head.first_event + info.records);
+      more_wanted = on_record(record, info.header.first_record + info.records);
       ++info.records;
     }
   }
@@ -65,13 +65,13 @@
   return info;
 }
 
-Reader::Loaded Reader::load_snapshot(const std::string& name) {
+Reader::LoadedSnapshot Reader::load_snapshot(const std::string& name) {
   const auto bytes = files_.read(name);
   FrameReader frames(name, bytes, FileKind::snapshot, key_);
-  SnapshotHeader head;
+  SnapshotHeader header;
   Parts parts;
   std::optional<SnapshotEnd> end;
-  bool open = false;  // a part goes on
+  bool part_incomplete = false;  // a part goes on
   for (std::uint64_t number = 0;; ++number) {
     const auto offset = frames.offset();
     const auto payload = frames.next();
@@ -80,31 +80,31 @@
     if (end) throw CorruptionError(name, offset, "something follows the end of the save");
     if (auto* first = std::get_if<SnapshotHeader>(&piece)) {
       if (number != 0) throw CorruptionError(name, offset, "a second head");
-      head = std::move(*first);
+      header = std::move(*first);
     } else if (auto* slice = std::get_if<SnapshotSlice>(&piece)) {
-      if (!open) parts.emplace_back(slice->part, "");
+      if (!part_incomplete) parts.emplace_back(slice->part, "");
       if (parts.back().first != slice->part)
         throw CorruptionError(name, offset, "the part \"" + parts.back().first + "\" is cut short");
       parts.back().second += slice->bytes;
-      open = !slice->last;
+      part_incomplete = !slice->last;
     } else {
       end = std::get<SnapshotEnd>(piece);
     }
   }
   // A save is made the newest only when it is whole, so one that is not was damaged since.
   if (frames.torn_bytes() > 0) throw CorruptionError(name, frames.offset(), frames.torn_cause());
-  if (!end || open) throw CorruptionError(name, frames.offset(), "the save has no end");
+  if (!end || part_incomplete) throw CorruptionError(name, frames.offset(), "the save has no end");
   if (digest_of(parts) != end->state_digest)
     throw CorruptionError(name, frames.offset(), "the digest of the state is wrong");
   std::size_t size = 0;
   for (const auto& part : parts) size += part.second.size();
-  return {{name, std::move(head), size, end->state_digest}, std::move(parts)};
+  return {{name, std::move(header), size, end->state_digest}, std::move(parts)};
 }
 
 SnapshotInfo Reader::restore(const std::string& name, Replay& replay) {
   auto loaded = load_snapshot(name);
   try {
-    replay.restore(loaded.info.head, loaded.parts);
+    replay.restore(loaded.info.header, loaded.parts);
   } catch (const DecodeError& problem) {
     throw CorruptionError(name, 0, problem.what());
   }
@@ -131,18 +131,18 @@
       out.segments.push_back(read_segment(name, [](const Record&, std::uint64_t) { return true; }));
     } else if (snapshot_number(name)) {
       out.snapshots.push_back(load_snapshot(name).info);
-    } else if (name.ends_with(kUnfinished)) {
+    } else if (name.ends_with(kTemporarySuffix)) {
       out.unfinished.push_back(name);
     }
   }
-  check_links(out);
+  check_consistency(out);
   return out;
 }
 
 // That nothing was swapped or left out between the files.
-void Reader::check_links(Contents& contents) const {
+void Reader::check_consistency(Contents& contents) const {
   // A segment whose head was cut off holds no record yet: its creation was interrupted.
-  if (!contents.segments.empty() && contents.segments.back().head.history.empty()) {
+  if (!contents.segments.empty() && contents.segments.back().header.history.empty()) {
     contents.unfinished.push_back(contents.segments.back().name);
     contents.segments.pop_back();
   }
@@ -150,9 +150,9 @@
     check_segment(contents, index);
   for (const auto& snapshot : contents.snapshots) check_snapshot(contents, snapshot);
   // Without a snapshot that covers them, the first events must be there.
-  if (!contents.segments.empty() && contents.segments.front().head.first_event > 0 &&
+  if (!contents.segments.empty() && contents.segments.front().header.first_record > 0 &&
       (contents.snapshots.empty() ||
-       contents.snapshots.front().head.segment < contents.segments.front().head.segment))
+       contents.snapshots.front().header.segment < contents.segments.front().header.segment))
     throw CorruptionError(contents.segments.front().name, 0,
                           "earlier events are gone and no save covers them");
 }
@@ -163,34 +163,34 @@
   if (segment.torn_bytes > 0 && !is_last)
     throw CorruptionError(segment.name, segment.bytes,
                           segment.torn_cause + ", although later events were written");
-  if (segment.head.segment != segment_number(segment.name))
+  if (segment.header.segment != segment_number(segment.name))
     throw CorruptionError(segment.name, 0, "its name and its number differ: it was swapped");
-  check_history(contents, segment.name, segment.head.history);
+  check_history(contents, segment.name, segment.header.history);
   if (index == 0) return;
-  const auto& before = contents.segments[index - 1];
-  if (segment.head.segment != before.head.segment + 1 ||
-      segment.head.first_event != before.head.first_event + before.records)
+  const auto& previous = contents.segments[index - 1];
+  if (segment.header.segment != previous.header.segment + 1 ||
+      segment.header.first_record != previous.header.first_record + previous.records)
     throw CorruptionError(segment.name, 0,
-                          "events between it and " + before.name + " were left contents");
-  if (key_ && segment.head.previous_tail != text_of(before.tail))
-    throw CorruptionError(segment.name, 0, "its MAC does not follow that of " + before.name);
+                          "events between it and " + previous.name + " were left contents");
+  if (key_ && segment.header.previous_tail != tag_bytes(previous.tail))
+    throw CorruptionError(segment.name, 0, "its MAC does not follow that of " + previous.name);
 }
 
 void Reader::check_snapshot(Contents& contents, const SnapshotInfo& snapshot) const {
-  if (snapshot.head.segment != snapshot_number(snapshot.name))
+  if (snapshot.header.segment != snapshot_number(snapshot.name))
     throw CorruptionError(snapshot.name, 0, "its name and its number differ: it was swapped");
-  check_history(contents, snapshot.name, snapshot.head.history);
-  const auto next = std::find_if(
+  check_history(contents, snapshot.name, snapshot.header.history);
+  const auto following = std::find_if(
       contents.segments.begin(), contents.segments.end(),
-      [&](const SegmentInfo& segment) { return segment.head.segment == snapshot.head.segment; });
+      [&](const SegmentInfo& segment) { return segment.header.segment == snapshot.header.segment; });
   // The segment that follows a snapshot is begun before the snapshot is complete.
-  if (next == contents.segments.end())
+  if (following == contents.segments.end())
     throw CorruptionError(
         snapshot.name, 0,
-        "the events after it are gone: " + segment_name(snapshot.head.segment) + " is missing");
-  if (next->head.first_event != snapshot.head.events)
+        "the events after it are gone: " + segment_name(snapshot.header.segment) + " is missing");
+  if (following->header.first_record != snapshot.header.record_count)
     throw CorruptionError(snapshot.name, 0, "it does not fit the events after it");
-  if (key_ && next->head.previous_tail != snapshot.head.events_tail)
+  if (key_ && following->header.previous_tail != snapshot.header.events_tail)
     throw CorruptionError(snapshot.name, 0, "its MAC does not fit the events after it");
 }
 
@@ -200,14 +200,14 @@
   if (history != contents.history) throw CorruptionError(name, 0, "it belongs to another history");
 }
 
-Contents Reader::recover(Replay& replay, const std::function<void(const CorruptionError&)>& note) {
+Contents Reader::recover(Replay& replay, const std::function<void(const CorruptionError&)>& on_damaged) {
   Contents out;
   std::vector<std::string> segments;
   std::vector<std::string> snapshots;
   for (const auto& name : files_.list()) {
     if (segment_number(name)) segments.push_back(name);
     if (snapshot_number(name)) snapshots.push_back(name);
-    if (name.ends_with(kUnfinished)) out.unfinished.push_back(name);
+    if (name.ends_with(kTemporarySuffix)) out.unfinished.push_back(name);
   }
   std::uint64_t first = 0;
   while (!snapshots.empty()) {
@@ -215,37 +215,37 @@
     snapshots.pop_back();
     try {
       out.snapshots.push_back(restore(name, replay));
-      first = out.snapshots.back().head.segment;
+      first = out.snapshots.back().header.segment;
       break;
     } catch (const CorruptionError& problem) {
       if (snapshots.empty() && segment_number(segments.empty() ? "" : segments.front()) != 1) throw;
-      note(problem);
+      on_damaged(problem);
     }
   }
   for (const auto& name : segments) {
     if (*segment_number(name) < first) continue;
     out.segments.push_back(replay_segment(name, replay, std::nullopt));
   }
-  check_links(out);
+  check_consistency(out);
   return out;
 }
 
 void Reader::replay(const Contents& contents, Replay& replay, bool from_start,
                     std::optional<std::uint64_t> until) {
-  std::uint64_t first = contents.segments.empty() ? 0 : contents.segments.front().head.segment;
+  std::uint64_t first = contents.segments.empty() ? 0 : contents.segments.front().header.segment;
   const SnapshotInfo* snapshot = nullptr;
   for (const auto& candidate : contents.snapshots) {
-    if (until && candidate.head.events > *until) continue;
-    if (from_start && first <= candidate.head.segment &&
-        contents.segments.front().head.first_event == 0)
+    if (until && candidate.header.record_count > *until) continue;
+    if (from_start && first <= candidate.header.segment &&
+        contents.segments.front().header.first_record == 0)
       continue;
     snapshot = &candidate;
     if (from_start) break;  // the oldest, if events do not go back to the first
   }
-  if (snapshot != nullptr) first = restore(snapshot->name, replay).head.segment;
+  if (snapshot != nullptr) first = restore(snapshot->name, replay).header.segment;
   for (const auto& segment : contents.segments) {
-    if (until && segment.head.first_event >= *until) return;
-    if (segment.head.segment >= first) replay_segment(segment.name, replay, until);
+    if (until && segment.header.first_record >= *until) return;
+    if (segment.header.segment >= first) replay_segment(segment.name, replay, until);
   }
 }
 
--- a/src/history/reader.hpp
+++ b/src/history/reader.hpp
@@ -13,7 +13,7 @@
 /// What was read of a segment of events.
 struct SegmentInfo {
   std::string name;
-  SegmentHeader head;
+  SegmentHeader header;
   std::uint64_t records = 0;
   std::size_t bytes = 0;       // that are whole
   std::size_t torn_bytes = 0;  // cut off behind them
@@ -24,7 +24,7 @@
 /// What was read of a snapshot.
 struct SnapshotInfo {
   std::string name;
-  SnapshotHeader head;
+  SnapshotHeader header;
   std::size_t bytes = 0;
   std::uint64_t state_digest = 0;
 };
@@ -39,7 +39,7 @@
   /// The newest segment, null if there is none.
   const SegmentInfo* last() const { return segments.empty() ? nullptr : &segments.back(); }
   /// Number of records from the history's first to the last.
-  std::uint64_t events() const;
+  std::uint64_t record_count() const;
 };
 
 /// Reads over `files`, which must outlive the reader. With a key every file must be signed.
@@ -53,13 +53,13 @@
   /// Calls `each` with the records of a segment and their numbers until `each` returns false.
   /// Throws CorruptionError and FileError.
   SegmentInfo read_segment(const std::string& name,
-                           const std::function<bool(const Record&, std::uint64_t)>& each);
+                           const std::function<bool(const Record&, std::uint64_t)>& on_record);
 
   /// Restores the newest snapshot that is whole and replays the events after it, for a process that
   /// continues the history; older files are not read. `note` is called for each damaged snapshot
   /// that is skipped for the one before it. Throws CorruptionError if no usable one is left, and
   /// FileError.
-  Contents recover(Replay& replay, const std::function<void(const CorruptionError&)>& note);
+  Contents recover(Replay& replay, const std::function<void(const CorruptionError&)>& on_damaged);
 
   /// Replays the newest snapshot and the events after it. With `from_start`, replays all events,
   /// from the oldest snapshot if the first events were removed. `until`: stops before the record of
@@ -68,19 +68,19 @@
               std::optional<std::uint64_t> until = {});
 
  private:
-  struct Loaded {
+  struct LoadedSnapshot {
     SnapshotInfo info;
     Parts parts;
   };
   /// Throws CorruptionError, also when the snapshot is not complete.
-  Loaded load_snapshot(const std::string& name);
+  LoadedSnapshot load_snapshot(const std::string& name);
   /// Both throw CorruptionError for what cannot be replayed.
   SnapshotInfo restore(const std::string& name, Replay& replay);
   SegmentInfo replay_segment(const std::string& name, Replay& replay,
                              std::optional<std::uint64_t> until);
   /// The checks between files; each throws CorruptionError. A segment without a head is moved from
   /// `contents.segments` to `contents.unfinished`.
-  void check_links(Contents& contents) const;
+  void check_consistency(Contents& contents) const;
   void check_segment(Contents& contents, std::size_t index) const;
   void check_snapshot(Contents& contents, const SnapshotInfo& snapshot) const;
   static void check_history(Contents& contents, const std::string& name, const HistoryId& history);
--- a/src/history/recorder.cpp
+++ b/src/history/recorder.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 template <class Work>
-void Recorder::guarded(const Work& work) {
+void Recorder::disable_on_error(const Work& work) {
   try {
     work();
   } catch (const std::exception& problem) {
@@ -33,7 +33,7 @@
 }
 
 Recorder::Recorder(const Settings& settings, core::WallTime wall) {
-  guarded([&] {
+  disable_on_error([&] {
     files_ = std::make_unique<Directory>(settings.directory, true);
     start(settings, wall);
   });
@@ -41,11 +41,11 @@
 
 Recorder::Recorder(std::unique_ptr<Files> files, const Settings& settings, core::WallTime wall)
     : files_(std::move(files)) {
-  guarded([&] { start(settings, wall); });
+  disable_on_error([&] { start(settings, wall); });
 }
 
 void Recorder::start(const Settings& settings, core::WallTime wall) {
-  const auto begun = core::Clock::now();
+  const auto started = core::Clock::now();
   Replay replay;
   Reader reader(*files_, settings.key);
   const auto contents = reader.recover(replay, [](const CorruptionError& problem) {
@@ -61,45 +61,45 @@
     learned_state_ = replay.controller()->learned_state(replay.now(), replay.wall_now());
   log_ = std::make_unique<EventLog>(*files_, settings.key, settings.log, contents, new_history_id(),
                                     wall);
-  spdlog::info("history: {} events, recovered in {:.3f} s", contents.events(),
-               core::Seconds(core::Clock::now() - begun).count());
+  spdlog::info("history: {} events, recovered in {:.3f} s", contents.record_count(),
+               core::Seconds(core::Clock::now() - started).count());
 }
 
 void Recorder::leader_ends(core::LearnedState learned_state) {
   learned_state_ = std::move(learned_state);
-  if (log_) guarded([&] { log_->abandon_snapshot(); });
+  if (log_) disable_on_error([&] { log_->abandon_snapshot(); });
 }
 
 void Recorder::leader_elected(core::TimePoint at, const core::LeaderElected& event) {
-  origin_ = event;
-  origin_.recovered = {};
+  elected_event_ = event;
+  elected_event_.recovered = {};
   elected_at_ = at;
   record(at, event);
 }
 
 void Recorder::record(core::TimePoint at, const core::Event& event) {
-  if (log_) guarded([&] { log_->record(origin_.token, at, event); });
+  if (log_) disable_on_error([&] { log_->record(elected_event_.token, at, event); });
 }
 
 void Recorder::record_actions(core::TimePoint at, const std::vector<core::Action>& actions) {
   if (log_ && !actions.empty())
-    guarded([&] { log_->record_actions(origin_.token, at, digest_of(actions)); });
+    disable_on_error([&] { log_->record_actions(elected_event_.token, at, digest_of(actions)); });
 }
 
-void Recorder::pump(core::Controller& controller, core::TimePoint now, core::WallTime wall) {
+void Recorder::write_due(core::Controller& controller, core::TimePoint now, core::WallTime wall) {
   if (!log_) return;
-  guarded([&] {
+  disable_on_error([&] {
     log_->flush(now);
     if (log_->snapshotting())
       log_->continue_snapshot();
     else if (log_->snapshot_due(now))
-      log_->begin_snapshot(controller, origin_, elected_at_, now, wall);
+      log_->begin_snapshot(controller, elected_event_, elected_at_, now, wall);
   });
 }
 
 std::string Recorder::summary() const {
   if (!log_) return "history off";
-  return "history: " + std::to_string(log_->events()) + " events, " +
+  return "history: " + std::to_string(log_->record_count()) + " events, " +
          std::to_string(log_->snapshots_made()) + " snapshots";
 }
 
--- a/src/history/recorder.hpp
+++ b/src/history/recorder.hpp
@@ -25,7 +25,7 @@
   Recorder(std::unique_ptr<Files> files, const Settings& settings, core::WallTime wall);
 
   /// Whether events are recorded.
-  bool on() const { return log_ != nullptr; }
+  bool is_recording() const { return log_ != nullptr; }
   /// The learned state when the last leader of this history ended; empty if there is none.
   const core::LearnedState& learned_state() const { return learned_state_; }
   /// Called when a leader of this process ends.
@@ -41,7 +41,7 @@
   void record_actions(core::TimePoint at, const std::vector<core::Action>& actions);
   /// Writes what is due. Must be called when all recorded events are applied to `controller` and
   /// its actions were taken.
-  void pump(core::Controller& controller, core::TimePoint now, core::WallTime wall);
+  void write_due(core::Controller& controller, core::TimePoint now, core::WallTime wall);
 
   /// Events and snapshots so far, for the log line.
   std::string summary() const;
@@ -50,12 +50,12 @@
   void start(const Settings& settings, core::WallTime wall);
   /// Runs `work`; an exception ends the history.
   template <class Work>
-  void guarded(const Work& work);
+  void disable_on_error(const Work& work);
 
   std::unique_ptr<Files> files_;
   std::unique_ptr<EventLog> log_;
   core::LearnedState learned_state_;
-  core::LeaderElected origin_;
+  core::LeaderElected elected_event_;
   core::TimePoint elected_at_{};
 };
 
--- a/src/history/records.cpp
+++ b/src/history/records.cpp
@@ -12,22 +12,22 @@
 constexpr std::string_view kSegmentSuffix = ".vph";
 constexpr std::string_view kSnapshotPrefix = "save-";
 constexpr std::string_view kSnapshotSuffix = ".vps";
-constexpr std::size_t kDigits = 12;
+constexpr std::size_t kMinDigits = 12;
 
-std::string name(std::string_view front, std::uint64_t number, std::string_view end) {
+std::string numbered_name(std::string_view prefix, std::uint64_t number, std::string_view suffix) {
   auto digits = std::to_string(number);
-  if (digits.size() < kDigits) digits.insert(0, kDigits - digits.size(), '0');
-  return std::string(front) + digits + std::string(end);
+  if (digits.size() < kMinDigits) digits.insert(0, kMinDigits - digits.size(), '0');
+  return std::string(prefix) + digits + std::string(suffix);
 }
 
-std::optional<std::uint64_t> number(std::string_view name, std::string_view front,
-                                    std::string_view end) {
-  if (!name.starts_with(front) || !name.ends_with(end)) return std::nullopt;
-  name.remove_prefix(front.size());
-  name.remove_suffix(end.size());
+std::optional<std::uint64_t> parse_number(std::string_view name, std::string_view prefix,
+                                    std::string_view suffix) {
+  if (!name.starts_with(prefix) || !name.ends_with(suffix)) return std::nullopt;
+  name.remove_prefix(prefix.size());
+  name.remove_suffix(suffix.size());
   std::uint64_t value = 0;
   const auto [stop, error] = std::from_chars(name.data(), name.data() + name.size(), value);
-  if (error != std::errc() || stop != name.data() + name.size() || name.size() < kDigits)
+  if (error != std::errc() || stop != name.data() + name.size() || name.size() < kMinDigits)
     return std::nullopt;
   return value;
 }
@@ -43,15 +43,15 @@
 }
 
 void restore_parts(core::Controller& controller, const Parts& parts) {
-  std::size_t at = 0;
+  std::size_t next = 0;
   core::Controller::each_part(controller, [&]<typename Part>(const char* name, Part& part) {
     if constexpr (is_omittable<Part>) {
       part = Part{};
-      if (at >= parts.size() || parts[at].first != name) return;
+      if (next >= parts.size() || parts[next].first != name) return;
     }
-    if (at >= parts.size() || parts[at].first != name)
+    if (next >= parts.size() || parts[next].first != name)
       throw DecodeError("the part \"" + std::string(name) + "\" of the state is missing");
-    const auto& bytes = parts[at++].second;
+    const auto& bytes = parts[next++].second;
     try {
       const auto handle = msgpack::unpack(bytes.data(), bytes.size());
       read(handle.get(), part);
@@ -73,16 +73,16 @@
 }
 
 std::string segment_name(std::uint64_t number) {
-  return name(kSegmentPrefix, number, kSegmentSuffix);
+  return numbered_name(kSegmentPrefix, number, kSegmentSuffix);
 }
 std::string snapshot_name(std::uint64_t segment) {
-  return name(kSnapshotPrefix, segment, kSnapshotSuffix);
+  return numbered_name(kSnapshotPrefix, segment, kSnapshotSuffix);
 }
 std::optional<std::uint64_t> segment_number(const std::string& name) {
-  return number(name, kSegmentPrefix, kSegmentSuffix);
+  return parse_number(name, kSegmentPrefix, kSegmentSuffix);
 }
 std::optional<std::uint64_t> snapshot_number(const std::string& name) {
-  return number(name, kSnapshotPrefix, kSnapshotSuffix);
+  return parse_number(name, kSnapshotPrefix, kSnapshotSuffix);
 }
 
 }  // namespace violetpulley::history
--- a/src/history/records.hpp
+++ b/src/history/records.hpp
@@ -18,13 +18,13 @@
 struct SegmentHeader {
   HistoryId history;
   std::uint64_t segment = 0;
-  std::uint64_t first_event = 0;  // how many events came before it in this history
+  std::uint64_t first_record = 0;  // how many events came before it in this history
   std::string previous_tail;      // last MAC of the segment before, if signed
-  core::WallTime begun{};
+  core::WallTime started_at{};
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.history, s.segment, s.first_event, s.previous_tail, s.begun);
+    f(s.history, s.segment, s.first_record, s.previous_tail, s.started_at);
   }
 };
 
@@ -42,11 +42,11 @@
 struct Record {
   core::FencingToken token = 0;
   core::TimePoint at{};  // steady clock of the process that wrote it
-  std::variant<core::Event, ActionsRecorded> what;
+  std::variant<core::Event, ActionsRecorded> content;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.token, s.at, s.what);
+    f(s.token, s.at, s.content);
   }
 };
 
@@ -54,16 +54,16 @@
 /// heartbeat is as before, and whole heartbeats took most bytes of a history.
 struct HeartbeatChanges {
   core::MachineId machine;
-  bool answer = false;  // to commands
+  bool answers_commands = false;  // to commands
   std::uint64_t epoch = 0;
   std::uint64_t heartbeat_sequence = 0;
   core::FencingToken token = 0;
-  std::vector<std::uint32_t> gone;                               // places in the last list
-  std::vector<std::pair<std::uint32_t, core::TaskStatus>> come;  // places in this one
+  std::vector<std::uint32_t> removed;                               // places in the last list
+  std::vector<std::pair<std::uint32_t, core::TaskStatus>> added;  // places in this one
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.machine, s.answer, s.epoch, s.heartbeat_sequence, s.token, s.gone, s.come);
+    f(s.machine, s.answers_commands, s.epoch, s.heartbeat_sequence, s.token, s.removed, s.added);
   }
 };
 
@@ -71,11 +71,11 @@
 struct WrittenRecord {
   core::FencingToken token = 0;
   core::TimePoint at{};
-  std::variant<core::Event, ActionsRecorded, HeartbeatChanges> what;
+  std::variant<core::Event, ActionsRecorded, HeartbeatChanges> content;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.token, s.at, s.what);
+    f(s.token, s.at, s.content);
   }
 };
 
@@ -83,16 +83,16 @@
 struct SnapshotHeader {
   HistoryId history;
   std::uint64_t segment = 0;
-  std::uint64_t events = 0;
+  std::uint64_t record_count = 0;
   core::TimePoint at{};
   core::WallTime wall{};
   core::TimePoint elected_at{};
-  core::LeaderElected origin;  // without the recovered state
+  core::LeaderElected elected_event;  // without the recovered state
   std::string events_tail;     // last MAC of the segment before, if signed
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.history, s.segment, s.events, s.at, s.wall, s.elected_at, s.origin, s.events_tail);
+    f(s.history, s.segment, s.record_count, s.at, s.wall, s.elected_at, s.elected_event, s.events_tail);
   }
 };
 
--- a/src/history/replay.cpp
+++ b/src/history/replay.cpp
@@ -8,20 +8,20 @@
   return digest.value();
 }
 
-void Replay::restore(const SnapshotHeader& head, const Parts& parts) {
-  origin_ = head.origin;
-  elected_at_ = head.elected_at;
-  controller_ = core::make_controller(origin_, elected_at_);
+void Replay::restore(const SnapshotHeader& header, const Parts& parts) {
+  elected_event_ = header.elected_event;
+  elected_at_ = header.elected_at;
+  controller_ = core::make_controller(elected_event_, elected_at_);
   controller_->take_actions();
   restore_parts(*controller_, parts);
-  now_ = head.at;
-  events_ = head.events;
+  now_ = header.at;
+  record_count_ = header.record_count;
 }
 
 void Replay::apply(const Record& record) {
   now_ = record.at;
-  const auto number = events_++;
-  if (const auto* recorded_actions = std::get_if<ActionsRecorded>(&record.what)) {
+  const auto number = record_count_++;
+  if (const auto* recorded_actions = std::get_if<ActionsRecorded>(&record.content)) {
     if (!controller_) throw DecodeError("actions come before any takeover");
     const auto actions = controller_->take_actions();
     const auto digest = digest_of(actions);
@@ -30,11 +30,11 @@
       difference_ = Difference{number, recorded_actions->digest, digest};
     return;
   }
-  const auto& event = std::get<core::Event>(record.what);
+  const auto& event = std::get<core::Event>(record.content);
   if (const auto* elected = std::get_if<core::LeaderElected>(&event)) {
     controller_ = core::make_controller(*elected, record.at);
     elected_at_ = record.at;
-    origin_ = {elected->settings, elected->token, elected->former_leases_end, {}};
+    elected_event_ = {elected->settings, elected->token, elected->former_leases_end, {}};
     return;
   }
   if (!controller_) throw DecodeError("an event comes before any takeover");
@@ -42,7 +42,7 @@
 }
 
 core::WallTime Replay::wall_now() const {
-  return origin_.settings.wall_at_start +
+  return elected_event_.settings.wall_at_start +
          std::chrono::duration_cast<std::chrono::milliseconds>(now_ - elected_at_);
 }
 
--- a/src/history/replay.hpp
+++ b/src/history/replay.hpp
@@ -18,7 +18,7 @@
 class Replay {
  public:
   /// Starts from a snapshot. Throws DecodeError if the parts cannot be read.
-  void restore(const SnapshotHeader& head, const Parts& parts);
+  void restore(const SnapshotHeader& header, const Parts& parts);
   /// Applies an event, or compares the actions. Throws DecodeError if a record comes before the
   /// first LeaderElected event.
   void apply(const Record& record);
@@ -31,7 +31,7 @@
   /// The time of day at `now`, counted from the last LeaderElected event.
   core::WallTime wall_now() const;
   /// Number of records from the history's first to the last applied one.
-  std::uint64_t events() const { return events_; }
+  std::uint64_t record_count() const { return record_count_; }
   /// Of all batches of actions replayed so far.
   std::uint64_t actions_digest() const { return actions_.value(); }
   /// 0 without a controller.
@@ -40,15 +40,15 @@
   const std::optional<Difference>& difference() const { return difference_; }
 
   /// The leader's first event without the recovered state, for snapshots that are made offline.
-  const core::LeaderElected& origin() const { return origin_; }
+  const core::LeaderElected& elected_event() const { return elected_event_; }
   core::TimePoint elected_at() const { return elected_at_; }
 
  private:
   std::unique_ptr<core::Controller> controller_;
-  core::LeaderElected origin_;
+  core::LeaderElected elected_event_;
   core::TimePoint elected_at_{};
   core::TimePoint now_{};
-  std::uint64_t events_ = 0;
+  std::uint64_t record_count_ = 0;
   Digest actions_;
   std::optional<Difference> difference_;
 };
--- a/src/history/state_capture.hpp
+++ b/src/history/state_capture.hpp
@@ -26,26 +26,26 @@
   /// Machines or jobs that existed at the moment of capture, by name, and the bytes of those that
   /// were encoded early; erased once returned in a slice.
   using Items = std::map<std::string, std::optional<std::string>>;
-  struct Shared {
+  struct PendingItems {
     Items machines;
     Items jobs;
   };
   /// A part whose items are written one by one between a front and an end.
-  struct Plan {
+  struct PartPlan {
     std::string name;
-    std::string front;
-    std::string end;
+    std::string prefix;
+    std::string suffix;
     enum class Kind { whole, machines, jobs } kind = Kind::whole;
   };
 
   template <class Table>
-  static bool add_items(const Table& table, Items& items, std::string& out, std::size_t bytes);
+  static bool append_items(const Table& table, Items& items, std::string& out, std::size_t bytes);
 
   core::Controller& controller_;
-  std::shared_ptr<Shared> shared_ = std::make_shared<Shared>();
-  std::vector<Plan> plans_;
-  std::size_t plan_ = 0;
-  bool front_written_ = false;
+  std::shared_ptr<PendingItems> pending_ = std::make_shared<PendingItems>();
+  std::vector<PartPlan> plans_;
+  std::size_t next_part_ = 0;
+  bool prefix_written_ = false;
   Digest digest_;
 };
 
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -224,7 +224,7 @@
 }
 
 void Leader::save_history(core::TimePoint now) {
-  if (services_.recorder != nullptr) services_.recorder->pump(*controller_, now, wall_now());
+  if (services_.recorder != nullptr) services_.recorder->write_due(*controller_, now, wall_now());
   if (learned_state_store_ && learned_state_store_->due(now))
     learned_state_store_->save(controller_->learned_state(now, wall_now()), now);
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -46,7 +46,7 @@
 
 int main(int argc, char** argv) {
   CLI::App app{"violetpulley: a cluster scheduler that packs tasks by predicted run time"};
-  int result = kFine;
+  int result = kSuccess;
   ServeOptions options;
   bool only_check = false;
   app.set_version_flag("--version", std::string("violetpulley ") + VIOLETPULLEY_VERSION);
@@ -60,7 +60,7 @@
   add_serve_options(*check_command, options, true);
   if (!set_log_level()) {
     std::cerr << "violetpulley: LOG_LEVEL must be error, info or debug\n";
-    return kBadSettings;
+    return kInvalidInput;
   }
   add_history(app, result);
   add_pack(app, result);
@@ -71,7 +71,7 @@
     if (other) return result;
     if (options.config.empty()) throw CLI::RequiredError("--config");
   } catch (const CLI::ParseError& problem) {
-    return app.exit(problem) == 0 ? kFine : kBadSettings;
+    return app.exit(problem) == 0 ? kSuccess : kInvalidInput;
   }
   return only_check || check_command->parsed() ? check(options) : serve(options);
 }
--- a/src/store/learned_state_codec.cpp
+++ b/src/store/learned_state_codec.cpp
@@ -59,9 +59,9 @@
 std::string mac_of(const std::string& bytes, core::FencingToken token,
                    const LearnedStateSettings& settings) {
   if (!settings.key) return "";
-  history::Chain chain(settings.key);
+  history::MacChain chain(settings.key);
   chain.extend(std::to_string(token));
-  return to_base64(history::text_of(chain.extend(bytes)));
+  return to_base64(history::tag_bytes(chain.extend(bytes)));
 }
 
 // Drops the jobs of which only the waiting time is known, because the submission time is a good
--- a/tests/golden/golden_history_test.cpp
+++ b/tests/golden/golden_history_test.cpp
@@ -57,7 +57,7 @@
       if (synced_before != synced) {
         out += writer.take();
         EXPECT_EQ(out.size(), synced_before);
-        writer.synced();
+        writer.mark_synced();
         synced = synced_before;
       }
       writer.add(rewrite(*payload));
@@ -87,13 +87,13 @@
   void expect_difference(const history::Contents& contents, bool from_start, const Json& expected) {
     history::Replay whole;
     reader_.replay(contents, whole, from_start);
-    EXPECT_EQ(whole.events(), contents.events());
+    EXPECT_EQ(whole.record_count(), contents.record_count());
     ASSERT_TRUE(whole.difference());
     EXPECT_EQ(whole.difference()->record, expected.at("differs_at").get<std::uint64_t>());
   }
   static void expect_same(const history::Replay& replay, const Json& expected) {
     EXPECT_FALSE(replay.difference());
-    EXPECT_EQ(replay.events(), expected.at("events").get<std::uint64_t>());
+    EXPECT_EQ(replay.record_count(), expected.at("events").get<std::uint64_t>());
     EXPECT_EQ(history::hex(replay.actions_digest()), text_at(expected, "actions_digest"));
     EXPECT_EQ(history::hex(replay.state_digest()), text_at(expected, "state_digest"));
   }
@@ -107,7 +107,7 @@
 TEST_P(GoldenHistory, IsWhole) {
   const auto contents = reader_.check();
   EXPECT_EQ(contents.history, "golden");
-  EXPECT_EQ(contents.events(), expected_.at("events").get<std::uint64_t>());
+  EXPECT_EQ(contents.record_count(), expected_.at("events").get<std::uint64_t>());
   EXPECT_TRUE(contents.unfinished.empty());
   Json segments = Json::array();
   for (const auto& segment : contents.segments)
@@ -119,7 +119,7 @@
   Json snapshots = Json::array();
   for (const auto& snapshot : contents.snapshots)
     snapshots.push_back({{"name", snapshot.name},
-                         {"events", snapshot.head.events},
+                         {"events", snapshot.header.record_count},
                          {"bytes", snapshot.bytes},
                          {"state_digest", history::hex(snapshot.state_digest)}});
   EXPECT_EQ(snapshots, expected_.at("snapshots"));
@@ -136,7 +136,7 @@
 TEST_P(GoldenHistory, AReplayReachesTheStateOfTheLastSnapshot) {
   const auto contents = reader_.check();
   const auto agreed = agreement_.is_null()
-                          ? contents.events()
+                          ? contents.record_count()
                           : agreement_.at("from_start").at("events").get<std::uint64_t>();
   const Json* last = nullptr;
   for (const auto& snapshot : expected_.at("snapshots"))
@@ -159,18 +159,18 @@
           if (std::exchange(header, false))
             return history::packed(history::unpacked<history::SegmentHeader>(payload));
           ++records;
-          auto record = heartbeat_reader.whole(history::unpacked<history::WrittenRecord>(payload));
+          auto record = heartbeat_reader.restore(history::unpacked<history::WrittenRecord>(payload));
           history::WrittenRecord written{record.token, record.at, {}};
-          if (const auto* actions = std::get_if<history::ActionsRecorded>(&record.what)) {
-            written.what = *actions;
+          if (const auto* actions = std::get_if<history::ActionsRecorded>(&record.content)) {
+            written.content = *actions;
             return history::packed(written);
           }
-          const auto& event = std::get<core::Event>(record.what);
-          written.what = event;
+          const auto& event = std::get<core::Event>(record.content);
+          written.content = event;
           if (const auto* heartbeat = history::heartbeat_of(event)) {
-            const bool answer = std::holds_alternative<core::CommandsAnswered>(event);
-            if (const auto* changes = heartbeat_writer.changes(*heartbeat, answer))
-              written.what = *changes;
+            const bool answers_commands = std::holds_alternative<core::CommandsAnswered>(event);
+            if (const auto* changes = heartbeat_writer.changes(*heartbeat, answers_commands))
+              written.content = *changes;
           }
           return history::packed(written);
         });
--- a/tests/history/history_test.cpp
+++ b/tests/history/history_test.cpp
@@ -68,22 +68,22 @@
     const auto contents =
         Reader(files_, key_).recover(*replay_, [](const CorruptionError&) { ADD_FAILURE(); });
     log_ = std::make_unique<EventLog>(files_, key_, settings_, contents, "test", core::WallTime{});
-    return contents.events();
+    return contents.record_count();
   }
   const Replay& replay() const { return *replay_; }
 
   void write(const Record& record) {
     replay_->apply(record);
-    if (const auto* event = std::get_if<core::Event>(&record.what))
+    if (const auto* event = std::get_if<core::Event>(&record.content))
       log_->record(record.token, record.at, *event);
     else
-      log_->record_actions(record.token, record.at, std::get<ActionsRecorded>(record.what).digest);
+      log_->record_actions(record.token, record.at, std::get<ActionsRecorded>(record.content).digest);
     log_->flush(record.at);
-    const bool between = std::holds_alternative<ActionsRecorded>(record.what);
+    const bool between = std::holds_alternative<ActionsRecorded>(record.content);
     if (log_->snapshotting())
       log_->continue_snapshot();
     else if (between && log_->snapshot_due(record.at))
-      log_->begin_snapshot(*replay_->controller(), replay_->origin(), replay_->elected_at(),
+      log_->begin_snapshot(*replay_->controller(), replay_->elected_event(), replay_->elected_at(),
                            record.at, core::WallTime{});
   }
   const EventLog& log() const { return *log_; }
@@ -125,7 +125,7 @@
   EXPECT_EQ(writer.replay().state_digest(), story.states.back());
   EXPECT_FALSE(writer.replay().difference());
   // The history is whole for the next reader.
-  EXPECT_EQ(Reader(files, key).check().events(), story.records.size());
+  EXPECT_EQ(Reader(files, key).check().record_count(), story.records.size());
 }
 
 class Replays : public ::testing::TestWithParam<int> {};
@@ -139,19 +139,19 @@
   ASSERT_GT(writer.log().snapshots_made(), 3U);
   Reader reader(files, kKey);
   const auto contents = reader.check();
-  EXPECT_EQ(contents.events(), story.records.size());
+  EXPECT_EQ(contents.record_count(), story.records.size());
   EXPECT_EQ(contents.snapshots.size(), 2U);
   // Both snapshots are the state of a clean run, and covered events are gone.
   for (const auto& save : contents.snapshots)
-    EXPECT_EQ(save.state_digest, story.states[save.head.events]);
-  EXPECT_EQ(contents.segments.front().head.segment, contents.snapshots.front().head.segment);
+    EXPECT_EQ(save.state_digest, story.states[save.header.record_count]);
+  EXPECT_EQ(contents.segments.front().header.segment, contents.snapshots.front().header.segment);
   for (const bool from_older : {false, true}) {
     Replay replay;
     reader.replay(contents, replay, from_older);
     EXPECT_EQ(replay.state_digest(), story.states.back());
     EXPECT_FALSE(replay.difference());
   }
-  const auto until = contents.snapshots.front().head.events + 5;
+  const auto until = contents.snapshots.front().header.record_count + 5;
   Replay early;
   reader.replay(contents, early, false, until);
   EXPECT_EQ(early.state_digest(), story.states[until]);
@@ -313,10 +313,10 @@
     const auto whole = written.files.bytes(written.last);
     const auto files = written.files.snapshot();
     std::size_t refused = 0;
-    const auto head = whole.size() < 400 ? whole.size() : std::size_t{400};
+    const auto header = whole.size() < 400 ? whole.size() : std::size_t{400};
     for (std::size_t at = 0; at < whole.size(); ++at) {
       // Not every byte of the longest bodies, but all of the first and of the last.
-      if (at > head && at + 400 < whole.size() && at % 7 != 0) continue;
+      if (at > header && at + 400 < whole.size() && at % 7 != 0) continue;
       MemoryFiles cut;
       cut.put(files);
       cut.bytes(written.last).resize(at);
@@ -455,22 +455,22 @@
     Record record{7, TimePoint(milliseconds(round)),
                   core::Event(core::HeartbeatReceived{heartbeat})};
     if (pick(2) == 0)
-      record.what = core::Event(core::CommandsAnswered{heartbeat.machine, heartbeat});
-    const bool answer = std::holds_alternative<core::CommandsAnswered>(std::get<0>(record.what));
-    WrittenRecord written{record.token, record.at, std::get<0>(record.what)};
-    if (const auto* changes = writer.changes(heartbeat, answer)) written.what = *changes;
+      record.content = core::Event(core::CommandsAnswered{heartbeat.machine, heartbeat});
+    const bool answers_commands = std::holds_alternative<core::CommandsAnswered>(std::get<0>(record.content));
+    WrittenRecord written{record.token, record.at, std::get<0>(record.content)};
+    if (const auto* changes = writer.changes(heartbeat, answers_commands)) written.content = *changes;
     const auto packed_now = packed(written);
     bytes += packed_now.size();
     whole_bytes += packed(record).size();
-    EXPECT_EQ(packed(reader.whole(unpacked<WrittenRecord>(packed_now))), packed(record));
+    EXPECT_EQ(packed(reader.restore(unpacked<WrittenRecord>(packed_now))), packed(record));
   }
   EXPECT_LT(bytes, whole_bytes / 2);
   HeartbeatChanges unknown;
   unknown.machine = "m9";
-  EXPECT_THROW(reader.whole({7, {}, unknown}), DecodeError);
+  EXPECT_THROW(reader.restore({7, {}, unknown}), DecodeError);
   unknown.machine = "m1";
-  unknown.gone = {1000};
-  EXPECT_THROW(reader.whole({7, {}, unknown}), DecodeError);
+  unknown.removed = {1000};
+  EXPECT_THROW(reader.restore({7, {}, unknown}), DecodeError);
 }
 
 TEST(History, ADamagedNewestSnapshotLeavesTheOneBefore) {
@@ -486,7 +486,7 @@
   const auto contents =
       Reader(written.files, kKey).recover(replay, [&](const CorruptionError&) { ++notes; });
   EXPECT_EQ(notes, 1);
-  EXPECT_EQ(contents.events(), written.records);
+  EXPECT_EQ(contents.record_count(), written.records);
   EXPECT_EQ(replay.state_digest(), story.states[written.records]);
 }
 
@@ -495,12 +495,12 @@
   auto memory = std::make_unique<MemoryFiles>();
   auto* files = memory.get();
   Recorder recorder(std::move(memory), {"", std::nullopt, often()}, {});
-  ASSERT_TRUE(recorder.on());
+  ASSERT_TRUE(recorder.is_recording());
   files->full_after(3000);
   core::Controller* controller = nullptr;
   std::unique_ptr<core::Controller> held;
   for (const auto& record : story.records) {
-    const auto* event = std::get_if<core::Event>(&record.what);
+    const auto* event = std::get_if<core::Event>(&record.content);
     if (event == nullptr) continue;
     if (const auto* takeover = std::get_if<core::LeaderElected>(event)) {
       recorder.leader_elected(record.at, *takeover);
@@ -511,9 +511,9 @@
     core::apply(*held, *event, record.at);
     recorder.record(record.at, *event);
     recorder.record_actions(record.at, held->take_actions());
-    recorder.pump(*controller, record.at, {});
+    recorder.write_due(*controller, record.at, {});
   }
-  EXPECT_FALSE(recorder.on());
+  EXPECT_FALSE(recorder.is_recording());
   EXPECT_EQ(recorder.summary(), "history off");
 }
 
@@ -531,7 +531,7 @@
     if (i >= story.records.size() / 2) story.records[i].at -= std::chrono::hours(2);
     stepping.write(story.records[i]);
   }
-  EXPECT_EQ(Reader(back, {}).check().events(), story.records.size());
+  EXPECT_EQ(Reader(back, {}).check().record_count(), story.records.size());
 }
 
 TEST(History, ASecondProcessIsRefusedTheDirectory) {
--- a/tests/history/memory_files.hpp
+++ b/tests/history/memory_files.hpp
@@ -57,7 +57,7 @@
     call();
     change([=](Names& names) { names.erase(name); });
   }
-  void sync_names() override {
+  void sync_directory() override {
     call();
     durable_names_ = names_;
     changes_.clear();
