--- a/bench/solver_bench.cpp
+++ b/bench/solver_bench.cpp
@@ -11,31 +11,31 @@
 namespace {
 
 // A fleet that is half full of movable work in odd pieces, and jobs that wait: mostly arrays.
-Problem fragmented(std::int64_t machines, std::int64_t jobs, std::uint32_t tasks) {
+Problem fragmented_problem(std::int64_t machines, std::int64_t jobs, std::uint32_t tasks) {
   std::mt19937_64 random(7);
   const auto pick = [&](std::uint64_t below) { return random() % below; };
   Problem out;
   for (std::int64_t m = 0; m < machines; ++m) {
-    auto& added = out.machines.emplace_back();
-    added.id = "m" + std::to_string(m);
-    added.type = pick(3) == 0 ? "wide" : "big";
-    added.zone = std::string(1, static_cast<char>('a' + pick(3)));
-    added.room = {{64 * kOne, 0, (added.type == "wide" ? 512 : 256) * kOne}};
-    added.price = added.type == "wide" ? 4 * kOne : 3 * kOne;
+    auto& entry = out.machines.emplace_back();
+    entry.id = "m" + std::to_string(m);
+    entry.type = pick(3) == 0 ? "wide" : "big";
+    entry.zone = std::string(1, static_cast<char>('a' + pick(3)));
+    entry.room = {{64 * kOne, 0, (entry.type == "wide" ? 512 : 256) * kOne}};
+    entry.price = entry.type == "wide" ? 4 * kOne : 3 * kOne;
   }
   for (std::int64_t j = 0; j < jobs; ++j) {
-    Job added;
-    added.id = "j" + std::to_string(j);
-    added.shape = j % 40 == 0 ? Shape::gang : j % 10 == 1 ? Shape::service : Shape::array;
-    added.tasks = added.shape == Shape::array ? tasks : 8;
-    const Amount sizes[] = {kOne / 2, kOne, 2 * kOne, 3 * kOne};
-    added.per_task = {{added.shape == Shape::gang ? 32 * kOne : sizes[pick(4)], 0,
+    Job entry;
+    entry.id = "j" + std::to_string(j);
+    entry.shape = j % 40 == 0 ? Shape::gang : j % 10 == 1 ? Shape::service : Shape::array;
+    entry.tasks = entry.shape == Shape::array ? tasks : 8;
+    const Amount task_sizes[] = {kOne / 2, kOne, 2 * kOne, 3 * kOne};
+    entry.per_task = {{entry.shape == Shape::gang ? 32 * kOne : task_sizes[pick(4)], 0,
                        static_cast<Amount>(1 + pick(8)) * kOne}};
-    added.priority = static_cast<int>(pick(3));
-    added.bin = static_cast<int>(pick(8));
-    added.movable = added.shape != Shape::service;
-    added.loss = kOne;
-    out.jobs.push_back(std::move(added));
+    entry.priority = static_cast<int>(pick(3));
+    entry.bin = static_cast<int>(pick(8));
+    entry.movable = entry.shape != Shape::service;
+    entry.loss = kOne;
+    out.jobs.push_back(std::move(entry));
   }
   State state(out);
   for (std::size_t j = 0; j < out.jobs.size(); j += 2) {
@@ -51,41 +51,41 @@
 
 void report_counters(benchmark::State& state, const Problem& problem, const Found& found) {
   const auto bound = bound_of(problem);
-  Amount placed = 0;
-  Amount most = 0;
-  for (const auto level : found.score.placed) placed += level;
-  for (const auto level : bound.placed) most += level;
-  state.counters["placed_cpus"] = static_cast<double>(placed) / kOne;
-  state.counters["bound_cpus"] = static_cast<double>(most) / kOne;
+  Amount placed_cpus = 0;
+  Amount bound_cpus = 0;
+  for (const auto level : found.score.placed) placed_cpus += level;
+  for (const auto level : bound.placed) bound_cpus += level;
+  state.counters["placed_cpus"] = static_cast<double>(placed_cpus) / kOne;
+  state.counters["bound_cpus"] = static_cast<double>(bound_cpus) / kOne;
   state.counters["machines"] = static_cast<double>(found.score.machines);
   state.counters["lost"] = static_cast<double>(found.score.loss) / kOne;
 }
 
-Problem sized(const benchmark::State& state) {
-  return fragmented(state.range(0), state.range(1), static_cast<std::uint32_t>(state.range(2)));
+Problem problem_of_size(const benchmark::State& state) {
+  return fragmented_problem(state.range(0), state.range(1), static_cast<std::uint32_t>(state.range(2)));
 }
 
 void benchmark_fill(benchmark::State& state) {
-  const auto problem = sized(state);
+  const auto problem = problem_of_size(state);
   Found found;
   for (auto _ : state) found = fill(problem);
   report_counters(state, problem, found);
 }
 
 void benchmark_fast_search(benchmark::State& state) {
-  const auto problem = sized(state);
+  const auto problem = problem_of_size(state);
   Found found;
   for (auto _ : state) found = search_fast(problem, {1, 2, 1});
   report_counters(state, problem, found);
 }
 
-void sizes(benchmark::internal::Benchmark* bench) {
+void set_sizes(benchmark::internal::Benchmark* bench) {
   bench->Unit(benchmark::kMillisecond)->ArgNames({"machines", "jobs", "tasks"});
   bench->Args({10, 10, 20})->Args({100, 40, 100})->Args({500, 100, 200})->Args({1700, 400, 20});
   bench->Args({1700, 400, 250})->Args({2000, 400, 250});
 }
-BENCHMARK(benchmark_fill)->Apply(sizes);
-BENCHMARK(benchmark_fast_search)->Apply(sizes)->Iterations(1);
+BENCHMARK(benchmark_fill)->Apply(set_sizes);
+BENCHMARK(benchmark_fast_search)->Apply(set_sizes)->Iterations(1);
 
 }  // namespace
 }  // namespace violetpulley::solver
--- a/tests/history/history_test.cpp
+++ b/tests/history/history_test.cpp
@@ -27,33 +27,33 @@
 
 /// Events and actions of the leaders of a seeded simulation with all its faults, and the digest of
 /// the state before each record.
-struct Story {
+struct RecordedRun {
   std::vector<Record> records;
   std::vector<std::uint64_t> states;  // one more than records
 };
 
-Story tell(std::uint64_t seed, Seconds length) {
-  Story story;
+RecordedRun record_run(std::uint64_t seed, Seconds length) {
+  RecordedRun run;
   core::simulated::World world(seed);
   core::simulated::Observer observer;
   observer.event = [&](core::FencingToken token, TimePoint at, const core::Event& event) {
-    story.records.push_back({token, at, event});
+    run.records.push_back({token, at, event});
   };
   observer.actions = [&](core::FencingToken token, TimePoint at,
                          const std::vector<core::Action>& actions, core::Controller&) {
-    if (!actions.empty()) story.records.push_back({token, at, ActionsRecorded{digest_of(actions)}});
+    if (!actions.empty()) run.records.push_back({token, at, ActionsRecorded{digest_of(actions)}});
   };
   world.run(Seconds(20));
   world.watch(observer);
   world.run(length);
   Replay clean;
-  for (const auto& record : story.records) {
-    story.states.push_back(clean.state_digest());
+  for (const auto& record : run.records) {
+    run.states.push_back(clean.state_digest());
     clean.apply(record);
   }
-  story.states.push_back(clean.state_digest());
+  run.states.push_back(clean.state_digest());
   EXPECT_FALSE(clean.difference()) << "replay differs at " << clean.difference()->record;
-  return story;
+  return run;
 }
 
 /// A process that writes the records of a story as a leader does.
@@ -96,7 +96,7 @@
   std::unique_ptr<EventLog> log_;
 };
 
-LogSettings often() {
+LogSettings frequent_snapshots() {
   LogSettings settings;
   settings.sync = SyncPolicy::interval;
   settings.sync_interval = Seconds(0.5);
@@ -114,61 +114,61 @@
 
 /// The recovered state is that of a clean run after as many records, and continuing from that state
 /// reaches the clean run's end.
-void expect_clean(Files& files, const Story& story, std::uint64_t least,
+void expect_recovery(Files& files, const RecordedRun& run, std::uint64_t min_records,
                   std::optional<Key> key = {}) {
-  Writer writer(files, often(), key);
-  const auto there = writer.open();
-  ASSERT_GE(there, least);
-  ASSERT_LE(there, story.records.size());
-  ASSERT_EQ(writer.replay().state_digest(), story.states[there]) << "after " << there;
-  for (auto i = there; i < story.records.size(); ++i) writer.write(story.records[i]);
-  EXPECT_EQ(writer.replay().state_digest(), story.states.back());
+  Writer writer(files, frequent_snapshots(), key);
+  const auto recovered = writer.open();
+  ASSERT_GE(recovered, min_records);
+  ASSERT_LE(recovered, run.records.size());
+  ASSERT_EQ(writer.replay().state_digest(), run.states[recovered]) << "after " << recovered;
+  for (auto i = recovered; i < run.records.size(); ++i) writer.write(run.records[i]);
+  EXPECT_EQ(writer.replay().state_digest(), run.states.back());
   EXPECT_FALSE(writer.replay().difference());
   // The history is whole for the next reader.
-  EXPECT_EQ(Reader(files, key).check().record_count(), story.records.size());
+  EXPECT_EQ(Reader(files, key).check().record_count(), run.records.size());
 }
 
-class Replays : public ::testing::TestWithParam<int> {};
+class HistoryReplay : public ::testing::TestWithParam<int> {};
 
-TEST_P(Replays, FromSnapshotsAndFromTheStartComeToTheLiveState) {
-  const auto story = tell(static_cast<std::uint64_t>(GetParam()), Seconds(120));
+TEST_P(HistoryReplay, FromSnapshotsAndFromTheStartReachesTheLiveState) {
+  const auto run = record_run(static_cast<std::uint64_t>(GetParam()), Seconds(120));
   MemoryFiles files;
-  Writer writer(files, often(), kKey);
+  Writer writer(files, frequent_snapshots(), kKey);
   writer.open();
-  for (const auto& record : story.records) writer.write(record);
+  for (const auto& record : run.records) writer.write(record);
   ASSERT_GT(writer.log().snapshots_made(), 3U);
   Reader reader(files, kKey);
   const auto contents = reader.check();
-  EXPECT_EQ(contents.record_count(), story.records.size());
+  EXPECT_EQ(contents.record_count(), run.records.size());
   EXPECT_EQ(contents.snapshots.size(), 2U);
   // Both snapshots are the state of a clean run, and covered events are gone.
   for (const auto& save : contents.snapshots)
-    EXPECT_EQ(save.state_digest, story.states[save.header.record_count]);
+    EXPECT_EQ(save.state_digest, run.states[save.header.record_count]);
   EXPECT_EQ(contents.segments.front().header.segment, contents.snapshots.front().header.segment);
   for (const bool from_older : {false, true}) {
     Replay replay;
     reader.replay(contents, replay, from_older);
-    EXPECT_EQ(replay.state_digest(), story.states.back());
+    EXPECT_EQ(replay.state_digest(), run.states.back());
     EXPECT_FALSE(replay.difference());
   }
   const auto until = contents.snapshots.front().header.record_count + 5;
   Replay early;
   reader.replay(contents, early, false, until);
-  EXPECT_EQ(early.state_digest(), story.states[until]);
+  EXPECT_EQ(early.state_digest(), run.states[until]);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Replays, ::testing::Range(31, 35));
+INSTANTIATE_TEST_SUITE_P(Seeds, HistoryReplay, ::testing::Range(31, 35));
 
 /// A snapshot written in slices holds the state at the moment of capture, whatever events follow.
-class Captures : public ::testing::TestWithParam<int> {};
+class StateCaptureTest : public ::testing::TestWithParam<int> {};
 
-TEST_P(Captures, AreTheStateOfOneMoment) {
+TEST_P(StateCaptureTest, SlicesHoldTheStateAtTheMomentOfCapture) {
   core::simulated::World world(static_cast<std::uint64_t>(GetParam()));
   core::simulated::Observer observer;
   std::unique_ptr<StateCapture> capture;
   Parts whole;
   Parts sliced;
-  int made = 0;
+  int captures = 0;
   int calls = 0;
   observer.event = [&](core::FencingToken, TimePoint, const core::Event& event) {
     if (std::holds_alternative<core::LeaderElected>(event)) capture.reset();
@@ -189,35 +189,35 @@
       sliced.back().second += slice->bytes;
       return;
     }
-    ++made;
+    ++captures;
     ASSERT_EQ(sliced.size(), whole.size());
     for (std::size_t i = 0; i < whole.size(); ++i)
-      ASSERT_TRUE(sliced[i] == whole[i]) << "part " << whole[i].first << ", save " << made;
+      ASSERT_TRUE(sliced[i] == whole[i]) << "part " << whole[i].first << ", save " << captures;
     EXPECT_EQ(capture->digest(), digest_of(whole));
     capture.reset();
   };
   world.watch(observer);
   world.run(Seconds(400));
-  EXPECT_GT(made, 10);
+  EXPECT_GT(captures, 10);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Captures, ::testing::Range(61, 73));
+INSTANTIATE_TEST_SUITE_P(Seeds, StateCaptureTest, ::testing::Range(61, 73));
 
-const Story& short_story() {
-  static const Story story = tell(7, Seconds(20));
-  return story;
+const RecordedRun& short_run() {
+  static const RecordedRun run = record_run(7, Seconds(20));
+  return run;
 }
 
-TEST(History, KilledAtAnyCallItGoesOnFromWhatWasWritten) {
-  const auto& story = short_story();
+TEST(History, AProcessKilledAtAnyFileCallRecoversAllFlushedRecords) {
+  const auto& run = short_run();
   std::size_t calls = 0;
   {
     MemoryFiles files;
-    Writer writer(files, often());
+    Writer writer(files, frequent_snapshots());
     writer.open();
-    for (const auto& record : story.records) writer.write(record);
+    for (const auto& record : run.records) writer.write(record);
     ASSERT_GE(writer.log().snapshots_made(), 2U);
-    ASSERT_GT(story.records.size(), 150U);
+    ASSERT_GT(run.records.size(), 150U);
     calls = files.calls();
   }
   for (std::size_t n = 1; n <= calls; ++n) {
@@ -226,90 +226,90 @@
     files.fail_at(n);
     std::uint64_t flushed = 0;
     try {
-      Writer writer(files, often());
+      Writer writer(files, frequent_snapshots());
       writer.open();
-      for (const auto& record : story.records) {
+      for (const auto& record : run.records) {
         writer.write(record);
         ++flushed;
       }
     } catch (const FileError&) {
     }
     files.restart();
-    expect_clean(files, story, flushed);
+    expect_recovery(files, run, flushed);
     if (HasFailure()) return;
   }
 }
 
-TEST(History, AfterAPowerCutWhatWasSyncedIsThere) {
-  const auto& story = short_story();
-  auto settings = often();
+TEST(History, SyncedRecordsSurviveAPowerLoss) {
+  const auto& run = short_run();
+  auto settings = frequent_snapshots();
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
     settings.sync = seed % 3 == 0 ? SyncPolicy::always : SyncPolicy::interval;
     MemoryFiles files;
-    const auto end = random() % story.records.size();
+    const auto end = random() % run.records.size();
     {
       Writer writer(files, settings);
       writer.open();
-      for (std::size_t i = 0; i < end; ++i) writer.write(story.records[i]);
+      for (std::size_t i = 0; i < end; ++i) writer.write(run.records[i]);
     }
     files.power_cut(random);
-    expect_clean(files, story, settings.sync == SyncPolicy::always ? end : 0);
+    expect_recovery(files, run, settings.sync == SyncPolicy::always ? end : 0);
     if (HasFailure()) return;
   }
 }
 
 /// The outcome of reading a history: refused, or a prefix of the records.
-enum class Verdict { refused, prefix };
+enum class ReadResult { refused, prefix };
 
-Verdict judge(MemoryFiles& files, const Story& story, std::optional<Key> key) {
+ReadResult read_all(MemoryFiles& files, const RecordedRun& run, std::optional<Key> key) {
   Contents contents;
   try {
     Reader reader(files, key);
     contents = reader.check();
     for (const auto& segment : contents.segments)
       reader.read_segment(segment.name, [&](const Record& record, std::uint64_t number) {
-        EXPECT_LT(number, story.records.size());
-        if (number < story.records.size()) {
-          EXPECT_EQ(packed(record), packed(story.records[number])) << "a wrong record was accepted";
+        EXPECT_LT(number, run.records.size());
+        if (number < run.records.size()) {
+          EXPECT_EQ(packed(record), packed(run.records[number])) << "a wrong record was accepted";
         }
         return true;
       });
   } catch (const CorruptionError&) {
-    return Verdict::refused;
+    return ReadResult::refused;
   }
-  return Verdict::prefix;
+  return ReadResult::prefix;
 }
 
-struct Written {
+struct WrittenHistory {
   MemoryFiles files;
   std::string last;
   std::size_t records = 0;
 };
 
 /// A history whose last segment is short, as a process that ends now leaves the files.
-void write_story(Written& out, const Story& story, std::optional<Key> key) {
-  Writer writer(out.files, often(), key);
+void write_short_tail(WrittenHistory& out, const RecordedRun& run, std::optional<Key> key) {
+  Writer writer(out.files, frequent_snapshots(), key);
   writer.open();
   std::uint64_t snapshots = 0;
-  std::size_t behind = 0;
-  for (const auto& record : story.records) {
+  std::size_t records_since_snapshot = 0;
+  for (const auto& record : run.records) {
     writer.write(record);
     ++out.records;
-    if (writer.log().snapshots_made() > snapshots) behind = 0;
+    if (writer.log().snapshots_made() > snapshots) records_since_snapshot = 0;
     snapshots = writer.log().snapshots_made();
-    if (snapshots >= 2 && ++behind == 25) break;
+    if (snapshots >= 2 && ++records_since_snapshot == 25) break;
   }
   out.last = last_segment(out.files);
 }
 
-TEST(History, EveryByteOfTheLastSegmentCutOffOrFlipped) {
-  const auto& story = short_story();
+TEST(History, TruncatedOrFlippedBytesNeverYieldAWrongRecord) {
+  const auto& run = short_run();
   for (const bool with_key : {false, true}) {
     const auto key = with_key ? std::optional(kKey) : std::nullopt;
-    Written written;
-    write_story(written, story, key);
+    WrittenHistory written;
+    write_short_tail(written, run, key);
     const auto whole = written.files.bytes(written.last);
     const auto files = written.files.snapshot();
     std::size_t refused = 0;
@@ -320,24 +320,24 @@
       MemoryFiles cut;
       cut.put(files);
       cut.bytes(written.last).resize(at);
-      judge(cut, story, key);
+      read_all(cut, run, key);
       MemoryFiles flipped;
       flipped.put(files);
       auto& byte = flipped.bytes(written.last)[at];
       byte = static_cast<char>(static_cast<unsigned char>(byte) ^ (1U << at % 8));
-      if (judge(flipped, story, key) == Verdict::refused) ++refused;
+      if (read_all(flipped, run, key) == ReadResult::refused) ++refused;
       ASSERT_FALSE(HasFailure()) << "byte " << at;
     }
     EXPECT_GT(refused, whole.size() / 20) << "damage before the last sync is refused";
   }
 }
 
-TEST(History, DamageInTheMiddleIsRefusedWithPlaceAndCause) {
-  const auto& story = short_story();
-  Written written;
-  write_story(written, story, kKey);
+TEST(History, DamageIsRefusedWithItsCause) {
+  const auto& run = short_run();
+  WrittenHistory written;
+  write_short_tail(written, run, kKey);
   const auto files = written.files.snapshot();
-  const auto refuses = [&](const std::string& cause, auto change, std::optional<Key> key) {
+  const auto expect_refused = [&](const std::string& cause, auto change, std::optional<Key> key) {
     auto changed = files;
     change(changed);
     MemoryFiles memory;
@@ -357,44 +357,44 @@
     if (snapshot_number(name)) snapshots.push_back(name);
   }
   ASSERT_GE(segments.size(), 2U);
-  refuses(
+  expect_refused(
       "checksum", [&](Map& m) { m[segments[0]][m[segments[0]].size() / 2] ^= 1; }, kKey);
-  refuses(
+  expect_refused(
       "missing", [&](Map& m) { m.erase(segments.back()); }, kKey);
-  refuses(
+  expect_refused(
       "swapped", [&](Map& m) { std::swap(m[segments[0]], m[segments[1]]); }, kKey);
-  refuses(
+  expect_refused(
       "swapped", [&](Map& m) { std::swap(m[snapshots[0]], m[snapshots[1]]); }, kKey);
-  refuses(
+  expect_refused(
       "checksum", [&](Map& m) { m[snapshots[1]][m[snapshots[1]].size() / 2] ^= 1; }, kKey);
-  refuses(
+  expect_refused(
       "no save covers",
       [&](Map& m) {
         for (const auto& s : snapshots) m.erase(s);
       },
       kKey);
-  refuses(
+  expect_refused(
       "another key", [&](Map&) {}, kOtherKey);
-  refuses(
+  expect_refused(
       "format version 9 is unknown", [&](Map& m) { m[segments[0]][7] = 9; }, kKey);
-  refuses(
+  expect_refused(
       "format version 9 is unknown", [&](Map& m) { m[snapshots[1]][7] = 9; }, kKey);
   // An attacker without the key writes a history anew, checksums included.
-  Written unsigned_one;
-  write_story(unsigned_one, story, std::nullopt);
-  refuses(
-      "not signed", [&](Map& m) { m = unsigned_one.files.snapshot(); }, kKey);
+  WrittenHistory unsigned_history;
+  write_short_tail(unsigned_history, run, std::nullopt);
+  expect_refused(
+      "not signed", [&](Map& m) { m = unsigned_history.files.snapshot(); }, kKey);
 }
 
-TEST(History, ASegmentLeftOutOrASnapshotOfAnotherHistoryIsRefused) {
-  const auto& story = short_story();
-  auto settings = often();
+TEST(History, AHistoryWithAMissingSegmentIsRefused) {
+  const auto& run = short_run();
+  auto settings = frequent_snapshots();
   settings.snapshot_interval = Seconds(1000);
   MemoryFiles files;
   for (std::size_t at = 0; at < 60; at += 20) {  // three processes, a segment each
     Writer writer(files, settings, kKey);
     EXPECT_EQ(writer.open(), at);
-    for (auto i = at; i < at + 20; ++i) writer.write(story.records[i]);
+    for (auto i = at; i < at + 20; ++i) writer.write(run.records[i]);
   }
   EXPECT_EQ(Reader(files, kKey).check().segments.size(), 3U);
   files.remove(segment_name(2));
@@ -404,7 +404,7 @@
 }
 
 /// A record changed together with its checksum is found by the MAC alone.
-TEST(History, AChangedRecordWithARightChecksumIsTampering) {
+TEST(History, AForgedRecordWithAValidChecksumFailsTheMac) {
   FrameWriter good(FileKind::events, kKey);
   FrameWriter other(FileKind::events, kOtherKey);
   for (auto* frames : {&good, &other})
@@ -421,7 +421,7 @@
 }
 
 /// Heartbeats are written as differences: any task list in any order is read as it was.
-TEST(History, HeartbeatsAsChangesAreReadWhole) {
+TEST(History, HeartbeatsStoredAsChangesRoundTrip) {
   std::mt19937_64 random(77);
   const auto pick = [&](std::uint64_t below) { return random() % below; };
   HeartbeatChangesWriter writer;
@@ -473,68 +473,68 @@
   EXPECT_THROW(reader.restore({7, {}, unknown}), DecodeError);
 }
 
-TEST(History, ADamagedNewestSnapshotLeavesTheOneBefore) {
-  const auto& story = short_story();
-  Written written;
-  write_story(written, story, kKey);
+TEST(History, RecoveryFallsBackFromADamagedSnapshotToThePreviousOne) {
+  const auto& run = short_run();
+  WrittenHistory written;
+  write_short_tail(written, run, kKey);
   std::vector<std::string> snapshots;
   for (const auto& name : written.files.list())
     if (snapshot_number(name)) snapshots.push_back(name);
   written.files.bytes(snapshots.back())[100] ^= 4;
-  int notes = 0;
+  int damaged_snapshots = 0;
   Replay replay;
   const auto contents =
-      Reader(written.files, kKey).recover(replay, [&](const CorruptionError&) { ++notes; });
-  EXPECT_EQ(notes, 1);
+      Reader(written.files, kKey).recover(replay, [&](const CorruptionError&) { ++damaged_snapshots; });
+  EXPECT_EQ(damaged_snapshots, 1);
   EXPECT_EQ(contents.record_count(), written.records);
-  EXPECT_EQ(replay.state_digest(), story.states[written.records]);
+  EXPECT_EQ(replay.state_digest(), run.states[written.records]);
 }
 
-TEST(History, AFullDiskEndsTheHistoryAndNotTheService) {
-  const auto& story = short_story();
+TEST(History, AFullDiskEndsTheHistoryWithoutAnException) {
+  const auto& run = short_run();
   auto memory = std::make_unique<MemoryFiles>();
   auto* files = memory.get();
-  Recorder recorder(std::move(memory), {"", std::nullopt, often()}, {});
+  Recorder recorder(std::move(memory), {"", std::nullopt, frequent_snapshots()}, {});
   ASSERT_TRUE(recorder.is_recording());
-  files->full_after(3000);
+  files->set_free_bytes(3000);
   core::Controller* controller = nullptr;
-  std::unique_ptr<core::Controller> held;
-  for (const auto& record : story.records) {
+  std::unique_ptr<core::Controller> controller_owner;
+  for (const auto& record : run.records) {
     const auto* event = std::get_if<core::Event>(&record.content);
     if (event == nullptr) continue;
-    if (const auto* takeover = std::get_if<core::LeaderElected>(event)) {
-      recorder.leader_elected(record.at, *takeover);
-      held = core::make_controller(*takeover, record.at);
-      controller = held.get();
+    if (const auto* elected = std::get_if<core::LeaderElected>(event)) {
+      recorder.leader_elected(record.at, *elected);
+      controller_owner = core::make_controller(*elected, record.at);
+      controller = controller_owner.get();
       continue;
     }
-    core::apply(*held, *event, record.at);
+    core::apply(*controller_owner, *event, record.at);
     recorder.record(record.at, *event);
-    recorder.record_actions(record.at, held->take_actions());
+    recorder.record_actions(record.at, controller_owner->take_actions());
     recorder.write_due(*controller, record.at, {});
   }
   EXPECT_FALSE(recorder.is_recording());
   EXPECT_EQ(recorder.summary(), "history off");
 }
 
-TEST(History, EmptyAndClockThatStepsBack) {
+TEST(History, AnEmptyHistoryAndAClockThatStepsBackAreAccepted) {
   MemoryFiles files;
-  Writer writer(files, often());
+  Writer writer(files, frequent_snapshots());
   EXPECT_EQ(writer.open(), 0U);
-  EXPECT_EQ(Writer(files, often()).open(), 0U);
+  EXPECT_EQ(Writer(files, frequent_snapshots()).open(), 0U);
   // Times that step back neither stop snapshots for ever nor end the log.
-  auto story = short_story();
-  MemoryFiles back;
-  Writer stepping(back, often());
-  stepping.open();
-  for (std::size_t i = 0; i < story.records.size(); ++i) {
-    if (i >= story.records.size() / 2) story.records[i].at -= std::chrono::hours(2);
-    stepping.write(story.records[i]);
+  auto run = short_run();
+  MemoryFiles files_of_stepping_back;
+  Writer stepping_back(files_of_stepping_back, frequent_snapshots());
+  stepping_back.open();
+  for (std::size_t i = 0; i < run.records.size(); ++i) {
+    if (i >= run.records.size() / 2) run.records[i].at -= std::chrono::hours(2);
+    stepping_back.write(run.records[i]);
   }
-  EXPECT_EQ(Reader(back, {}).check().record_count(), story.records.size());
+  EXPECT_EQ(Reader(files_of_stepping_back, {}).check().record_count(), run.records.size());
 }
 
-TEST(History, ASecondProcessIsRefusedTheDirectory) {
+TEST(History, ASecondWriterIsRefusedTheDirectory) {
   const auto path = ::testing::TempDir() + "violetpulley-history-" + std::to_string(getpid());
   const Directory first(path, true);
   EXPECT_THROW(Directory(path, true), FileError);
@@ -543,23 +543,23 @@
 }
 
 /// A hundred thousand tasks in one job are written to a snapshot and read back.
-TEST(History, AJobOfAHundredThousandTasks) {
-  core::LeaderElected takeover;
-  takeover.settings.teams = {{"t", 0, 0, 0, 0}};
-  takeover.token = 5;
+TEST(History, AJobOfAHundredThousandTasksSurvivesASnapshot) {
+  core::LeaderElected elected;
+  elected.settings.teams = {{"t", 0, 0, 0, 0}};
+  elected.token = 5;
   const TimePoint now{std::chrono::hours(1)};
   core::JobRecord record;
   record.spec.id = "req-1";
   record.spec.team = "t";
   record.spec.tasks = 100'000;
   record.spec.per_task = {1, 0, 1};
-  takeover.recovered.jobs = {record};
+  elected.recovered.jobs = {record};
   MemoryFiles files;
-  auto settings = often();
+  auto settings = frequent_snapshots();
   settings.slice_bytes = std::size_t{64} * 1024;
   Writer writer(files, settings);
   writer.open();
-  writer.write({5, now, takeover});
+  writer.write({5, now, elected});
   writer.write({5, now + std::chrono::seconds(5), core::Event(core::Ticked{true, {}})});
   writer.write(
       {5, now + std::chrono::seconds(6), ActionsRecorded{digest_of(std::vector<core::Action>{})}});
@@ -567,39 +567,39 @@
     writer.write({5, now + std::chrono::seconds(6), core::Event(core::Ticked{true, {}})});
   ASSERT_EQ(writer.log().snapshots_made(), 1U);
   const auto state = writer.replay().state_digest();
-  Writer again(files, settings);
-  again.open();
-  EXPECT_EQ(again.replay().state_digest(), state);
-  EXPECT_EQ(again.replay().controller()->jobs().at("req-1").waiting.size(), 100'000U);
+  Writer restarted(files, settings);
+  restarted.open();
+  EXPECT_EQ(restarted.replay().state_digest(), state);
+  EXPECT_EQ(restarted.replay().controller()->jobs().at("req-1").waiting.size(), 100'000U);
 }
 
 /// A real process on a real disk, killed at seeded points of its event count.
-TEST(History, ARealProcessKilledAtSeededPoints) {
-  const auto& story = short_story();
+TEST(History, AKilledProcessLosesNoWrittenRecords) {
+  const auto& run = short_run();
   const auto path = ::testing::TempDir() + "violetpulley-killed-" + std::to_string(getpid());
   std::mt19937_64 random(11);
   for (int round = 0; round < 200; ++round) {
     SCOPED_TRACE("round " + std::to_string(round));
     std::filesystem::remove_all(path);
-    const auto end = random() % story.records.size();
+    const auto end = random() % run.records.size();
     const pid_t child = fork();
     ASSERT_GE(child, 0);
     if (child == 0) {
       Directory files(path, true);
-      auto settings = often();
+      auto settings = frequent_snapshots();
       settings.sync = SyncPolicy::never;
       Writer writer(files, settings);
       writer.open();
-      for (std::size_t i = 0; i < end; ++i) writer.write(story.records[i]);
+      for (std::size_t i = 0; i < end; ++i) writer.write(run.records[i]);
       kill(getpid(), SIGKILL);
     }
     int status = 0;
     ASSERT_EQ(waitpid(child, &status, 0), child);
     ASSERT_TRUE(WIFSIGNALED(status));
     Directory files(path, true);
-    Writer writer(files, often());
+    Writer writer(files, frequent_snapshots());
     ASSERT_EQ(writer.open(), end);
-    ASSERT_EQ(writer.replay().state_digest(), story.states[end]);
+    ASSERT_EQ(writer.replay().state_digest(), run.states[end]);
   }
   std::filesystem::remove_all(path);
 }
@@ -608,9 +608,9 @@
 TEST(HistoryCommand, VerifiesReplaysCompactsAndFindsDamage) {
   const auto path = ::testing::TempDir() + "violetpulley-command-" + std::to_string(getpid());
   std::filesystem::remove_all(path);
-  const auto run = [&](const std::string& words) {
+  const auto run_command = [&](const std::string& arguments) {
     FILE* pipe =
-        popen((std::string(VIOLETPULLEY_PROGRAM) + " history " + words + " 2>&1").c_str(), "r");
+        popen((std::string(VIOLETPULLEY_PROGRAM) + " history " + arguments + " 2>&1").c_str(), "r");
     std::string out;
     char buffer[4096];
     while (const auto got = fread(buffer, 1, sizeof buffer, pipe)) out.append(buffer, got);
@@ -621,36 +621,36 @@
   const auto new_key = path + "-new.key";
   std::ofstream(old_key) << std::string(64, '7') << "\n";
   std::ofstream(new_key) << std::string(64, '8') << "\n";
-  const auto& story = short_story();
+  const auto& run = short_run();
   {
     Directory files(path, true);
-    Writer writer(files, often(), kKey);
+    Writer writer(files, frequent_snapshots(), kKey);
     writer.open();
-    for (const auto& record : story.records) writer.write(record);
+    for (const auto& record : run.records) writer.write(record);
   }
   const auto with_old = path + " --key " + old_key;
   const auto with_new = path + " --key " + new_key;
-  EXPECT_EQ(run("verify " + with_old).first, 0);
-  EXPECT_EQ(run("verify " + path).first, 0) << "without a key the checksums are checked";
-  EXPECT_EQ(run("verify " + with_new).first, 1);
-  EXPECT_EQ(run("verify " + path + " --key /nowhere").first, 2);
-  EXPECT_EQ(run("verify").first, 2);
-  const auto replayed = run("replay " + with_old);
+  EXPECT_EQ(run_command("verify " + with_old).first, 0);
+  EXPECT_EQ(run_command("verify " + path).first, 0) << "without a key the checksums are checked";
+  EXPECT_EQ(run_command("verify " + with_new).first, 1);
+  EXPECT_EQ(run_command("verify " + path + " --key /nowhere").first, 2);
+  EXPECT_EQ(run_command("verify").first, 2);
+  const auto replayed = run_command("replay " + with_old);
   EXPECT_EQ(replayed.first, 0) << replayed.second;
-  EXPECT_NE(replayed.second.find(hex(story.states.back())), std::string::npos) << replayed.second;
-  EXPECT_NE(run("show " + with_old).second.find("tick"), std::string::npos);
-  const auto compacted = run("compact " + with_old + " --new-key " + new_key);
+  EXPECT_NE(replayed.second.find(hex(run.states.back())), std::string::npos) << replayed.second;
+  EXPECT_NE(run_command("show " + with_old).second.find("tick"), std::string::npos);
+  const auto compacted = run_command("compact " + with_old + " --new-key " + new_key);
   EXPECT_EQ(compacted.first, 0) << compacted.second;
-  EXPECT_EQ(run("verify " + with_old).first, 1);
-  EXPECT_EQ(run("verify " + with_new).first, 0) << run("verify " + with_new).second;
-  EXPECT_NE(run("replay " + with_new).second.find(hex(story.states.back())), std::string::npos);
+  EXPECT_EQ(run_command("verify " + with_old).first, 1);
+  EXPECT_EQ(run_command("verify " + with_new).first, 0) << run_command("verify " + with_new).second;
+  EXPECT_NE(run_command("replay " + with_new).second.find(hex(run.states.back())), std::string::npos);
   for (const auto& entry : std::filesystem::directory_iterator(path))
     if (entry.path().extension() == ".vps") {
       std::fstream file(entry.path(), std::ios::in | std::ios::out | std::ios::binary);
       file.seekp(100);
       file.put('!');
     }
-  const auto broken = run("verify --json " + with_new);
+  const auto broken = run_command("verify --json " + with_new);
   EXPECT_EQ(broken.first, 1);
   EXPECT_NE(broken.second.find("\"cause\":\"a checksum is wrong\""), std::string::npos)
       << broken.second;
@@ -659,7 +659,7 @@
   std::filesystem::remove(new_key);
 }
 
-TEST(HistorySettings, NameTheFieldAndTheReason) {
+TEST(HistorySettings, ErrorsNameTheFieldAndTheReason) {
   const auto refused = [](const std::string& yaml) -> std::string {
     try {
       config::parse_history_settings(yaml);
--- a/tests/history/memory_files.hpp
+++ b/tests/history/memory_files.hpp
@@ -18,47 +18,47 @@
   static constexpr std::size_t kPage = 512;
 
   std::vector<std::string> list() override {
-    call();
+    count_call();
     std::vector<std::string> out;
     for (const auto& [name, file] : names_) out.push_back(name);
     return out;
   }
   std::string read(const std::string& name) override {
-    call();
+    count_call();
     return find(name).bytes;
   }
   std::string read(const std::string& name, std::size_t from, std::size_t max_bytes) override {
-    call();
+    count_call();
     const auto& bytes = find(name).bytes;
     return from >= bytes.size() ? "" : bytes.substr(from, max_bytes);
   }
   void append(const std::string& name, std::string_view bytes) override {
-    if (fails_next()) {
-      make(name).bytes.append(bytes.substr(0, bytes.size() / 2));  // a part was written
+    if (count_call_and_check_failure()) {
+      find_or_create(name).bytes.append(bytes.substr(0, bytes.size() / 2));  // a part was written
       fail();
     }
-    if (room_ && bytes.size() > *room_) throw FileError({ENOSPC, std::generic_category()}, name);
-    if (room_) *room_ -= bytes.size();
-    make(name).bytes.append(bytes);
+    if (free_bytes_ && bytes.size() > *free_bytes_) throw FileError({ENOSPC, std::generic_category()}, name);
+    if (free_bytes_) *free_bytes_ -= bytes.size();
+    find_or_create(name).bytes.append(bytes);
   }
   void sync(const std::string& name) override {
-    call();
+    count_call();
     find(name).durable = find(name).bytes;
   }
   void rename(const std::string& from, const std::string& to) override {
-    call();
+    count_call();
     const auto file = names_.at(from);
-    change([=](Names& names) {
+    apply_name_change([=](Names& names) {
       names.erase(from);
       names[to] = file;
     });
   }
   void remove(const std::string& name) override {
-    call();
-    change([=](Names& names) { names.erase(name); });
+    count_call();
+    apply_name_change([=](Names& names) { names.erase(name); });
   }
   void sync_directory() override {
-    call();
+    count_call();
     durable_names_ = names_;
     changes_.clear();
   }
@@ -66,7 +66,7 @@
   // The n-th call from now, counted from 1, and all after it fail: the process is gone.
   void fail_at(std::size_t n) { fails_at_ = calls_ + n; }
   std::size_t calls() const { return calls_; }
-  void full_after(std::size_t bytes) { room_ = bytes; }
+  void set_free_bytes(std::size_t bytes) { free_bytes_ = bytes; }
 
   // The process is started again: what it wrote is there.
   void restart() { fails_at_ = 0; }
@@ -74,8 +74,8 @@
   void power_cut(std::mt19937_64& random) {
     restart();
     auto names = durable_names_;
-    const auto kept = random() % (changes_.size() + 1);
-    for (std::size_t i = 0; i < kept; ++i) changes_[i](names);
+    const auto kept_changes = random() % (changes_.size() + 1);
+    for (std::size_t i = 0; i < kept_changes; ++i) changes_[i](names);
     names_ = names;
     for (auto& [name, file] : names_) {
       const auto& durable = file->durable;
@@ -83,12 +83,12 @@
       // The length may be any that was reached, and each page of the rest written or not.
       bytes.resize(durable.size() + random() % (bytes.size() - durable.size() + 1));
       for (std::size_t at = 0; at < bytes.size(); ++at)
-        if (at >= durable.size() && (at / kPage * 2654435761U ^ random_page_) % 3 == 0)
+        if (at >= durable.size() && (at / kPage * 2654435761U ^ page_salt_) % 3 == 0)
           bytes[at] = '\0';
       file->bytes = bytes;
       file->durable = bytes;
     }
-    random_page_ = random();
+    page_salt_ = random();
     durable_names_ = names_;
     changes_.clear();
   }
@@ -114,12 +114,12 @@
   };
   using Names = std::map<std::string, std::shared_ptr<File>>;
 
-  bool fails_next() {
+  bool count_call_and_check_failure() {
     ++calls_;
     return fails_at_ != 0 && calls_ >= fails_at_;
   }
-  void call() {
-    if (fails_next()) fail();
+  void count_call() {
+    if (count_call_and_check_failure()) fail();
   }
   [[noreturn]] static void fail() { throw FileError({EIO, std::generic_category()}, "crash"); }
   File& find(const std::string& name) {
@@ -127,16 +127,16 @@
     if (found == names_.end()) throw FileError({ENOENT, std::generic_category()}, name);
     return *found->second;
   }
-  File& make(const std::string& name) {
+  File& find_or_create(const std::string& name) {
     if (!names_.contains(name)) {
       const auto file = std::make_shared<File>();
-      change([=](Names& names) { names[name] = file; });
+      apply_name_change([=](Names& names) { names[name] = file; });
     }
     return find(name);
   }
-  void change(std::function<void(Names&)> what) {
-    what(names_);
-    changes_.push_back(std::move(what));
+  void apply_name_change(std::function<void(Names&)> name_change) {
+    name_change(names_);
+    changes_.push_back(std::move(name_change));
   }
 
   Names names_;
@@ -144,8 +144,8 @@
   std::vector<std::function<void(Names&)>> changes_;
   std::size_t calls_ = 0;
   std::size_t fails_at_ = 0;
-  std::optional<std::size_t> room_;
-  std::size_t random_page_ = 1;
+  std::optional<std::size_t> free_bytes_;
+  std::size_t page_salt_ = 1;
 };
 
 }  // namespace violetpulley::history
