--- a/src/history/describe.cpp
+++ b/src/history/describe.cpp
@@ -76,7 +76,7 @@
   const auto* event = std::get_if<core::Event>(&record.content);
   if (event == nullptr) return out;
   const auto visit = [&]<typename T>(const T& e) {
-    // The branches differ in the type of the event.
+    // Some branches are textually equal, but apply to different event types.
     // NOLINTBEGIN(bugprone-branch-clone)
     if constexpr (std::is_same_v<T, core::JobOpened>)
       out.jobs.push_back(e.record.spec.id);
--- a/src/history/describe.hpp
+++ b/src/history/describe.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Text and JSON of records, and the jobs and machines that they concern, for
-/// `violetpulley history show`. Pure functions without state.
+/// Text and JSON of records, and the jobs and machines that a record concerns, for
+/// `violetpulley history show`. Holds no state.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,19 +9,19 @@
 
 namespace violetpulley::history {
 
-/// The jobs and machines that a record concerns; empty if it concerns none in particular.
+/// The jobs and machines that a record concerns.
 struct Subjects {
   std::vector<core::JobId> jobs;
   std::vector<core::MachineId> machines;
 };
-/// The jobs and machines named in the record's event.
+/// The jobs and machines named in the record's event; empty for recorded actions.
 Subjects subjects_of(const Record& record);
 
-/// The event's name in tables, "acted" for recorded actions.
+/// The name of the record's event; "acted" for recorded actions.
 std::string kind_of(const Record& record);
-/// One line of text for the operator.
+/// One line of text about the record.
 std::string describe(const Record& record);
-/// `number`: the record's place in the history, counted from 0.
+/// `number` is the record's index in the history, from 0.
 nlohmann::json to_json(const Record& record, std::uint64_t number);
 
 }  // namespace violetpulley::history
--- a/src/history/digest.hpp
+++ b/src/history/digest.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Running digest of values: equal sequences of states or actions give equal digests on every
-/// machine of the same byte order.
+/// Incremental digest of values: equal sequences of states or actions give equal digests on all
+/// machines with the same byte order.
 #pragma once
 
 #include <xxhash.h>
@@ -41,7 +41,7 @@
   Buffer buffer_;
 };
 
-/// 16 hexadecimal digits.
+/// Formats a value as 16 hexadecimal digits.
 inline std::string hex(std::uint64_t value) {
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(value));
--- a/src/history/event_log.cpp
+++ b/src/history/event_log.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::size_t kSnapshotsKept = 2;
-constexpr std::size_t kReadBackBytes = std::size_t{4} << 20U;  // bytes read at once
-constexpr std::size_t kMaxPendingBytes = std::size_t{64} * 1024;  // bytes that wait at most between flushes
+constexpr std::size_t kReadBackBytes = std::size_t{4} << 20U;     // per call
+constexpr std::size_t kMaxPendingBytes = std::size_t{64} * 1024;  // between flushes
 
 std::string temporary_name(std::uint64_t segment) { return snapshot_name(segment) + ".part"; }
 
@@ -30,7 +30,8 @@
   begin_segment(wall);
 }
 
-// The whole frames are written to a second file, which then replaces the first.
+// Writes the valid frames to a temporary file, which then replaces the segment: the truncation is
+// atomic.
 void EventLog::truncate_torn_tail(const SegmentInfo& segment) {
   const auto whole = files_.read(segment.name).substr(0, segment.bytes);
   const auto temporary = segment.name + ".part";
@@ -54,7 +55,7 @@
   unsynced_ = false;
 }
 
-// As `write` does it for a WrittenRecord that holds `what`, without a copy of the event.
+// Encodes a WrittenRecord that holds `content` as `write` does, without copying the event.
 template <class Content>
 void EventLog::add(core::FencingToken token, core::TimePoint at, const Content& content) {
   constexpr unsigned alternative =
@@ -124,9 +125,9 @@
          bytes_since_snapshot_ >= settings_.max_bytes_between_snapshots;
 }
 
-void EventLog::begin_snapshot(core::Controller& controller, const core::LeaderElected& elected_event,
-                              core::TimePoint elected_at, core::TimePoint now,
-                              core::WallTime wall) {
+void EventLog::begin_snapshot(core::Controller& controller,
+                              const core::LeaderElected& elected_event, core::TimePoint elected_at,
+                              core::TimePoint now, core::WallTime wall) {
   write_out();
   sync(now);
   last_snapshot_ = now;
@@ -135,7 +136,7 @@
   previous_tail_ = frames_->tail();
   begin_segment(wall);
   SnapshotHeader header{history_, segment_,   first_record_, now,
-                      wall,     elected_at, elected_event,       tag_bytes(previous_tail_)};
+                        wall,     elected_at, elected_event, tag_bytes(previous_tail_)};
   header.elected_event.recovered = {};
   snapshot_.emplace(Snapshot{
       segment_, FrameWriter(FileKind::snapshot, key_), StateCapture(controller), {}, false, 0, {}});
@@ -164,7 +165,7 @@
   snapshot.complete = true;
 }
 
-// The bytes are read back before the snapshot counts: an unreadable snapshot must not replace a
+// Verifies the written bytes before the rename, so that an unreadable snapshot never replaces a
 // readable one.
 void EventLog::verify_written_file() {
   auto& snapshot = *snapshot_;
@@ -176,7 +177,7 @@
   if (snapshot.bytes_read_back != snapshot.frames.written_bytes() ||
       snapshot.read_back_digest.value() != snapshot.written_digest.value())
     throw CorruptionError(name, snapshot.bytes_read_back,
-                          "what was read back is not what was written");
+                          "the snapshot read back differs from the bytes written");
   finish_snapshot();
 }
 
@@ -196,9 +197,9 @@
     if (const auto number = snapshot_number(name)) snapshots.push_back(*number);
   if (snapshots.size() < snapshots_kept) return;
   const auto oldest = snapshots[snapshots.size() - snapshots_kept];
-  // Snapshots are removed before the events after them: if the process ends in between, no snapshot
-  // is left without its events
-  // (History.KilledAtAnyCallItGoesOnFromWhatWasWritten found the other order).
+  // Snapshots are removed before the segments that follow them. In the opposite order, a process
+  // killed in between leaves a snapshot without the events after it, which Reader rejects
+  // (History.AProcessKilledAtAnyFileCallRecoversAllFlushedRecords).
   for (const auto& name : names)
     if (const auto snapshot = snapshot_number(name); snapshot && *snapshot < oldest)
       files_.remove(name);
--- a/src/history/files.cpp
+++ b/src/history/files.cpp
@@ -40,14 +40,15 @@
 
 Directory::Directory(std::string path, bool writable) : path_(std::move(path)) {
   if (!writable) return;
-  if (::mkdir(path_.c_str(), 0700) != 0 && errno != EEXIST) throw_errno("cannot make " + path_);
+  if (::mkdir(path_.c_str(), 0700) != 0 && errno != EEXIST)
+    throw_errno("cannot create the directory " + path_);
   lock_fd_ = ::open(path_of(kLockFile).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kOwnerOnly);
   if (lock_fd_ < 0) throw_errno("cannot open " + path_of(kLockFile));
   if (::flock(lock_fd_, LOCK_EX | LOCK_NB) != 0) {
     const int saved_errno = errno;
     ::close(lock_fd_);
     errno = saved_errno;
-    throw_errno("another process writes the history in " + path_);
+    throw_errno("another process holds the lock of the history in " + path_);
   }
 }
 
@@ -63,7 +64,7 @@
 
 std::vector<std::string> Directory::list() {
   const std::unique_ptr<DIR, int (*)(DIR*)> dir(::opendir(path_.c_str()), &::closedir);
-  if (!dir) throw_errno("cannot read the directory " + path_);
+  if (!dir) throw_errno("cannot list the directory " + path_);
   std::vector<std::string> names;
   while (const auto* entry = ::readdir(dir.get())) {
     const std::string name = entry->d_name;
@@ -91,8 +92,8 @@
   std::string out(max_bytes, '\0');
   std::size_t filled = 0;
   while (filled < max_bytes) {
-    const auto count =
-        ::pread(file.get(), out.data() + filled, max_bytes - filled, static_cast<off_t>(from + filled));
+    const auto count = ::pread(file.get(), out.data() + filled, max_bytes - filled,
+                               static_cast<off_t>(from + filled));
     if (count < 0 && errno == EINTR) continue;
     if (count < 0) throw_errno("cannot read " + path_of(name));
     if (count == 0) break;
@@ -103,8 +104,10 @@
 }
 
 int Directory::append_handle(const std::string& name) {
-  if (const auto found = append_handles_.find(name); found != append_handles_.end()) return found->second;
-  const int fd = ::open(path_of(name).c_str(), O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, kOwnerOnly);
+  if (const auto found = append_handles_.find(name); found != append_handles_.end())
+    return found->second;
+  const int fd =
+      ::open(path_of(name).c_str(), O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, kOwnerOnly);
   if (fd < 0) throw_errno("cannot open " + path_of(name));
   append_handles_[name] = fd;
   return fd;
@@ -129,7 +132,8 @@
     ::close(found->second);
     append_handles_.erase(found);
   }
-  if (::rename(path_of(from).c_str(), path_of(to).c_str()) != 0) throw_errno("cannot rename " + path_of(from));
+  if (::rename(path_of(from).c_str(), path_of(to).c_str()) != 0)
+    throw_errno("cannot rename " + path_of(from));
 }
 
 void Directory::remove(const std::string& name) {
@@ -137,7 +141,8 @@
     ::close(found->second);
     append_handles_.erase(found);
   }
-  if (::unlink(path_of(name).c_str()) != 0 && errno != ENOENT) throw_errno("cannot remove " + path_of(name));
+  if (::unlink(path_of(name).c_str()) != 0 && errno != ENOENT)
+    throw_errno("cannot remove " + path_of(name));
 }
 
 void Directory::sync_directory() {
--- a/src/history/files.hpp
+++ b/src/history/files.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// File access of a history, as an interface of few calls: tests replace the directory by one that
-/// fails at the n-th call or loses bytes that were not synced.
+/// File access of a history. Tests implement the interface in memory, with calls that fail and
+/// power cuts that lose unsynced bytes. `Directory` owns the lock file and the open files.
 #pragma once
 
 #include <map>
@@ -12,13 +12,14 @@
 
 namespace violetpulley::history {
 
-/// An error of the operating system: the disk is full or read-only, or a file does not exist. A log
-/// that meets this error cannot continue.
+/// An error of the operating system, for example a full or read-only disk or a missing file. An
+/// `EventLog` that threw this error must not be used again.
 struct FileError : std::system_error {
   using std::system_error::system_error;
 };
 
-/// The files of one history. Names are without a directory.
+/// The files of one history. File names have no directory part. Every call throws FileError when
+/// the operation fails.
 class Files {
  public:
   Files() = default;
@@ -26,30 +27,29 @@
   Files(const Files&) = delete;
   Files& operator=(const Files&) = delete;
 
-  /// Names of all files, sorted. Every call throws FileError when the operation fails; an append
-  /// may then have written some of the bytes.
+  /// Names of all files, sorted.
   virtual std::vector<std::string> list() = 0;
-  /// The whole file.
+  /// The content of the whole file.
   virtual std::string read(const std::string& name) = 0;
-  /// At most `max_bytes` bytes from the offset `from`; fewer at the end of the file.
+  /// Up to `max_bytes` bytes from the offset `from`; fewer if the file ends before.
   virtual std::string read(const std::string& name, std::size_t from, std::size_t max_bytes) = 0;
-  /// Creates the file if it does not exist.
+  /// Creates the file if it does not exist. A failed append may have written some of the bytes.
   virtual void append(const std::string& name, std::string_view bytes) = 0;
-  /// The bytes appended so far outlive a power cut once this call returns.
+  /// Makes the bytes appended so far durable: they survive a power cut.
   virtual void sync(const std::string& name) = 0;
-  /// Atomic: after a crash the file has one name or the other.
+  /// Renames atomically: after a crash the file has either the old or the new name.
   virtual void rename(const std::string& from, const std::string& to) = 0;
-  /// A file that does not exist is no error.
+  /// Removes the file; a missing file is not an error.
   virtual void remove(const std::string& name) = 0;
-  /// Created, changed and removed names outlive a power cut once this call returns.
+  /// Makes created, changed and removed file names durable: they survive a power cut.
   virtual void sync_directory() = 0;
 };
 
-/// A directory of this machine, locked against a second writer.
+/// A local directory, locked against a second writer.
 class Directory : public Files {
  public:
-  /// `writing`: creates the directory if it does not exist and takes the lock; readers take none.
-  /// Throws FileError, also when another process holds the lock.
+  /// With `writable`, creates the directory if it does not exist and takes the lock; readers take
+  /// no lock. Throws FileError, also when another process holds the lock.
   Directory(std::string path, bool writable);
   ~Directory() override;
 
@@ -69,7 +69,7 @@
 
   std::string path_;
   int lock_fd_ = -1;
-  std::map<std::string, int> append_handles_;  // files being appended to: a segment and a snapshot
+  std::map<std::string, int> append_handles_;  // open for appending: a segment, a snapshot
 };
 
 }  // namespace violetpulley::history
--- a/src/history/frames.cpp
+++ b/src/history/frames.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr std::string_view kMagic = "VPHIST";
-constexpr std::size_t kFileHeaderBytes = 10;     // magic, kind, version, signed
-constexpr std::size_t kFrameHeaderBytes = 20;    // length, checksum, synced
-constexpr std::size_t kSyncedOffset = 12;  // where the last of these begins
+constexpr std::size_t kFileHeaderBytes = 10;   // magic, kind, version, signed
+constexpr std::size_t kFrameHeaderBytes = 20;  // length, checksum, synced
+constexpr std::size_t kSyncedOffset = 12;      // within the frame
 constexpr std::uint32_t kMaxPayloadBytes = 64U << 20U;
 
 template <class T>
@@ -27,7 +27,7 @@
   return value;
 }
 
-// The checksum and the MAC cover the same bytes: length, synced and payload.
+// The seed covers the length and the frame's number, `covered` holds synced and payload.
 std::uint64_t checksum(std::uint32_t length, std::string_view covered, std::uint64_t number) {
   return XXH3_64bits_withSeed(covered.data(), covered.size(),
                               number * 0x9E3779B97F4A7C15ULL ^ length);
@@ -44,7 +44,7 @@
   const int result =
       sodium_hex2bin(key.data(), key.size(), text.data(), text.size(), nullptr, &length, &end);
   if (result != 0 || length != key.size() || end != text.data() + text.size())
-    throw std::invalid_argument("a key is 64 hexadecimal digits");
+    throw std::invalid_argument("the key must be 64 hexadecimal digits");
   return key;
 }
 
@@ -73,11 +73,12 @@
 }
 
 void FrameWriter::add(std::string_view payload) {
-  if (payload.size() > kMaxPayloadBytes) throw std::length_error("a record is too large");
+  if (payload.size() > kMaxPayloadBytes)
+    throw std::length_error("a record exceeds the maximum frame payload of 64 MiB");
   const auto length = static_cast<std::uint32_t>(payload.size());
   const auto frame_begin = pending_.size();
   append_little_endian(pending_, length);
-  append_little_endian(pending_, std::uint64_t{0});  // the checksum, when what it covers stands behind it
+  append_little_endian(pending_, std::uint64_t{0});  // checksum, set below
   append_little_endian(pending_, synced_bytes_);
   pending_.append(payload);
   const auto covered = std::string_view(pending_).substr(frame_begin + kSyncedOffset);
@@ -100,20 +101,20 @@
     : name_(std::move(name)), bytes_(bytes), key_(key), chain_(key) {
   if (bytes_.size() < kFileHeaderBytes) {
     torn_bytes_ = bytes_.size();
-    torn_cause_ = "the head of the file is cut off";
+    torn_cause_ = "the file header is truncated";
     return;
   }
   if (bytes_.substr(0, kMagic.size()) != kMagic)
-    throw CorruptionError(name_, 0, "this is no file of a history");
+    throw CorruptionError(name_, 0, "it is not a history file: the magic bytes differ");
   if (bytes_[6] != static_cast<char>(kind))
-    throw CorruptionError(name_, 6, "it is of another kind");
+    throw CorruptionError(name_, 6, "the file header names another kind than expected");
   const auto version = read_little_endian<std::uint16_t>(bytes_, 7);
   if (version != kFormatVersion)
     throw CorruptionError(name_, 7,
                           "format version " + std::to_string(version) +
                               " is unknown; this program reads " + std::to_string(kFormatVersion));
   if (bytes_[9] != 0 && bytes_[9] != 1)
-    throw CorruptionError(name_, 9, "neither signed nor unsigned");
+    throw CorruptionError(name_, 9, "the byte for signed or unsigned must be 0 or 1");
   signed_ = bytes_[9] == 1;
   if (key && !signed_) throw CorruptionError(name_, 9, "it is not signed, although a key is set");
   chain_.extend(bytes_.substr(0, kFileHeaderBytes));
@@ -123,7 +124,7 @@
 std::optional<FrameReader::Frame> FrameReader::frame_at(std::size_t at, std::uint64_t number,
                                                         const char*& cause) const {
   const auto remaining = bytes_.size() - at;
-  cause = "a frame is cut off";
+  cause = "a frame is truncated";
   if (remaining < kFrameHeaderBytes) return std::nullopt;
   const auto length = read_little_endian<std::uint32_t>(bytes_, at);
   const std::size_t frame_bytes = kFrameHeaderBytes + length + (signed_ ? Tag{}.size() : 0);
@@ -139,15 +140,16 @@
   return frame;
 }
 
-// The frame's number is not known behind damage: a few follow, so small numbers of lost frames are
-// tried. A chance match needs 64 equal bits.
+// The number of a frame after invalid bytes is unknown, because it is unknown how many frames were
+// lost. Up to kMaxLostFrames lost frames are tried; a false match needs 64 equal checksum bits.
 bool FrameReader::is_proven_synced(std::size_t at) const {
   constexpr std::uint64_t kMaxLostFrames = 64;
   const char* cause = nullptr;
   for (auto from = at; from + kFrameHeaderBytes <= bytes_.size(); ++from) {
     const auto length = read_little_endian<std::uint32_t>(bytes_, from);
     if (length > kMaxPayloadBytes || length > bytes_.size() - from) continue;
-    if (read_little_endian<std::uint64_t>(bytes_, from + kSyncedOffset) <= at) continue;  // would prove nothing
+    if (read_little_endian<std::uint64_t>(bytes_, from + kSyncedOffset) <= at)
+      continue;  // does not cover `at`
     if (read_little_endian<std::uint64_t>(bytes_, from + kSyncedOffset) > from) continue;
     for (auto lost_frames = std::uint64_t{0}; lost_frames <= kMaxLostFrames; ++lost_frames)
       if (frame_at(from, number_ + lost_frames, cause)) return true;
@@ -171,7 +173,7 @@
     if (sodium_memcmp(tag.data(), stored_tag.data(), tag.size()) != 0)
       throw CorruptionError(
           name_, offset_,
-          "the checksum is right and the MAC is wrong: it was changed, or written with "
+          "the checksum is valid and the MAC is not: the frame was changed, or written with "
           "another key");
   }
   offset_ = frame->end;
--- a/src/history/frames.hpp
+++ b/src/history/frames.hpp
@@ -1,14 +1,14 @@
 /// @file
-/// Files of a history: a fixed head, then frames. A frame is
+/// Format of the files of a history: a fixed header, then frames. A frame is
 ///
-///   u32 length | u64 checksum | u64 synced | payload | 16 bytes of MAC if the file is signed
+///   u32 length | u64 checksum | u64 synced | payload | 16 bytes of MAC in a signed file
 ///
 /// all little-endian. The checksum (XXH3, seeded with the frame's number in the file) covers
-/// length, synced and payload. `synced` is the number of bytes of the file that were known to
-/// outlive a power cut when the frame was written: it distinguishes a torn tail from damage. Bytes
-/// after the last sync may be lost in any order, so a bad frame is a torn tail unless a good frame
-/// behind it shows that the place had been synced. The MAC (keyed BLAKE2b) covers the previous MAC,
-/// so frames cannot be changed, swapped or left out without the key.
+/// length, synced and payload. `synced` is the number of bytes of the file that were durable when
+/// the frame was written; it distinguishes a torn tail from corruption. A power cut can lose the
+/// bytes after the last sync in any order, so an invalid frame counts as a torn tail unless a later
+/// valid frame shows that its bytes had been synced. The MAC (keyed BLAKE2b) covers the previous
+/// MAC, so frames cannot be changed, swapped or removed without the key.
 #pragma once
 
 #include <array>
@@ -21,8 +21,8 @@
 
 namespace violetpulley::history {
 
-/// Damage of a file that was already synced, or a file that does not fit the others: the file, the
-/// offset in bytes, and the cause. A torn tail is no damage.
+/// Corruption of synced bytes, or a file that is inconsistent with the other files of the history.
+/// A torn tail is not corruption.
 struct CorruptionError : std::runtime_error {
   CorruptionError(std::string file_name, std::size_t position, std::string reason)
       : std::runtime_error(file_name + " at byte " + std::to_string(position) + ": " + reason),
@@ -34,26 +34,26 @@
   std::string cause;
 };
 
-/// Secret of a signed history.
+/// Secret key of a signed history.
 using Key = std::array<unsigned char, 32>;
 /// MAC of a frame; all zero in an unsigned file.
 using Tag = std::array<unsigned char, 16>;
 
-/// The bytes of a tag, as records and frames hold them.
+/// The bytes of a tag as stored in records and frames.
 inline std::string tag_bytes(const Tag& tag) {
   return {reinterpret_cast<const char*>(tag.data()), tag.size()};
 }
 
-/// 64 hexadecimal digits, as `head -c 32 /dev/urandom | xxd -p -c 32` makes them. Throws
+/// Parses 64 hexadecimal digits, the output of `head -c 32 /dev/urandom | xxd -p -c 32`. Throws
 /// std::invalid_argument with the cause.
 Key parse_key(std::string_view text);
 
-/// The chain of MACs of one file; without a key all tags are zero.
+/// Computes the chained MACs of one file; without a key all tags are zero.
 class MacChain {
  public:
   explicit MacChain(std::optional<Key> key) : key_(key) {}
   bool keyed() const { return key_.has_value(); }
-  /// The tag of the next frame, which covers all frames before.
+  /// Appends a frame to the chain and returns its tag, which covers all earlier frames as well.
   Tag extend(std::string_view frame);
   const Tag& tail() const { return tail_; }
 
@@ -62,11 +62,11 @@
   Tag tail_{};
 };
 
-/// Kind of a file, as its head names the kind.
+/// Kind of a file, stored in its header.
 enum class FileKind : char { events = 'E', snapshot = 'S' };
 inline constexpr std::uint16_t kFormatVersion = 7;
 
-/// The fixed head: magic, kind, version, whether the frames are signed.
+/// The fixed file header: magic, kind, version, whether the frames are signed.
 std::string file_header(FileKind kind, bool keyed);
 
 /// Encodes the frames of one file; the caller writes the bytes.
@@ -76,12 +76,12 @@
 
   /// Adds a frame to the pending bytes. Throws std::length_error above 64 MiB.
   void add(std::string_view payload);
-  /// Returns the pending bytes, the head of a new file included.
+  /// Returns and clears the pending bytes, including the header of a new file.
   std::string take();
   std::size_t pending_bytes() const { return pending_.size(); }
-  std::uint64_t written_bytes() const { return written_bytes_; }  // bytes so far, pending ones included
+  std::uint64_t written_bytes() const { return written_bytes_; }  // including pending bytes
   const Tag& tail() const { return chain_.tail(); }
-  /// All bytes taken so far outlive a power cut.
+  /// Records that all bytes taken so far are durable.
   void mark_synced() { synced_bytes_ = taken_bytes_; }
 
  private:
@@ -93,18 +93,18 @@
   std::uint64_t synced_bytes_ = 0;
 };
 
-/// Reads the frames of one file in memory.
+/// Reads the frames of one file from memory.
 class FrameReader {
  public:
-  /// Throws CorruptionError if the head is not of this kind and version. `key`: none if MACs are
-  /// not to be checked; with a key a file without MACs is refused. An empty or cut head is a torn
-  /// tail at 0.
+  /// Without `key`, MACs are not checked; with `key`, an unsigned file is rejected. An empty or
+  /// truncated header is a torn tail at offset 0. Throws CorruptionError if the header has another
+  /// kind or version.
   FrameReader(std::string name, std::string_view bytes, FileKind kind, std::optional<Key> key);
 
-  /// The next payload, none at the end or at a torn tail. Throws CorruptionError.
+  /// The next payload; none at the end of the file or at a torn tail. Throws CorruptionError.
   std::optional<std::string_view> next();
 
-  std::size_t offset() const { return offset_; }  // behind the last good frame
+  std::size_t offset() const { return offset_; }  // end of the last valid frame
   std::size_t torn_bytes() const { return torn_bytes_; }
   const std::string& torn_cause() const { return torn_cause_; }
   const Tag& tail() const { return chain_.tail(); }
@@ -112,13 +112,13 @@
  private:
   struct Frame {
     std::string_view payload;
-    std::string_view covered;  // by the checksum
+    std::string_view covered;  // bytes covered by the checksum and the MAC
     std::uint64_t synced = 0;
     std::size_t end = 0;
   };
-  /// The frame at an offset; without a good frame, none and the cause in `why`.
+  /// The frame at offset `at`; if it is not valid, none and the cause in `cause`.
   std::optional<Frame> frame_at(std::size_t at, std::uint64_t number, const char*& cause) const;
-  /// Whether a good frame behind `at` shows that the place had been synced.
+  /// Whether a valid frame after `at` shows that the bytes at `at` had been synced.
   bool is_proven_synced(std::size_t at) const;
 
   std::string name_;
--- a/src/history/heartbeat_changes.cpp
+++ b/src/history/heartbeat_changes.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Whether the heartbeats differ in nothing but the fields that HeartbeatChanges can express.
+// Whether the heartbeats are equal in all fields that HeartbeatChanges does not hold.
 bool equal_attributes(const core::Heartbeat& a, const core::Heartbeat& b) {
   return a.endpoint == b.endpoint && a.type == b.type && a.zone == b.zone && a.spot == b.spot &&
          a.notice == b.notice;
@@ -16,8 +16,8 @@
 
 std::uint64_t fingerprint(const core::TaskStatus& task) {
   const std::uint64_t fields = task.task.index ^ static_cast<std::uint64_t>(task.state) << 40U ^
-                             static_cast<std::uint64_t>(task.cause) << 48U ^
-                             static_cast<std::uint64_t>(task.checkpoint_saved) << 56U;
+                               static_cast<std::uint64_t>(task.cause) << 48U ^
+                               static_cast<std::uint64_t>(task.checkpoint_saved) << 56U;
   const auto seed = task.attempt * 0x9E3779B97F4A7C15ULL ^ fields * 0xC2B2AE3D27D4EB4FULL;
   return XXH3_64bits_withSeed(task.task.job.data(), task.task.job.size(), seed);
 }
@@ -54,25 +54,27 @@
   changes_.token = heartbeat.token;
   changes_.removed.clear();
   changes_.added.clear();
-  // Lists keep their order, so one pass finds the unchanged entries; another order only costs
-  // bytes.
+  // Task lists usually keep their order, so one pass finds the unchanged entries. Entries in
+  // another order are encoded as removed and added, which only takes more bytes.
   std::size_t old_index = 0;
   for (std::size_t index = 0; index < fingerprints_.size(); ++index) {
     if (old_index < previous.size() && previous[old_index] == fingerprints_[index]) {
       ++old_index;
       continue;
     }
-    const auto match =
-        std::find(previous.begin() + static_cast<std::ptrdiff_t>(old_index), previous.end(), fingerprints_[index]);
+    const auto match = std::find(previous.begin() + static_cast<std::ptrdiff_t>(old_index),
+                                 previous.end(), fingerprints_[index]);
     if (match == previous.end()) {
       changes_.added.emplace_back(static_cast<std::uint32_t>(index), heartbeat.tasks[index]);
       continue;
     }
     const auto found = static_cast<std::size_t>(match - previous.begin());
-    for (; old_index < found; ++old_index) changes_.removed.push_back(static_cast<std::uint32_t>(old_index));
+    for (; old_index < found; ++old_index)
+      changes_.removed.push_back(static_cast<std::uint32_t>(old_index));
     ++old_index;
   }
-  for (; old_index < previous.size(); ++old_index) changes_.removed.push_back(static_cast<std::uint32_t>(old_index));
+  for (; old_index < previous.size(); ++old_index)
+    changes_.removed.push_back(static_cast<std::uint32_t>(old_index));
   previous.swap(fingerprints_);
   return &changes_;
 }
@@ -80,7 +82,8 @@
 core::Heartbeat& HeartbeatChangesReader::apply(const HeartbeatChanges& changes) {
   const auto found = last_.find(changes.machine);
   if (found == last_.end())
-    throw DecodeError("changes of " + changes.machine + " come before any whole heartbeat");
+    throw DecodeError("heartbeat changes of " + changes.machine +
+                      " precede the first full heartbeat of the machine");
   auto& last = found->second;
   last.epoch = changes.epoch;
   last.heartbeat_sequence = changes.heartbeat_sequence;
@@ -102,7 +105,8 @@
   }
   append_added();
   if (removed != changes.removed.end() || added != changes.added.end())
-    throw DecodeError("changes of " + changes.machine + " do not fit the last heartbeat");
+    throw DecodeError("heartbeat changes of " + changes.machine +
+                      " do not match its last heartbeat");
   last.tasks = std::move(tasks);
   return last;
 }
--- a/src/history/heartbeat_changes.hpp
+++ b/src/history/heartbeat_changes.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Heartbeats as differences: the reader of a segment holds the last heartbeat of every machine in
-/// the segment, the writer a fingerprint of each task status, an eighth of the memory. A new
-/// segment begins without any, so that it can be read by itself. Two task statuses with the same
-/// fingerprint (64 bits) would make a replay differ from the recorded actions, which the replay
-/// reports.
+/// Encodes heartbeats as differences to the previous heartbeat of the same machine in a segment.
+/// The reader holds the last heartbeat of every machine; the writer holds a 64-bit fingerprint of
+/// each task status instead, which takes an eighth of the memory. Each segment starts without
+/// previous heartbeats, so that it can be read on its own. A collision of two fingerprints would
+/// give a wrong heartbeat; the replay then reports that its actions differ from the recorded ones.
 #pragma once
 
 #include <unordered_map>
@@ -12,16 +12,17 @@
 
 namespace violetpulley::history {
 
-/// Turns the heartbeats of one segment into differences.
+/// Encodes the heartbeats of one segment as differences.
 class HeartbeatChangesWriter {
  public:
-  /// What is to be written in place of the heartbeat; null: the heartbeat as it is. `answer`: the
-  /// heartbeat is the response to commands. Valid until the next call.
+  /// The difference to write in place of the heartbeat; null if the heartbeat must be written in
+  /// full. `answers_commands` tells that the heartbeat came in the response to commands. The result
+  /// is valid until the next call.
   const HeartbeatChanges* changes(const core::Heartbeat& heartbeat, bool answers_commands);
 
  private:
   struct LastHeartbeat {
-    core::Heartbeat attributes;  // without its tasks
+    core::Heartbeat attributes;  // the heartbeat without its tasks
     std::vector<std::uint64_t> fingerprints;
   };
   std::unordered_map<core::MachineId, LastHeartbeat> last_;
@@ -29,10 +30,10 @@
   HeartbeatChanges changes_;
 };
 
-/// Restores the heartbeats of one segment.
+/// Restores the heartbeats of one segment from the differences.
 class HeartbeatChangesReader {
  public:
-  /// The record that was given to the writer. Throws DecodeError if changes do not fit.
+  /// Restores the recorded event. Throws DecodeError if changes do not match the last heartbeat.
   Record restore(WrittenRecord&& written);
 
  private:
@@ -40,7 +41,8 @@
   std::unordered_map<core::MachineId, core::Heartbeat> last_;
 };
 
-/// The heartbeat that an event holds, or null.
+/// The heartbeat in an event; null if there is none, or if it names another machine than the
+/// response.
 const core::Heartbeat* heartbeat_of(const core::Event& event);
 
 }  // namespace violetpulley::history
--- a/src/history/pack.hpp
+++ b/src/history/pack.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Values of the core as msgpack, and back. A struct is an array of the fields that its `fields`
-/// names, in that order; a map is an array of pairs, sorted by key, so that equal states give equal
-/// bytes (digests rely on this). Times are counted in nanoseconds, durations of `Seconds` are
-/// doubles to the last bit.
+/// Serialization of the core's values as msgpack. A struct is an array of the fields that its
+/// `fields` function passes, in that order; a map is an array of pairs sorted by key, so that equal
+/// states give equal bytes (digests depend on this). Time points are integer nanoseconds; durations
+/// of `Seconds` are doubles, stored without rounding.
 #pragma once
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 
 namespace violetpulley::history {
 
-/// Bytes that are not msgpack, or a value of another type or kind than this version writes.
+/// Bytes that are not msgpack, or a value of another type or variant alternative than expected.
 struct DecodeError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -81,7 +81,7 @@
 
 }  // namespace detail
 
-/// Appends a value.
+/// Appends the msgpack form of a value.
 template <class T>
 void write(Packer& out, const T& value) {
   if constexpr (std::is_enum_v<T>) {
@@ -125,15 +125,16 @@
 
 namespace detail {
 
-inline const msgpack::object_array& expect_array(const msgpack::object& object, std::size_t min_size) {
+inline const msgpack::object_array& expect_array(const msgpack::object& object,
+                                                 std::size_t min_size) {
   if (object.type != msgpack::type::ARRAY || object.via.array.size < min_size)
-    throw DecodeError("an array of " + std::to_string(min_size) + " values was expected");
+    throw DecodeError("expected an array of at least " + std::to_string(min_size) + " values");
   return object.via.array;
 }
 
 }  // namespace detail
 
-/// Reads a value. Throws DecodeError.
+/// Decodes a value. Throws DecodeError.
 template <class T>
 void read(const msgpack::object& object, T& value);
 
@@ -165,10 +166,11 @@
   std::uint64_t index = 0;
   read(elements.ptr[0], index);
   const auto emplace_alternative = [&]<std::size_t... I>(std::index_sequence<I...>) {
-    return ((index == I ? (read(elements.ptr[1], value.template emplace<I>()), true) : false) || ...);
+    return ((index == I ? (read(elements.ptr[1], value.template emplace<I>()), true) : false) ||
+            ...);
   };
   if (!emplace_alternative(std::make_index_sequence<std::variant_size_v<T>>{}))
-    throw DecodeError("kind " + std::to_string(index) + " is unknown");
+    throw DecodeError("variant alternative " + std::to_string(index) + " is unknown");
 }
 
 template <class T>
@@ -217,12 +219,12 @@
     try {
       object.convert(value);
     } catch (const msgpack::type_error&) {
-      throw DecodeError("a value of another type was expected");
+      throw DecodeError("a value has another type than expected");
     }
   }
 }
 
-/// The msgpack form of a value.
+/// Encodes a value as msgpack.
 template <class T>
 std::string packed(const T& value) {
   Buffer buffer;
@@ -231,7 +233,7 @@
   return {buffer.data(), buffer.size()};
 }
 
-/// The value of a msgpack form. Throws DecodeError.
+/// Decodes a value from msgpack. Throws DecodeError.
 template <class T>
 T unpacked(std::string_view bytes) {
   T value{};
--- a/src/history/reader.cpp
+++ b/src/history/reader.cpp
@@ -10,11 +10,12 @@
 
 constexpr std::string_view kTemporarySuffix = ".part";
 
-// A payload whose checksum is right and which is still not what it should be.
+// The error for a payload with a valid checksum that cannot be decoded.
 CorruptionError undecodable_record(const std::string& file, std::size_t offset,
-                             const DecodeError& problem) {
-  return {file, offset,
-          std::string("the checksum is right and the record is not: ") + problem.what()};
+                                   const DecodeError& problem) {
+  return {
+      file, offset,
+      std::string("the checksum is valid, but the payload cannot be decoded: ") + problem.what()};
 }
 
 template <class T>
@@ -33,8 +34,8 @@
   return snapshots.empty() ? 0 : snapshots.back().header.record_count;
 }
 
-SegmentInfo Reader::read_segment(const std::string& name,
-                                 const std::function<bool(const Record&, std::uint64_t)>& on_record) {
+SegmentInfo Reader::read_segment(
+    const std::string& name, const std::function<bool(const Record&, std::uint64_t)>& on_record) {
   const auto bytes = files_.read(name);
   FrameReader frames(name, bytes, FileKind::events, key_);
   SegmentInfo info;
@@ -71,31 +72,34 @@
   SnapshotHeader header;
   Parts parts;
   std::optional<SnapshotEnd> end;
-  bool part_incomplete = false;  // a part goes on
+  bool part_incomplete = false;
   for (std::uint64_t number = 0;; ++number) {
     const auto offset = frames.offset();
     const auto payload = frames.next();
     if (!payload) break;
     auto piece = read_payload<SnapshotPiece>(name, offset, *payload);
-    if (end) throw CorruptionError(name, offset, "something follows the end of the save");
+    if (end) throw CorruptionError(name, offset, "a frame follows the end of the save");
     if (auto* first = std::get_if<SnapshotHeader>(&piece)) {
-      if (number != 0) throw CorruptionError(name, offset, "a second head");
+      if (number != 0) throw CorruptionError(name, offset, "the save has a second header");
       header = std::move(*first);
     } else if (auto* slice = std::get_if<SnapshotSlice>(&piece)) {
       if (!part_incomplete) parts.emplace_back(slice->part, "");
       if (parts.back().first != slice->part)
-        throw CorruptionError(name, offset, "the part \"" + parts.back().first + "\" is cut short");
+        throw CorruptionError(name, offset,
+                              "the part \"" + parts.back().first + "\" has no last slice");
       parts.back().second += slice->bytes;
       part_incomplete = !slice->last;
     } else {
       end = std::get<SnapshotEnd>(piece);
     }
   }
-  // A save is made the newest only when it is whole, so one that is not was damaged since.
+  // A snapshot gets its final name only when it is complete, so an incomplete one was corrupted
+  // later.
   if (frames.torn_bytes() > 0) throw CorruptionError(name, frames.offset(), frames.torn_cause());
-  if (!end || part_incomplete) throw CorruptionError(name, frames.offset(), "the save has no end");
+  if (!end || part_incomplete)
+    throw CorruptionError(name, frames.offset(), "the save has no end frame");
   if (digest_of(parts) != end->state_digest)
-    throw CorruptionError(name, frames.offset(), "the digest of the state is wrong");
+    throw CorruptionError(name, frames.offset(), "the state does not match its digest");
   std::size_t size = 0;
   for (const auto& part : parts) size += part.second.size();
   return {{name, std::move(header), size, end->state_digest}, std::move(parts)};
@@ -139,9 +143,9 @@
   return out;
 }
 
-// That nothing was swapped or left out between the files.
+// Detects swapped and missing files.
 void Reader::check_consistency(Contents& contents) const {
-  // A segment whose head was cut off holds no record yet: its creation was interrupted.
+  // A last segment without a complete header holds no records: its creation was interrupted.
   if (!contents.segments.empty() && contents.segments.back().header.history.empty()) {
     contents.unfinished.push_back(contents.segments.back().name);
     contents.segments.pop_back();
@@ -149,12 +153,12 @@
   for (std::size_t index = 0; index < contents.segments.size(); ++index)
     check_segment(contents, index);
   for (const auto& snapshot : contents.snapshots) check_snapshot(contents, snapshot);
-  // Without a snapshot that covers them, the first events must be there.
+  // The first segment must hold the first events, unless a snapshot covers them.
   if (!contents.segments.empty() && contents.segments.front().header.first_record > 0 &&
       (contents.snapshots.empty() ||
        contents.snapshots.front().header.segment < contents.segments.front().header.segment))
     throw CorruptionError(contents.segments.front().name, 0,
-                          "earlier events are gone and no save covers them");
+                          "earlier events are missing and no save covers them");
 }
 
 void Reader::check_segment(Contents& contents, std::size_t index) const {
@@ -162,45 +166,55 @@
   const bool is_last = index + 1 == contents.segments.size();
   if (segment.torn_bytes > 0 && !is_last)
     throw CorruptionError(segment.name, segment.bytes,
-                          segment.torn_cause + ", although later events were written");
+                          segment.torn_cause + ", but a later segment exists");
   if (segment.header.segment != segment_number(segment.name))
-    throw CorruptionError(segment.name, 0, "its name and its number differ: it was swapped");
+    throw CorruptionError(
+        segment.name, 0,
+        "the number in its header differs from its name: it was swapped or renamed");
   check_history(contents, segment.name, segment.header.history);
   if (index == 0) return;
   const auto& previous = contents.segments[index - 1];
   if (segment.header.segment != previous.header.segment + 1 ||
       segment.header.first_record != previous.header.first_record + previous.records)
     throw CorruptionError(segment.name, 0,
-                          "events between it and " + previous.name + " were left contents");
+                          "events between it and " + previous.name + " are missing");
   if (key_ && segment.header.previous_tail != tag_bytes(previous.tail))
-    throw CorruptionError(segment.name, 0, "its MAC does not follow that of " + previous.name);
+    throw CorruptionError(segment.name, 0,
+                          "its MAC does not continue the chain of " + previous.name);
 }
 
 void Reader::check_snapshot(Contents& contents, const SnapshotInfo& snapshot) const {
   if (snapshot.header.segment != snapshot_number(snapshot.name))
-    throw CorruptionError(snapshot.name, 0, "its name and its number differ: it was swapped");
-  check_history(contents, snapshot.name, snapshot.header.history);
-  const auto following = std::find_if(
-      contents.segments.begin(), contents.segments.end(),
-      [&](const SegmentInfo& segment) { return segment.header.segment == snapshot.header.segment; });
-  // The segment that follows a snapshot is begun before the snapshot is complete.
-  if (following == contents.segments.end())
     throw CorruptionError(
         snapshot.name, 0,
-        "the events after it are gone: " + segment_name(snapshot.header.segment) + " is missing");
+        "the number in its header differs from its name: it was swapped or renamed");
+  check_history(contents, snapshot.name, snapshot.header.history);
+  const auto following = std::find_if(contents.segments.begin(), contents.segments.end(),
+                                      [&](const SegmentInfo& segment) {
+                                        return segment.header.segment == snapshot.header.segment;
+                                      });
+  // The segment that follows a snapshot is created before the snapshot is completed.
+  if (following == contents.segments.end())
+    throw CorruptionError(snapshot.name, 0,
+                          "the events after it are missing: " +
+                              segment_name(snapshot.header.segment) + " is missing");
   if (following->header.first_record != snapshot.header.record_count)
-    throw CorruptionError(snapshot.name, 0, "it does not fit the events after it");
+    throw CorruptionError(snapshot.name, 0,
+                          "its number of records differs from the start of the next segment");
   if (key_ && following->header.previous_tail != snapshot.header.events_tail)
-    throw CorruptionError(snapshot.name, 0, "its MAC does not fit the events after it");
+    throw CorruptionError(snapshot.name, 0,
+                          "its MAC differs from the one that the next segment continues");
 }
 
-// The first file names the history; all others must belong to the same.
+// The first file determines the history id; all other files must have the same id.
 void Reader::check_history(Contents& contents, const std::string& name, const HistoryId& history) {
   if (contents.history.empty()) contents.history = history;
-  if (history != contents.history) throw CorruptionError(name, 0, "it belongs to another history");
+  if (history != contents.history)
+    throw CorruptionError(name, 0, "its history id differs from that of the other files");
 }
 
-Contents Reader::recover(Replay& replay, const std::function<void(const CorruptionError&)>& on_damaged) {
+Contents Reader::recover(Replay& replay,
+                         const std::function<void(const CorruptionError&)>& on_damaged) {
   Contents out;
   std::vector<std::string> segments;
   std::vector<std::string> snapshots;
@@ -240,7 +254,7 @@
         contents.segments.front().header.first_record == 0)
       continue;
     snapshot = &candidate;
-    if (from_start) break;  // the oldest, if events do not go back to the first
+    if (from_start) break;  // the oldest snapshot, because the first events are missing
   }
   if (snapshot != nullptr) first = restore(snapshot->name, replay).header.segment;
   for (const auto& segment : contents.segments) {
--- a/src/history/reader.hpp
+++ b/src/history/reader.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Reads a history from its directory and checks which files are whole, torn or damaged. Reading
-/// changes nothing; `EventLog` cuts off a torn tail when it continues the history.
+/// Reads and verifies a history. Keeps no state between calls and never changes files; `EventLog`
+/// truncates a torn tail when it continues the history.
 #pragma once
 
 #include <functional>
@@ -10,18 +10,18 @@
 
 namespace violetpulley::history {
 
-/// What was read of a segment of events.
+/// Summary of a segment of events.
 struct SegmentInfo {
   std::string name;
   SegmentHeader header;
   std::uint64_t records = 0;
-  std::size_t bytes = 0;       // that are whole
-  std::size_t torn_bytes = 0;  // cut off behind them
+  std::size_t bytes = 0;       // up to the last valid frame
+  std::size_t torn_bytes = 0;  // after the last valid frame
   std::string torn_cause;
   Tag tail{};
 };
 
-/// What was read of a snapshot.
+/// Summary of a snapshot.
 struct SnapshotInfo {
   std::string name;
   SnapshotHeader header;
@@ -29,41 +29,42 @@
   std::uint64_t state_digest = 0;
 };
 
-/// The files of a history in the order of their numbers.
+/// The files of a history, ordered by number.
 struct Contents {
-  HistoryId history;  // empty: there is none yet
+  HistoryId history;  // empty for a new history
   std::vector<SegmentInfo> segments;
   std::vector<SnapshotInfo> snapshots;
-  std::vector<std::string> unfinished;  // files that were never completed
+  std::vector<std::string> unfinished;  // temporary files of interrupted writes
 
-  /// The newest segment, null if there is none.
+  /// The newest segment; null if there is none.
   const SegmentInfo* last() const { return segments.empty() ? nullptr : &segments.back(); }
-  /// Number of records from the history's first to the last.
+  /// Number of records in the history, including those whose segments were removed.
   std::uint64_t record_count() const;
 };
 
-/// Reads over `files`, which must outlive the reader. With a key every file must be signed.
+/// Reads a history from `files`, which must outlive the reader. With a key, every file must be
+/// signed.
 class Reader {
  public:
   Reader(Files& files, std::optional<Key> key) : files_(files), key_(key) {}
 
-  /// Reads and checks all files. Throws CorruptionError at the first damage, and FileError.
+  /// Reads and verifies all files. Throws CorruptionError at the first corruption, and FileError.
   Contents check();
 
-  /// Calls `each` with the records of a segment and their numbers until `each` returns false.
+  /// Calls `on_record` with each record of a segment and its number until the call returns false.
   /// Throws CorruptionError and FileError.
   SegmentInfo read_segment(const std::string& name,
                            const std::function<bool(const Record&, std::uint64_t)>& on_record);
 
-  /// Restores the newest snapshot that is whole and replays the events after it, for a process that
-  /// continues the history; older files are not read. `note` is called for each damaged snapshot
-  /// that is skipped for the one before it. Throws CorruptionError if no usable one is left, and
-  /// FileError.
+  /// Restores the newest valid snapshot and replays the events after it, for a process that
+  /// continues the history; older files are not read. Calls `on_damaged` for each corrupt snapshot
+  /// that is skipped in favour of the previous one. Throws CorruptionError if the history cannot be
+  /// restored from any snapshot or from the first event, and FileError.
   Contents recover(Replay& replay, const std::function<void(const CorruptionError&)>& on_damaged);
 
-  /// Replays the newest snapshot and the events after it. With `from_start`, replays all events,
-  /// from the oldest snapshot if the first events were removed. `until`: stops before the record of
-  /// this number. Throws CorruptionError and FileError.
+  /// Restores the newest snapshot and replays the events after it. With `from_start`, replays all
+  /// events, from the oldest snapshot if the first events were removed. Stops before the record
+  /// with the number `until`. Throws CorruptionError and FileError.
   void replay(const Contents& contents, Replay& replay, bool from_start = false,
               std::optional<std::uint64_t> until = {});
 
@@ -72,14 +73,14 @@
     SnapshotInfo info;
     Parts parts;
   };
-  /// Throws CorruptionError, also when the snapshot is not complete.
+  /// Throws CorruptionError, also when the snapshot is incomplete.
   LoadedSnapshot load_snapshot(const std::string& name);
-  /// Both throw CorruptionError for what cannot be replayed.
+  /// Both throw CorruptionError if a snapshot or record cannot be applied.
   SnapshotInfo restore(const std::string& name, Replay& replay);
   SegmentInfo replay_segment(const std::string& name, Replay& replay,
                              std::optional<std::uint64_t> until);
-  /// The checks between files; each throws CorruptionError. A segment without a head is moved from
-  /// `contents.segments` to `contents.unfinished`.
+  /// Checks that the files are consistent with each other; each check throws CorruptionError. A
+  /// last segment without a header is moved from `contents.segments` to `contents.unfinished`.
   void check_consistency(Contents& contents) const;
   void check_segment(Contents& contents, std::size_t index) const;
   void check_snapshot(Contents& contents, const SnapshotInfo& snapshot) const;
--- a/src/history/recorder.cpp
+++ b/src/history/recorder.cpp
@@ -25,8 +25,8 @@
   try {
     work();
   } catch (const std::exception& problem) {
-    // A disk that is full or read-only, or a history that is damaged.
-    spdlog::error("history is off from here on, the service goes on without it: {}",
+    // For example a full or read-only disk, or a corrupt history.
+    spdlog::error("history: recording stopped, the service continues without a history: {}",
                   problem.what());
     log_.reset();
   }
@@ -49,19 +49,19 @@
   Replay replay;
   Reader reader(*files_, settings.key);
   const auto contents = reader.recover(replay, [](const CorruptionError& problem) {
-    spdlog::error("history: a snapshot is damaged, the one before it is used: {}", problem.what());
+    spdlog::error("history: a snapshot is corrupt, trying the previous one: {}", problem.what());
   });
   if (const auto* last = contents.last(); last != nullptr && last->torn_bytes > 0)
-    spdlog::warn("history: {} is torn, {} bytes are cut off: {}", last->name, last->torn_bytes,
-                 last->torn_cause);
+    spdlog::warn("history: {} has a torn tail, truncating {} bytes: {}", last->name,
+                 last->torn_bytes, last->torn_cause);
   if (replay.difference())
-    spdlog::warn("history: the replay differs from what was recorded at event {}",
+    spdlog::warn("history: the replayed actions differ from the recorded ones at record {}",
                  replay.difference()->record);
   if (replay.controller() != nullptr)
     learned_state_ = replay.controller()->learned_state(replay.now(), replay.wall_now());
   log_ = std::make_unique<EventLog>(*files_, settings.key, settings.log, contents, new_history_id(),
                                     wall);
-  spdlog::info("history: {} events, recovered in {:.3f} s", contents.record_count(),
+  spdlog::info("history: recovered {} records in {:.3f} s", contents.record_count(),
                core::Seconds(core::Clock::now() - started).count());
 }
 
--- a/src/history/recorder.hpp
+++ b/src/history/recorder.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// The history of one controller in a directory: continues an existing history, records the events
-/// that enter the core while this process leads, and writes snapshots in slices. An error here ends
-/// the history and not the service: the cause is logged and the process continues without a history
-/// (docs/operations.md, "History").
+/// Keeps the history of one controller in a directory: continues an existing history, records the
+/// events that the core receives while this process leads, and writes snapshots in slices. An error
+/// ends the recording but not the service: the cause is logged and the process continues without a
+/// history (docs/operations.md, "History").
 #pragma once
 
 #include <memory>
@@ -19,36 +19,38 @@
     std::optional<Key> key;
     LogSettings log;
   };
-  /// Reads and replays the existing history. Never throws: after an error `on()` is false.
+  /// Reads and replays the existing history. Does not throw: after an error, `is_recording()` is
+  /// false.
   Recorder(const Settings& settings, core::WallTime wall);
-  /// The same over other files, for tests.
+  /// Uses `files` instead of a directory, for tests.
   Recorder(std::unique_ptr<Files> files, const Settings& settings, core::WallTime wall);
 
   /// Whether events are recorded.
   bool is_recording() const { return log_ != nullptr; }
-  /// The learned state when the last leader of this history ended; empty if there is none.
+  /// The learned state when the last leader of this history ended; empty for a new history.
   const core::LearnedState& learned_state() const { return learned_state_; }
-  /// Called when a leader of this process ends.
+  /// Must be called when a leader of this process ends, before its controller is destroyed.
   void leader_ends(core::LearnedState learned_state);
-  /// A snapshot is in progress: a change of all machines at once should wait.
+  /// Whether a snapshot is in progress. The caller should defer changes of all machines at once,
+  /// because each changed machine is encoded before the change.
   bool snapshotting() const { return log_ && log_->snapshotting(); }
 
-  /// The first event of a leader of this process.
+  /// Records the first event of a leader of this process.
   void leader_elected(core::TimePoint at, const core::LeaderElected& event);
-  /// An event, before the core applies it.
+  /// Records an event; called before the core applies it.
   void record(core::TimePoint at, const core::Event& event);
-  /// The actions that the core has returned; an empty list is not recorded.
+  /// Records the digest of the actions that the core returned; an empty list is not recorded.
   void record_actions(core::TimePoint at, const std::vector<core::Action>& actions);
-  /// Writes what is due. Must be called when all recorded events are applied to `controller` and
-  /// its actions were taken.
+  /// Writes pending records and continues or starts a snapshot if one is due. All recorded events
+  /// must have been applied to `controller`, and its actions must have been taken.
   void write_due(core::Controller& controller, core::TimePoint now, core::WallTime wall);
 
-  /// Events and snapshots so far, for the log line.
+  /// Number of events and snapshots so far, for a log line.
   std::string summary() const;
 
  private:
   void start(const Settings& settings, core::WallTime wall);
-  /// Runs `work`; an exception ends the history.
+  /// Runs `work`; an exception is logged and ends the recording.
   template <class Work>
   void disable_on_error(const Work& work);
 
--- a/src/history/records.cpp
+++ b/src/history/records.cpp
@@ -21,7 +21,7 @@
 }
 
 std::optional<std::uint64_t> parse_number(std::string_view name, std::string_view prefix,
-                                    std::string_view suffix) {
+                                          std::string_view suffix) {
   if (!name.starts_with(prefix) || !name.ends_with(suffix)) return std::nullopt;
   name.remove_prefix(prefix.size());
   name.remove_suffix(suffix.size());
@@ -56,9 +56,11 @@
       const auto handle = msgpack::unpack(bytes.data(), bytes.size());
       read(handle.get(), part);
     } catch (const msgpack::unpack_error& problem) {
-      throw DecodeError("the part \"" + std::string(name) + "\" is not msgpack: " + problem.what());
+      throw DecodeError("the part \"" + std::string(name) +
+                        "\" of the state is not msgpack: " + problem.what());
     } catch (const DecodeError& problem) {
-      throw DecodeError("the part \"" + std::string(name) + "\": " + problem.what());
+      throw DecodeError("the part \"" + std::string(name) +
+                        "\" of the state cannot be decoded: " + problem.what());
     }
   });
 }
--- a/src/history/records.hpp
+++ b/src/history/records.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// The payloads of a history's frames.
+/// Payloads of the frames of a history.
 ///
-/// Segment of events: a `SegmentHeader`, then records in the order in which they entered the core.
-/// Snapshot: a `SnapshotHeader`, the parts of the core's state in slices, a `SnapshotEnd`.
+/// A segment of events holds a `SegmentHeader`, then the records in the order in which the core
+/// received them. A snapshot holds a `SnapshotHeader`, the parts of the core's state in slices, and
+/// a `SnapshotEnd`.
 #pragma once
 
 #include "core/events.hpp"
@@ -11,15 +12,15 @@
 
 namespace violetpulley::history {
 
-/// Names one history, so that files of two histories are not mixed.
+/// Identifies one history, so that files of different histories are not mixed.
 using HistoryId = std::string;
 
 /// First frame of a segment.
 struct SegmentHeader {
   HistoryId history;
   std::uint64_t segment = 0;
-  std::uint64_t first_record = 0;  // how many events came before it in this history
-  std::string previous_tail;      // last MAC of the segment before, if signed
+  std::uint64_t first_record = 0;  // number of earlier records in this history
+  std::string previous_tail;       // last MAC of the previous segment, if signed
   core::WallTime started_at{};
 
   template <class S, class F>
@@ -28,8 +29,8 @@
   }
 };
 
-/// Digest of the actions that the core returned after the events before this record: a replay must
-/// come to the same.
+/// Digest of the actions that the core returned after the preceding events; a replay must produce
+/// the same digest.
 struct ActionsRecorded {
   std::uint64_t digest = 0;
   template <class S, class F>
@@ -38,7 +39,7 @@
   }
 };
 
-/// An event or the digest of a batch of actions, with the leader's token and the time.
+/// An event or the digest of a batch of actions, with the fencing token of the leader and the time.
 struct Record {
   core::FencingToken token = 0;
   core::TimePoint at{};  // steady clock of the process that wrote it
@@ -50,16 +51,17 @@
   }
 };
 
-/// A machine's heartbeat as the difference to the last one recorded in this segment: most of a
-/// heartbeat is as before, and whole heartbeats took most bytes of a history.
+/// A machine's heartbeat as the difference to its previous heartbeat in the same segment.
+/// Successive heartbeats are nearly equal, and full heartbeats would take most of the bytes of a
+/// history.
 struct HeartbeatChanges {
   core::MachineId machine;
-  bool answers_commands = false;  // to commands
+  bool answers_commands = false;  // the heartbeat came in the response to commands
   std::uint64_t epoch = 0;
   std::uint64_t heartbeat_sequence = 0;
   core::FencingToken token = 0;
-  std::vector<std::uint32_t> removed;                               // places in the last list
-  std::vector<std::pair<std::uint32_t, core::TaskStatus>> added;  // places in this one
+  std::vector<std::uint32_t> removed;  // indices in the previous task list
+  std::vector<std::pair<std::uint32_t, core::TaskStatus>> added;  // index in the new list
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -67,7 +69,8 @@
   }
 };
 
-/// A record as it is in the file. Heartbeats are whole at first, then differences.
+/// A record as stored in the file. A heartbeat is stored as a difference, unless it is the first of
+/// its machine in the segment or differs in a field that HeartbeatChanges does not hold.
 struct WrittenRecord {
   core::FencingToken token = 0;
   core::TimePoint at{};
@@ -79,7 +82,7 @@
   }
 };
 
-/// First frame of a snapshot, which covers all events before `segment`.
+/// First frame of a snapshot. The snapshot covers all events before `segment`.
 struct SnapshotHeader {
   HistoryId history;
   std::uint64_t segment = 0;
@@ -88,15 +91,16 @@
   core::WallTime wall{};
   core::TimePoint elected_at{};
   core::LeaderElected elected_event;  // without the recovered state
-  std::string events_tail;     // last MAC of the segment before, if signed
+  std::string events_tail;            // last MAC of the previous segment, if signed
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.history, s.segment, s.record_count, s.at, s.wall, s.elected_at, s.elected_event, s.events_tail);
+    f(s.history, s.segment, s.record_count, s.at, s.wall, s.elected_at, s.elected_event,
+      s.events_tail);
   }
 };
 
-/// A part of the state is cut into slices; `last` marks the last slice of a part.
+/// A slice of one part of the state; `last` marks the last slice of the part.
 struct SnapshotSlice {
   std::string part;
   bool last = false;
@@ -120,12 +124,13 @@
 
 using SnapshotPiece = std::variant<SnapshotHeader, SnapshotSlice, SnapshotEnd>;
 
-/// Whether snapshots omit the part while it is empty, as versions did that had no such part.
+/// Whether snapshots omit the part while it is empty. Versions without the part wrote such
+/// snapshots.
 template <class Part>
 inline constexpr bool is_omittable = requires {
   Part::kOmittedWhenEmpty;
 };
-/// Whether a snapshot holds the part as it is now.
+/// Whether a snapshot stores the part in its current state.
 template <class Part>
 bool is_stored(const Part& part) {
   if constexpr (is_omittable<Part>)
@@ -137,14 +142,14 @@
 /// The core's state, part by part (name, bytes) in the order of `Controller::each_part`.
 using Parts = std::vector<std::pair<std::string, std::string>>;
 Parts parts_of(const core::Controller& controller);
-/// Throws DecodeError if a part is missing that is always stored, or cannot be read.
+/// Throws DecodeError if a part that is always stored is missing, or if a part cannot be decoded.
 void restore_parts(core::Controller& controller, const Parts& parts);
 std::uint64_t digest_of(const Parts& parts);
 
 /// File names: "events-<12 digits>.vph" and "save-<12 digits>.vps".
 std::string segment_name(std::uint64_t number);
 std::string snapshot_name(std::uint64_t segment);
-/// The number in a file name of that kind, or none.
+/// The number in the name of a segment or snapshot; none for other names.
 std::optional<std::uint64_t> segment_number(const std::string& name);
 std::optional<std::uint64_t> snapshot_number(const std::string& name);
 
--- a/src/history/replay.cpp
+++ b/src/history/replay.cpp
@@ -22,7 +22,8 @@
   now_ = record.at;
   const auto number = record_count_++;
   if (const auto* recorded_actions = std::get_if<ActionsRecorded>(&record.content)) {
-    if (!controller_) throw DecodeError("actions come before any takeover");
+    if (!controller_)
+      throw DecodeError("a record of actions precedes the first LeaderElected event");
     const auto actions = controller_->take_actions();
     const auto digest = digest_of(actions);
     actions_.add(digest);
@@ -37,7 +38,7 @@
     elected_event_ = {elected->settings, elected->token, elected->former_leases_end, {}};
     return;
   }
-  if (!controller_) throw DecodeError("an event comes before any takeover");
+  if (!controller_) throw DecodeError("an event precedes the first LeaderElected event");
   core::apply(*controller_, event, record.at);
 }
 
--- a/src/history/replay.hpp
+++ b/src/history/replay.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Runs the core over recorded events and compares its actions with the recorded ones, by digest.
+/// Applies recorded events to a controller and compares the digests of its actions with the
+/// recorded digests. Owns the controller.
 #pragma once
 
 #include "history/digest.hpp"
@@ -7,20 +8,20 @@
 
 namespace violetpulley::history {
 
-/// The first record at which the replayed actions differ from those of the process that wrote it.
+/// The first record whose replayed actions differ from the recorded ones.
 struct Difference {
-  std::uint64_t record = 0;  // counted from the history's first
+  std::uint64_t record = 0;  // index in the history, from 0
   std::uint64_t recorded = 0;
   std::uint64_t replayed = 0;
 };
 
-/// Owns the controller that the events are applied to.
+/// Replays records onto a controller.
 class Replay {
  public:
-  /// Starts from a snapshot. Throws DecodeError if the parts cannot be read.
+  /// Starts from a snapshot. Throws DecodeError if the parts cannot be decoded.
   void restore(const SnapshotHeader& header, const Parts& parts);
-  /// Applies an event, or compares the actions. Throws DecodeError if a record comes before the
-  /// first LeaderElected event.
+  /// Applies an event, or compares the digest of the actions. Throws DecodeError if a record
+  /// precedes the first LeaderElected event.
   void apply(const Record& record);
 
   /// Null before the first LeaderElected event or snapshot.
@@ -28,18 +29,18 @@
   core::Controller* controller() { return controller_.get(); }
   /// Time of the last record, by the steady clock of the process that wrote it.
   core::TimePoint now() const { return now_; }
-  /// The time of day at `now`, counted from the last LeaderElected event.
+  /// The wall-clock time at `now`, computed from the last LeaderElected event.
   core::WallTime wall_now() const;
-  /// Number of records from the history's first to the last applied one.
+  /// Number of records of the history up to and including the last applied one.
   std::uint64_t record_count() const { return record_count_; }
-  /// Of all batches of actions replayed so far.
+  /// Digest of all batches of actions replayed so far.
   std::uint64_t actions_digest() const { return actions_.value(); }
   /// 0 without a controller.
   std::uint64_t state_digest() const;
-  /// None as long as all actions were the recorded ones.
+  /// None while all replayed actions equal the recorded ones.
   const std::optional<Difference>& difference() const { return difference_; }
 
-  /// The leader's first event without the recovered state, for snapshots that are made offline.
+  /// The last LeaderElected event without the recovered state, for snapshots taken offline.
   const core::LeaderElected& elected_event() const { return elected_event_; }
   core::TimePoint elected_at() const { return elected_at_; }
 
@@ -53,7 +54,7 @@
   std::optional<Difference> difference_;
 };
 
-/// The digest of a batch of actions, as `ActionsRecorded` holds it.
+/// The digest of a batch of actions that `ActionsRecorded` holds.
 std::uint64_t digest_of(const std::vector<core::Action>& actions);
 
 }  // namespace violetpulley::history
--- a/src/history/state_capture.cpp
+++ b/src/history/state_capture.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// An entry of a table, as `write` does it for maps.
+// An entry of a map, encoded as `write` encodes it.
 template <class Item>
 std::string encode_entry(const std::string& id, const Item& item) {
   Buffer buffer;
@@ -29,7 +29,7 @@
   const auto add_plan = [&]<typename Part>(const char* name, const Part& part) {
     if (!is_stored(part)) return;
     PartPlan plan{name, {}, {}, PartPlan::Kind::whole};
-    // The first field is the table; what follows it is small and is written now.
+    // The first field is the table; the fields after it are small and are encoded at once.
     const auto encode_around_table = [&](const auto& table, const auto&... rest) {
       plan.prefix = encode_with([&](Packer& out) {
         out.pack_array(1 + sizeof...(rest));
@@ -55,24 +55,29 @@
     const auto found = items.find(id);
     if (found != items.end() && !found->second) found->second = encode_entry(id, item);
   };
-  // The hooks may stay longer than the capture; then they find nothing to do.
+  // The hooks may outlive the capture, hence the weak pointers.
   controller.before_changes(
-      [encode_before_change, pending_items = std::weak_ptr(pending_)](const core::Machine& machine) {
-        if (const auto pending = pending_items.lock()) encode_before_change(pending->machines, machine.id, machine);
+      [encode_before_change,
+       pending_items = std::weak_ptr(pending_)](const core::Machine& machine) {
+        if (const auto pending = pending_items.lock())
+          encode_before_change(pending->machines, machine.id, machine);
       },
       [encode_before_change, pending_items = std::weak_ptr(pending_)](const core::Job& job) {
-        if (const auto pending = pending_items.lock()) encode_before_change(pending->jobs, job.spec().id, job);
+        if (const auto pending = pending_items.lock())
+          encode_before_change(pending->jobs, job.spec().id, job);
       });
 }
 
-// Adds entries in the order of their names; tells whether that was all.
+// Appends entries in the order of their ids until `out` holds `bytes` bytes; returns whether no
+// items are left.
 template <class Table>
 bool StateCapture::append_items(const Table& table, Items& items, std::string& out,
-                             std::size_t bytes) {
+                                std::size_t bytes) {
   while (!items.empty() && out.size() < bytes) {
     const auto first = items.begin();
-    // Not written early: it has not changed since, so it is still there.
-    out += first->second ? *first->second : encode_entry(first->first, table.find(first->first)->second);
+    // An item that was not encoded early has not changed since the capture, so the table holds it.
+    out += first->second ? *first->second
+                         : encode_entry(first->first, table.find(first->first)->second);
     items.erase(first);
   }
   return items.empty();
--- a/src/history/state_capture.hpp
+++ b/src/history/state_capture.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The core's state at one moment, written in slices while further events are applied: a machine or
-/// a job that is about to change is encoded first, in its old state. The bytes are those of
-/// `parts_of` at that moment, in the same order.
+/// Captures the core's state at one moment and encodes it in slices while further events are
+/// applied (copy on write): a machine or job that is about to change is encoded before the change.
+/// The bytes equal those of `parts_of` at the moment of capture.
 #pragma once
 
 #include <memory>
@@ -11,26 +11,26 @@
 
 namespace violetpulley::history {
 
-/// Owns the encoded machines and jobs that changed before their turn.
+/// Owns the encoded machines and jobs that changed before they were written to a slice.
 class StateCapture {
  public:
-  /// Captures the state now. `controller` must outlive the last call of `next`.
+  /// Captures the current state. `controller` must outlive the last call of `next`.
   explicit StateCapture(core::Controller& controller);
 
-  /// The next slice of about `bytes` bytes: machines and jobs are not split. None after the last.
+  /// The next slice of about `bytes` bytes; machines and jobs are not split. None after the last.
   std::optional<SnapshotSlice> next(std::size_t bytes);
-  /// Digest of all slices returned so far, as `digest_of(Parts)`.
+  /// Digest of all slices returned so far; after the last, it equals `digest_of(Parts)`.
   std::uint64_t digest() const { return digest_.value(); }
 
  private:
-  /// Machines or jobs that existed at the moment of capture, by name, and the bytes of those that
-  /// were encoded early; erased once returned in a slice.
+  /// Machines or jobs that existed at the moment of capture, by id, with the bytes of those that
+  /// have changed since. An item is erased when it is returned in a slice.
   using Items = std::map<std::string, std::optional<std::string>>;
   struct PendingItems {
     Items machines;
     Items jobs;
   };
-  /// A part whose items are written one by one between a front and an end.
+  /// How a part is written: a prefix, then its machines or jobs one by one, then a suffix.
   struct PartPlan {
     std::string name;
     std::string prefix;
