--- a/src/commands/exit_codes.hpp
+++ b/src/commands/exit_codes.hpp
@@ -5,11 +5,11 @@
 namespace violetpulley::commands {
 
 inline constexpr int kSuccess = 0;
-/// A history is damaged or a replay differs.
+/// A history is corrupt, a replay differs from it, or not all tasks of a case were placed.
 inline constexpr int kCheckFailed = 1;
-/// Settings, options or files are missing or malformed.
+/// A setting, option or file is missing or malformed.
 inline constexpr int kInvalidInput = 2;
-/// The controller could not start or ended by an error.
+/// The controller failed to start or ended with an error.
 inline constexpr int kServiceFailed = 3;
 
 }  // namespace violetpulley::commands
--- a/src/commands/history.cpp
+++ b/src/commands/history.cpp
@@ -34,7 +34,7 @@
   return config::load_key(file, option);
 }
 
-// Prints the damage as JSON or text.
+// Prints the corruption as JSON or text.
 int report_damage(const Options& options, const history::CorruptionError& problem) {
   if (options.json)
     std::cout << Json{{"ok", false},
@@ -44,7 +44,7 @@
                      .dump()
               << "\n";
   else
-    std::cerr << "violetpulley: damaged: " << problem.what() << "\n";
+    std::cerr << "violetpulley: the history is corrupt: " << problem.what() << "\n";
   return kCheckFailed;
 }
 
@@ -62,12 +62,12 @@
   return kInvalidInput;
 }
 
-// Checks all files; a torn tail is only reported.
+// Verifies all files; a torn tail is reported on standard error and is not an error.
 history::Contents check_contents(history::Reader& reader) {
   auto contents = reader.check();
   if (const auto* last = contents.last(); last != nullptr && last->torn_bytes > 0)
     std::cerr << "violetpulley: the last " << last->torn_bytes << " bytes of " << last->name
-              << " are torn and not used: " << last->torn_cause << "\n";
+              << " are a torn tail and are ignored: " << last->torn_cause << "\n";
   return contents;
 }
 
@@ -95,10 +95,12 @@
 void print_table(const history::Contents& contents) {
   for (const auto& segment : contents.segments)
     std::cout << segment.name << "  records " << segment.header.first_record << " to "
-              << segment.header.first_record + segment.records << ", " << segment.bytes << " bytes\n";
+              << segment.header.first_record + segment.records << ", " << segment.bytes
+              << " bytes\n";
   for (const auto& snapshot : contents.snapshots)
-    std::cout << snapshot.name << "  covers records up to " << snapshot.header.record_count << ", state "
-              << history::hex(snapshot.state_digest) << ", " << snapshot.bytes << " bytes\n";
+    std::cout << snapshot.name << "  covers records up to " << snapshot.header.record_count
+              << ", state " << history::hex(snapshot.state_digest) << ", " << snapshot.bytes
+              << " bytes\n";
   std::cout << "good: " << contents.record_count() << " records\n";
 }
 
@@ -155,16 +157,18 @@
   const auto state = history::hex(replay.state_digest());
   const auto actions = history::hex(replay.actions_digest());
   if (options.json) {
-    Json out{
-        {"ok", !difference}, {"records", replay.record_count()}, {"state", state}, {"actions", actions}};
+    Json out{{"ok", !difference},
+             {"records", replay.record_count()},
+             {"state", state},
+             {"actions", actions}};
     if (difference)
       out["difference"] = {{"record", difference->record},
                            {"recorded", history::hex(difference->recorded)},
                            {"replayed", history::hex(difference->replayed)}};
     std::cout << out.dump() << "\n";
   } else {
-    std::cout << "records " << replay.record_count() << "\nstate   " << state << "\nactions " << actions
-              << "\n";
+    std::cout << "records " << replay.record_count() << "\nstate   " << state << "\nactions "
+              << actions << "\n";
     if (difference)
       std::cout << "differs first at record " << difference->record << ": recorded "
                 << history::hex(difference->recorded) << ", replayed "
@@ -173,7 +177,7 @@
   return difference ? kCheckFailed : kSuccess;
 }
 
-// Replaces the history by one snapshot; with a new key, the new files are signed with that key.
+// Replaces the history by one snapshot, signed with the new key if one is given.
 int compact(const Options& options) {
   history::Directory files(options.directory, true);
   const auto key = load_key_option(options.key_file, "--key");
@@ -184,13 +188,14 @@
   history::Replay replay;
   reader.replay(contents, replay);
   if (replay.controller() == nullptr) {
-    std::cerr << "violetpulley: the history is empty, there is nothing to compact\n";
+    std::cerr
+        << "violetpulley: the history holds no leader election, so there is no state to compact\n";
     return kCheckFailed;
   }
   const auto events = contents.record_count();
   history::EventLog log(files, new_key, {}, contents, contents.history, replay.wall_now());
-  log.begin_snapshot(*replay.controller(), replay.elected_event(), replay.elected_at(), replay.now(),
-                     replay.wall_now());
+  log.begin_snapshot(*replay.controller(), replay.elected_event(), replay.elected_at(),
+                     replay.now(), replay.wall_now());
   while (log.snapshotting()) log.continue_snapshot();
   log.prune(1);
   std::cout << "compacted: " << events << " records are in one save, state "
@@ -201,31 +206,39 @@
 }  // namespace
 
 void add_history(CLI::App& app, int& result) {
-  auto* command = app.add_subcommand("history", "read a history that a controller wrote");
+  auto* command = app.add_subcommand("history", "inspect a history recorded by a controller");
   command->require_subcommand(1);
   const auto options = std::make_shared<Options>();
   const auto add = [&](const std::string& name, const std::string& description,
                        int (*run)(const Options&)) {
     auto* sub = command->add_subcommand(name, description);
     sub->add_option("directory", options->directory, "the history's directory")->required();
-    sub->add_option("--key", options->key_file, "the key file that its MACs are checked with");
-    sub->callback(
-        [options, &result, run] { result = run_reporting_errors(*options, [&] { return run(*options); }); });
+    sub->add_option("--key", options->key_file, "key file to verify the MACs of the history with");
+    sub->callback([options, &result, run] {
+      result = run_reporting_errors(*options, [&] { return run(*options); });
+    });
     return sub;
   };
-  auto* show_command = add("show", "the records as a table", &show);
+  auto* show_command = add("show", "print the records as a table", &show);
   show_command->add_option("--job", options->job, "only records about this job");
   show_command->add_option("--machine", options->machine, "only records about this machine");
-  show_command->add_option("--from-s", options->from_s, "seconds after the first record, from");
-  show_command->add_option("--to-s", options->to_s, "seconds after the first record, to");
-  auto* verify_command = add("verify", "check all; exit code 1 with the first damage", &verify);
-  auto* replay_command = add("replay", "run the core over the events and compare", &replay);
-  replay_command->add_option("--until", options->until, "stop before the record of this number")
+  show_command->add_option("--from-s", options->from_s,
+                           "first time to print, in seconds after the first record");
+  show_command->add_option("--to-s", options->to_s,
+                           "last time to print, in seconds after the first record");
+  auto* verify_command =
+      add("verify", "verify all files; exit code 1 at the first corruption", &verify);
+  auto* replay_command =
+      add("replay", "apply the events to the core and compare its actions with the recorded ones",
+          &replay);
+  replay_command->add_option("--until", options->until, "stop before the record with this number")
       ->each([options](const std::string&) { options->until_given = true; });
-  replay_command->add_flag("--from-start", options->from_start,
-                     "use no save, as far as the events go back");
-  auto* compact_command = add("compact", "put everything into one save", &compact);
-  compact_command->add_option("--new-key", options->new_key_file, "sign the new files with this key");
+  replay_command->add_flag(
+      "--from-start", options->from_start,
+      "start from the first event, or from the oldest save if the first events were removed");
+  auto* compact_command = add("compact", "replace the history by a single save", &compact);
+  compact_command->add_option("--new-key", options->new_key_file,
+                              "key file to sign the new files with");
   for (auto* sub : {show_command, verify_command, replay_command})
     sub->add_flag("--json", options->json, "JSON instead of a table");
 }
--- a/src/commands/history.hpp
+++ b/src/commands/history.hpp
@@ -1,12 +1,13 @@
 /// @file
-/// `violetpulley history show/verify/replay/compact`: works offline on a recorded history.
+/// `violetpulley history show/verify/replay/compact`: reads and compacts a recorded history
+/// offline.
 #pragma once
 
 #include <CLI/CLI.hpp>
 
 namespace violetpulley::commands {
 
-/// Adds the command. `result` receives the exit code when the command was called.
+/// Adds the command to `app`. Running the command stores its exit code in `result`.
 void add_history(CLI::App& app, int& result);
 
 }  // namespace violetpulley::commands
--- a/src/commands/pack.cpp
+++ b/src/commands/pack.cpp
@@ -22,7 +22,7 @@
 using solver::Amount;
 using solver::Problem;
 
-constexpr int kBarCharacters = 20;  // characters
+constexpr int kBarCharacters = 20;
 
 struct Options {
   std::string file;
@@ -61,7 +61,8 @@
 
 std::string usage_bar(Amount used, Amount of) {
   const auto used_characters = of == 0 ? 0 : static_cast<std::size_t>(used * kBarCharacters / of);
-  return "[" + std::string(used_characters, '#') + std::string(kBarCharacters - used_characters, '.') + "]";
+  return "[" + std::string(used_characters, '#') +
+         std::string(kBarCharacters - used_characters, '.') + "]";
 }
 
 void print_machines(const Problem& problem, const solver::Placement& placement) {
@@ -97,7 +98,7 @@
     std::string change_list;
     for (const auto& change : step.changes)
       change_list += fmt::format(" {} {} {}", change.tasks < 0 ? "away from" : "to",
-                           problem.machines[change.machine].id, std::abs(change.tasks));
+                                 problem.machines[change.machine].id, std::abs(change.tasks));
     fmt::print("{:>4}. {} {}:{}{}\n", ++number, kind_name(step.kind), problem.jobs[step.job].id,
                change_list, step.loss > 0 ? fmt::format(", loses {:g}", to_units(step.loss)) : "");
   }
@@ -207,7 +208,7 @@
                solution.found.score.machines, to_units(solution.found.score.price),
                !solution.proof          ? ""
                : solution.proof->proven ? "; nothing is better"
-                                       : "; stopped before it was proven, see bound in --json");
+                                        : "; stopped before it was proven, see bound in --json");
   }
   return solution.left_out.empty() ? kSuccess : kCheckFailed;
 }
@@ -216,13 +217,14 @@
 
 void add_pack(CLI::App& app, int& result) {
   const auto options = std::make_shared<Options>();
-  auto* command = app.add_subcommand("pack", "place a written case; exit code 1: not all fits");
-  command->add_option("case", options->file, "the case (YAML, docs/solver.md)")->required();
-  command->add_flag("--exact", options->exact, "search until nothing can be better");
-  command->add_option("--steps", options->steps, "the exact search stops after so many");
-  command->add_option("--seed", options->seed, "of the fast search");
-  command->add_flag("--explain", options->explain, "say why something is left out");
-  command->add_flag("--json", options->json, "for programs");
+  auto* command = app.add_subcommand(
+      "pack", "solve a placement case from a file; exit code 1 if some tasks are not placed");
+  command->add_option("case", options->file, "case file (YAML, docs/solver.md)")->required();
+  command->add_flag("--exact", options->exact, "search until the placement is proven optimal");
+  command->add_option("--steps", options->steps, "maximum number of steps of the exact search");
+  command->add_option("--seed", options->seed, "random seed of the fast search");
+  command->add_flag("--explain", options->explain, "print why tasks were not placed");
+  command->add_flag("--json", options->json, "print JSON");
   command->callback([options, &result] { result = pack(*options); });
 }
 
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -25,7 +25,7 @@
   return out;
 }
 
-// Runs `work` with the settings; malformed settings have an exit code of their own.
+// Runs `work` with the loaded settings; returns kInvalidInput if they are malformed.
 template <class Work>
 int with_settings(const ServeOptions& options, const Work& work) {
   AllSettings settings;
@@ -55,7 +55,7 @@
       Node node(io, std::move(settings.platform), settings.operators, std::move(settings.history));
       signals.async_wait([&io](const asio::error_code& error, int signal) {
         if (error) return;
-        spdlog::info("ending on signal {}", signal);
+        spdlog::info("shutting down on signal {}", signal);
         io.stop();
       });
       io.run();
--- a/src/commands/serve.hpp
+++ b/src/commands/serve.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Starts a controller, or checks its settings.
+/// `violetpulley serve` and `violetpulley check`: run a controller, or check its settings files.
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
 
 /// Runs a controller until SIGINT or SIGTERM. Returns an exit code; errors go to standard error.
 int serve(const ServeOptions& options);
-/// Reads and checks the settings. Returns an exit code; errors go to standard error.
+/// Loads and checks the settings. Returns an exit code; errors go to standard error.
 int check(const ServeOptions& options);
 
 }  // namespace violetpulley::commands
