--- a/tests/history/history_test.cpp
+++ b/tests/history/history_test.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// Histories: events that entered a core are recorded, and a replay reaches the same state. Each
-/// fault is compared with a clean run over the same events, by digest of the state after each
-/// record.
+/// Tests of recorded histories: a replay of the recorded events must reach the same state. After
+/// each fault, the state is compared with that of a fault-free replay of the same records, by
+/// digest.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -25,11 +25,11 @@
 const Key kKey = parse_key(std::string(64, '7'));
 const Key kOtherKey = parse_key(std::string(64, '8'));
 
-/// Events and actions of the leaders of a seeded simulation with all its faults, and the digest of
-/// the state before each record.
+/// Events and actions of the leaders in a seeded simulation with faults, and the digest of the
+/// state before each record.
 struct RecordedRun {
   std::vector<Record> records;
-  std::vector<std::uint64_t> states;  // one more than records
+  std::vector<std::uint64_t> states;  // one more entry than `records`
 };
 
 RecordedRun record_run(std::uint64_t seed, Seconds length) {
@@ -56,13 +56,13 @@
   return run;
 }
 
-/// A process that writes the records of a story as a leader does.
+/// Recovers a history and writes records to it as a leader does.
 class Writer {
  public:
   Writer(Files& files, LogSettings settings, std::optional<Key> key = {})
       : files_(files), settings_(settings), key_(key) {}
 
-  /// Recovers and returns the number of records in the history.
+  /// Recovers the history and returns its number of records.
   std::uint64_t open() {
     replay_ = std::make_unique<Replay>();
     const auto contents =
@@ -77,7 +77,8 @@
     if (const auto* event = std::get_if<core::Event>(&record.content))
       log_->record(record.token, record.at, *event);
     else
-      log_->record_actions(record.token, record.at, std::get<ActionsRecorded>(record.content).digest);
+      log_->record_actions(record.token, record.at,
+                           std::get<ActionsRecorded>(record.content).digest);
     log_->flush(record.at);
     const bool between = std::holds_alternative<ActionsRecorded>(record.content);
     if (log_->snapshotting())
@@ -112,10 +113,10 @@
   return name;
 }
 
-/// The recovered state is that of a clean run after as many records, and continuing from that state
-/// reaches the clean run's end.
+/// Expects that the recovered state equals that of a fault-free replay after as many records, and
+/// that writing the remaining records reaches the same final state.
 void expect_recovery(Files& files, const RecordedRun& run, std::uint64_t min_records,
-                  std::optional<Key> key = {}) {
+                     std::optional<Key> key = {}) {
   Writer writer(files, frequent_snapshots(), key);
   const auto recovered = writer.open();
   ASSERT_GE(recovered, min_records);
@@ -124,7 +125,7 @@
   for (auto i = recovered; i < run.records.size(); ++i) writer.write(run.records[i]);
   EXPECT_EQ(writer.replay().state_digest(), run.states.back());
   EXPECT_FALSE(writer.replay().difference());
-  // The history is whole for the next reader.
+  // The next reader accepts the complete history.
   EXPECT_EQ(Reader(files, key).check().record_count(), run.records.size());
 }
 
@@ -141,7 +142,8 @@
   const auto contents = reader.check();
   EXPECT_EQ(contents.record_count(), run.records.size());
   EXPECT_EQ(contents.snapshots.size(), 2U);
-  // Both snapshots are the state of a clean run, and covered events are gone.
+  // Both snapshots hold the state of a fault-free replay, and the events that both cover are
+  // removed.
   for (const auto& save : contents.snapshots)
     EXPECT_EQ(save.state_digest, run.states[save.header.record_count]);
   EXPECT_EQ(contents.segments.front().header.segment, contents.snapshots.front().header.segment);
@@ -159,7 +161,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, HistoryReplay, ::testing::Range(31, 35));
 
-/// A snapshot written in slices holds the state at the moment of capture, whatever events follow.
+/// A snapshot written in slices must hold the state at the moment of capture, although events are
+/// applied between the slices.
 class StateCaptureTest : public ::testing::TestWithParam<int> {};
 
 TEST_P(StateCaptureTest, SlicesHoldTheStateAtTheMomentOfCapture) {
@@ -181,7 +184,7 @@
       capture = std::make_unique<StateCapture>(controller);
       return;
     }
-    if (++calls % 4 != 0) return;  // many events between two slices
+    if (++calls % 4 != 0) return;  // several batches of events between two slices
     const auto slice = capture->next(500);
     if (slice) {
       if (sliced.empty() || sliced.back().first != slice->part)
@@ -260,7 +263,7 @@
   }
 }
 
-/// The outcome of reading a history: refused, or a prefix of the records.
+/// Outcome of reading a history: refused, or a prefix of the written records was read.
 enum class ReadResult { refused, prefix };
 
 ReadResult read_all(MemoryFiles& files, const RecordedRun& run, std::optional<Key> key) {
@@ -272,7 +275,7 @@
       reader.read_segment(segment.name, [&](const Record& record, std::uint64_t number) {
         EXPECT_LT(number, run.records.size());
         if (number < run.records.size()) {
-          EXPECT_EQ(packed(record), packed(run.records[number])) << "a wrong record was accepted";
+          EXPECT_EQ(packed(record), packed(run.records[number])) << "a corrupt record was accepted";
         }
         return true;
       });
@@ -288,7 +291,7 @@
   std::size_t records = 0;
 };
 
-/// A history whose last segment is short, as a process that ends now leaves the files.
+/// Writes a history with two snapshots and a short last segment, as a process that ends leaves it.
 void write_short_tail(WrittenHistory& out, const RecordedRun& run, std::optional<Key> key) {
   Writer writer(out.files, frequent_snapshots(), key);
   writer.open();
@@ -315,7 +318,7 @@
     std::size_t refused = 0;
     const auto header = whole.size() < 400 ? whole.size() : std::size_t{400};
     for (std::size_t at = 0; at < whole.size(); ++at) {
-      // Not every byte of the longest bodies, but all of the first and of the last.
+      // All of the first and the last 400 bytes, and every seventh byte between.
       if (at > header && at + 400 < whole.size() && at % 7 != 0) continue;
       MemoryFiles cut;
       cut.put(files);
@@ -328,7 +331,7 @@
       if (read_all(flipped, run, key) == ReadResult::refused) ++refused;
       ASSERT_FALSE(HasFailure()) << "byte " << at;
     }
-    EXPECT_GT(refused, whole.size() / 20) << "damage before the last sync is refused";
+    EXPECT_GT(refused, whole.size() / 20) << "corruption before the last sync must be refused";
   }
 }
 
@@ -344,7 +347,7 @@
     memory.put(changed);
     try {
       Reader(memory, key).check();
-      ADD_FAILURE() << "accepted, although " << cause << " was expected";
+      ADD_FAILURE() << "accepted, expected an error with: " << cause;
     } catch (const CorruptionError& problem) {
       EXPECT_NE(std::string(problem.what()).find(cause), std::string::npos) << problem.what();
     }
@@ -379,7 +382,7 @@
       "format version 9 is unknown", [&](Map& m) { m[segments[0]][7] = 9; }, kKey);
   expect_refused(
       "format version 9 is unknown", [&](Map& m) { m[snapshots[1]][7] = 9; }, kKey);
-  // An attacker without the key writes a history anew, checksums included.
+  // An attacker without the key can write an unsigned history with valid checksums.
   WrittenHistory unsigned_history;
   write_short_tail(unsigned_history, run, std::nullopt);
   expect_refused(
@@ -391,7 +394,7 @@
   auto settings = frequent_snapshots();
   settings.snapshot_interval = Seconds(1000);
   MemoryFiles files;
-  for (std::size_t at = 0; at < 60; at += 20) {  // three processes, a segment each
+  for (std::size_t at = 0; at < 60; at += 20) {  // three processes write a segment each
     Writer writer(files, settings, kKey);
     EXPECT_EQ(writer.open(), at);
     for (auto i = at; i < at + 20; ++i) writer.write(run.records[i]);
@@ -403,7 +406,7 @@
   EXPECT_THROW(Reader(files, kKey).recover(replay, [](const CorruptionError&) {}), CorruptionError);
 }
 
-/// A record changed together with its checksum is found by the MAC alone.
+/// A record that was changed together with its checksum can only be detected by its MAC.
 TEST(History, AForgedRecordWithAValidChecksumFailsTheMac) {
   FrameWriter good(FileKind::events, kKey);
   FrameWriter other(FileKind::events, kOtherKey);
@@ -420,7 +423,8 @@
   EXPECT_FALSE(reader.next());
 }
 
-/// Heartbeats are written as differences: any task list in any order is read as it was.
+/// Heartbeats are stored as differences; random changes and orders of the task lists must
+/// round-trip.
 TEST(History, HeartbeatsStoredAsChangesRoundTrip) {
   std::mt19937_64 random(77);
   const auto pick = [&](std::uint64_t below) { return random() % below; };
@@ -441,7 +445,7 @@
     auto& tasks = heartbeat.tasks;
     for (auto changes = pick(4); changes > 0; --changes) {
       const auto at = tasks.begin() + static_cast<std::ptrdiff_t>(pick(tasks.size() + 1));
-      if (pick(3) == 0 || at == tasks.end())  // attempts of a gang's tasks are equal
+      if (pick(3) == 0 || at == tasks.end())  // tasks of a gang have equal attempts
         tasks.insert(at, {{"j" + std::to_string(pick(3)), static_cast<core::TaskIndex>(pick(9))},
                           pick(20),
                           core::TaskState::running,
@@ -456,9 +460,11 @@
                   core::Event(core::HeartbeatReceived{heartbeat})};
     if (pick(2) == 0)
       record.content = core::Event(core::CommandsAnswered{heartbeat.machine, heartbeat});
-    const bool answers_commands = std::holds_alternative<core::CommandsAnswered>(std::get<0>(record.content));
+    const bool answers_commands =
+        std::holds_alternative<core::CommandsAnswered>(std::get<0>(record.content));
     WrittenRecord written{record.token, record.at, std::get<0>(record.content)};
-    if (const auto* changes = writer.changes(heartbeat, answers_commands)) written.content = *changes;
+    if (const auto* changes = writer.changes(heartbeat, answers_commands))
+      written.content = *changes;
     const auto packed_now = packed(written);
     bytes += packed_now.size();
     whole_bytes += packed(record).size();
@@ -483,8 +489,9 @@
   written.files.bytes(snapshots.back())[100] ^= 4;
   int damaged_snapshots = 0;
   Replay replay;
-  const auto contents =
-      Reader(written.files, kKey).recover(replay, [&](const CorruptionError&) { ++damaged_snapshots; });
+  const auto contents = Reader(written.files, kKey).recover(replay, [&](const CorruptionError&) {
+    ++damaged_snapshots;
+  });
   EXPECT_EQ(damaged_snapshots, 1);
   EXPECT_EQ(contents.record_count(), written.records);
   EXPECT_EQ(replay.state_digest(), run.states[written.records]);
@@ -522,7 +529,7 @@
   Writer writer(files, frequent_snapshots());
   EXPECT_EQ(writer.open(), 0U);
   EXPECT_EQ(Writer(files, frequent_snapshots()).open(), 0U);
-  // Times that step back neither stop snapshots for ever nor end the log.
+  // Times that step back must not stop the recording.
   auto run = short_run();
   MemoryFiles files_of_stepping_back;
   Writer stepping_back(files_of_stepping_back, frequent_snapshots());
@@ -542,7 +549,7 @@
   std::filesystem::remove_all(path);
 }
 
-/// A hundred thousand tasks in one job are written to a snapshot and read back.
+/// A snapshot with a job of 100,000 tasks can be written and restored.
 TEST(History, AJobOfAHundredThousandTasksSurvivesASnapshot) {
   core::LeaderElected elected;
   elected.settings.teams = {{"t", 0, 0, 0, 0}};
@@ -573,7 +580,7 @@
   EXPECT_EQ(restarted.replay().controller()->jobs().at("req-1").waiting.size(), 100'000U);
 }
 
-/// A real process on a real disk, killed at seeded points of its event count.
+/// A process that writes to disk is killed with SIGKILL after a random number of records.
 TEST(History, AKilledProcessLosesNoWrittenRecords) {
   const auto& run = short_run();
   const auto path = ::testing::TempDir() + "violetpulley-killed-" + std::to_string(getpid());
@@ -604,7 +611,8 @@
   std::filesystem::remove_all(path);
 }
 
-/// The command as operators use it: verify, replay, compact, change the key, find damage.
+/// Runs the `history` commands as an operator does: verify, replay, compact with a new key, and
+/// detect corruption.
 TEST(HistoryCommand, VerifiesReplaysCompactsAndFindsDamage) {
   const auto path = ::testing::TempDir() + "violetpulley-command-" + std::to_string(getpid());
   std::filesystem::remove_all(path);
@@ -643,7 +651,8 @@
   EXPECT_EQ(compacted.first, 0) << compacted.second;
   EXPECT_EQ(run_command("verify " + with_old).first, 1);
   EXPECT_EQ(run_command("verify " + with_new).first, 0) << run_command("verify " + with_new).second;
-  EXPECT_NE(run_command("replay " + with_new).second.find(hex(run.states.back())), std::string::npos);
+  EXPECT_NE(run_command("replay " + with_new).second.find(hex(run.states.back())),
+            std::string::npos);
   for (const auto& entry : std::filesystem::directory_iterator(path))
     if (entry.path().extension() == ".vps") {
       std::fstream file(entry.path(), std::ios::in | std::ios::out | std::ios::binary);
--- a/tests/history/memory_files.hpp
+++ b/tests/history/memory_files.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// A directory in memory that can fail at any call and lose power. Bytes that were not synced may
-/// be lost page by page; names that were not synced may be as they were before, from some change
-/// on.
+/// An in-memory directory that can fail at any call and simulate a power cut. A power cut can lose
+/// unsynced bytes page by page, and unsynced changes of file names from some change on. Owns the
+/// current and the durable content of the files.
 #pragma once
 
 #include <cerrno>
@@ -34,10 +34,11 @@
   }
   void append(const std::string& name, std::string_view bytes) override {
     if (count_call_and_check_failure()) {
-      find_or_create(name).bytes.append(bytes.substr(0, bytes.size() / 2));  // a part was written
+      find_or_create(name).bytes.append(bytes.substr(0, bytes.size() / 2));  // a partial write
       fail();
     }
-    if (free_bytes_ && bytes.size() > *free_bytes_) throw FileError({ENOSPC, std::generic_category()}, name);
+    if (free_bytes_ && bytes.size() > *free_bytes_)
+      throw FileError({ENOSPC, std::generic_category()}, name);
     if (free_bytes_) *free_bytes_ -= bytes.size();
     find_or_create(name).bytes.append(bytes);
   }
@@ -63,14 +64,15 @@
     changes_.clear();
   }
 
-  // The n-th call from now, counted from 1, and all after it fail: the process is gone.
+  // Makes the n-th call from now, counted from 1, and all later calls fail, as if the process had
+  // been killed.
   void fail_at(std::size_t n) { fails_at_ = calls_ + n; }
   std::size_t calls() const { return calls_; }
   void set_free_bytes(std::size_t bytes) { free_bytes_ = bytes; }
 
-  // The process is started again: what it wrote is there.
+  // Simulates a restart of the process: calls succeed again, and all written bytes remain.
   void restart() { fails_at_ = 0; }
-  // The machine was without power.
+  // Simulates a power cut: unsynced bytes and changes of names may be lost.
   void power_cut(std::mt19937_64& random) {
     restart();
     auto names = durable_names_;
@@ -80,7 +82,8 @@
     for (auto& [name, file] : names_) {
       const auto& durable = file->durable;
       auto bytes = file->bytes;
-      // The length may be any that was reached, and each page of the rest written or not.
+      // The file may have any length it had since the last sync, and any unsynced page of it may
+      // be zero.
       bytes.resize(durable.size() + random() % (bytes.size() - durable.size() + 1));
       for (std::size_t at = 0; at < bytes.size(); ++at)
         if (at >= durable.size() && (at / kPage * 2654435761U ^ page_salt_) % 3 == 0)
