--- a/bench/history_bench.cpp
+++ b/bench/history_bench.cpp
@@ -1,9 +1,10 @@
-// What a history costs and what it saves (docs/history.md has the figures). Outside CI:
+// Measures the overhead of recording a history, and the time and memory of recovery from it
+// (docs/history.md has the figures). Not run by CI:
 //   cmake --build build --target violetpulley_history_bench &&
 //   build/bench/violetpulley_history_bench
 //
-// A yard of workers that do at once what they are told stands in for a deployment; it has no
-// troubles, since what counts here is size.
+// The simulated agents execute commands at once and without faults, because only the size of the
+// deployment matters here.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -39,14 +40,18 @@
   return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / 1e6;
 }
 
-// Called with each record, when the controller holds it; `between`: actions were just taken.
+// Called with each record after the controller applied it. `actions_taken` tells that the actions
+// of the controller were just taken, so that a snapshot may start.
 using RecordCallback = std::function<void(const Record&, core::Controller&, bool actions_taken)>;
 
 class SimulatedCluster {
  public:
-  // `digests`: of the actions, which only a history needs.
-  SimulatedCluster(int machines, core::TaskIndex tasks_per_machine, bool compute_digests, RecordCallback on_record)
-      : tasks_per_machine_(tasks_per_machine), compute_digests_(compute_digests), on_record_(std::move(on_record)) {
+  // `compute_digests`: whether to compute the digests of actions, which only a history needs.
+  SimulatedCluster(int machines, core::TaskIndex tasks_per_machine, bool compute_digests,
+                   RecordCallback on_record)
+      : tasks_per_machine_(tasks_per_machine),
+        compute_digests_(compute_digests),
+        on_record_(std::move(on_record)) {
     elected_event_.token = 7;
     elected_event_.settings.teams = {{"t", 0, 0, 0, 0}};
     elected_event_.settings.cloud_calls_per_s = 3;
@@ -63,10 +68,11 @@
     controller_ = core::make_controller(elected_event_, now_);
     elected_at_ = now_;
     on_record_({7, now_, core::Event(elected_event_)}, *controller_, false);
-    apply_event(core::CatalogReceived{{{"big", {64, 0, 512}, 60, 1, 3.7, 1.1, Seconds(20), {"a", "b"}}}});
+    apply_event(
+        core::CatalogReceived{{{"big", {64, 0, 512}, 60, 1, 3.7, 1.1, Seconds(20), {"a", "b"}}}});
   }
 
-  // Runs until so many records were written.
+  // Runs until `records` records were written.
   void run(std::uint64_t records) {
     while (record_count_ < records) step();
   }
@@ -110,8 +116,8 @@
     const auto actions = controller_->take_actions();
     if (actions.empty()) return;
     ++record_count_;
-    on_record_({7, now_, ActionsRecorded{compute_digests_ ? history::digest_of(actions) : 0}}, *controller_,
-          true);
+    on_record_({7, now_, ActionsRecorded{compute_digests_ ? history::digest_of(actions) : 0}},
+               *controller_, true);
     for (const auto& action : actions) std::visit([&](const auto& a) { execute(a); }, action);
   }
 
@@ -201,7 +207,7 @@
   return total;
 }
 
-// Records straight into a log, with or without saves.
+// Writes records to an event log, with or without snapshots.
 class LogRecorder {
  public:
   LogRecorder(const std::string& path, std::optional<history::Key> key, bool with_snapshots)
@@ -217,7 +223,8 @@
     if (const auto* event = std::get_if<core::Event>(&record.content))
       log_->record(record.token, record.at, *event);
     else
-      log_->record_actions(record.token, record.at, std::get<ActionsRecorded>(record.content).digest);
+      log_->record_actions(record.token, record.at,
+                           std::get<ActionsRecorded>(record.content).digest);
     if (actions_taken) log_->flush(record.at);
     write_s_ += Seconds(core::Clock::now() - write_started_at).count();
     if (!actions_taken || !with_snapshots_) return;
@@ -243,10 +250,10 @@
   std::unique_ptr<history::EventLog> log_;
   double longest_slice_s_ = 0;
   double snapshot_cpu_s_ = 0;
-  double write_s_ = 0;  // of records, s
+  double write_s_ = 0;
 };
 
-// Recovery time and memory by the length of the history.
+// Measures time and memory of recovery for histories of increasing length.
 void measure_recovery(bool with_snapshots) {
   for (const std::uint64_t records : {1'000U, 10'000U, 100'000U, 1'000'000U}) {
     const auto path = new_directory();
@@ -254,13 +261,15 @@
     {
       LogRecorder recorder(path, std::nullopt, with_snapshots);
       SimulatedCluster* cluster_ptr = nullptr;
-      SimulatedCluster cluster(50, 10, true,
-                [&](const Record& record, core::Controller& controller, bool actions_taken) {
-                  if (cluster_ptr != nullptr)
-                    recorder(record, controller, actions_taken, cluster_ptr->elected_event(), cluster_ptr->elected_at());
-                  else
-                    recorder(record, controller, actions_taken, {}, {});
-                });
+      SimulatedCluster cluster(
+          50, 10, true,
+          [&](const Record& record, core::Controller& controller, bool actions_taken) {
+            if (cluster_ptr != nullptr)
+              recorder(record, controller, actions_taken, cluster_ptr->elected_event(),
+                       cluster_ptr->elected_at());
+            else
+              recorder(record, controller, actions_taken, {}, {});
+          });
       cluster_ptr = &cluster;
       cluster.run(records);
       jobs = cluster.jobs_done();
@@ -276,12 +285,13 @@
         "recovery %s: %8llu records, %8.1f MB on disk, %6.3f s, %6.1f MB more memory, %llu jobs\n",
         with_snapshots ? "with saves   " : "without saves",
         static_cast<unsigned long long>(contents.record_count()), static_cast<double>(bytes) / 1e6,
-        cpu_seconds() - started_at, resident_mb() - resident_mb_before, static_cast<unsigned long long>(jobs));
+        cpu_seconds() - started_at, resident_mb() - resident_mb_before,
+        static_cast<unsigned long long>(jobs));
     std::filesystem::remove_all(path);
   }
 }
 
-// What reading a report off the wire takes, without the socket and the HTTP around it.
+// CPU time to parse the JSON body of a heartbeat, without socket and HTTP.
 double measure_heartbeat_parsing(core::TaskIndex tasks) {
   nlohmann::json cuts = nlohmann::json::array();
   for (core::TaskIndex i = 0; i < tasks; ++i)
@@ -301,8 +311,10 @@
   return (cpu_seconds() - started_at) / kIterations;
 }
 
-// The same events with the history off and on, at the size of the largest deployment.
-void measure_overhead(int machines, core::TaskIndex tasks, Seconds duration, std::optional<history::Key> key) {
+// Measures the CPU time per record without and with a history; `main` passes the size of the
+// largest deployment.
+void measure_overhead(int machines, core::TaskIndex tasks, Seconds duration,
+                      std::optional<history::Key> key) {
   double cpu_s[2] = {0, 0};
   std::uint64_t records = 0;
   std::uint64_t jobs = 0;
@@ -318,10 +330,12 @@
     if (enabled) recorder = std::make_unique<LogRecorder>(path, key, true);
     SimulatedCluster* cluster_ptr = nullptr;
     SimulatedCluster cluster(
-        machines, tasks, enabled, [&](const Record& record, core::Controller& controller, bool actions_taken) {
+        machines, tasks, enabled,
+        [&](const Record& record, core::Controller& controller, bool actions_taken) {
           static const core::LeaderElected kNoElectedEvent;
           if (recorder)
-            (*recorder)(record, controller, actions_taken, cluster_ptr != nullptr ? cluster_ptr->elected_event() : kNoElectedEvent,
+            (*recorder)(record, controller, actions_taken,
+                        cluster_ptr != nullptr ? cluster_ptr->elected_event() : kNoElectedEvent,
                         cluster_ptr != nullptr ? cluster_ptr->elected_at() : TimePoint{});
         });
     cluster_ptr = &cluster;
@@ -341,18 +355,20 @@
     std::filesystem::remove_all(path);
   }
   const double parse_s = measure_heartbeat_parsing(tasks);
-  std::printf("reading a report of %u tasks off the wire: %.2f us\n", tasks, parse_s * 1e6);
+  std::printf("parsing a heartbeat of %u tasks: %.2f us\n", tasks, parse_s * 1e6);
   std::printf(
-      "cost at %d machines, %zu tasks on them, %s: %llu records, %llu jobs; off %.2f us, on %.2f "
+      "overhead at %d machines, %zu tasks on them, %s: %llu records, %llu jobs; off %.2f us, on "
+      "%.2f "
       "us "
-      "a record (+%.1f%%), of it writing %.2f us, saves %.2f us; %llu saves, longest slice %.1f "
+      "a record (+%.1f%%), of which writing %.2f us, saves %.2f us; %llu saves, longest slice %.1f "
       "ms; %.1f MB kept\n",
       machines, on_machines, key ? "signed" : "unsigned", static_cast<unsigned long long>(records),
       static_cast<unsigned long long>(jobs), cpu_s[0] / static_cast<double>(records) * 1e6,
       cpu_s[1] / static_cast<double>(records) * 1e6, (cpu_s[1] / cpu_s[0] - 1) * 100,
       write_s / static_cast<double>(records) * 1e6,
-      snapshot_cpu_s / static_cast<double>(records) * 1e6, static_cast<unsigned long long>(snapshots),
-      longest_slice_s * 1e3, static_cast<double>(bytes) / 1e6);
+      snapshot_cpu_s / static_cast<double>(records) * 1e6,
+      static_cast<unsigned long long>(snapshots), longest_slice_s * 1e3,
+      static_cast<double>(bytes) / 1e6);
 }
 
 }  // namespace
@@ -364,7 +380,7 @@
   measure_overhead(1700, 59, core::Seconds(120), std::nullopt);
   measure_overhead(1700, 59, core::Seconds(120), key);
   measure_overhead(1700, 6, core::Seconds(120), std::nullopt);
-  if (argc > 1) return 0;  // any argument: the cost alone
+  if (argc > 1) return 0;  // any argument: only the overhead
   measure_recovery(true);
   measure_recovery(false);
 }
--- a/bench/solver_bench.cpp
+++ b/bench/solver_bench.cpp
@@ -1,5 +1,5 @@
-// Time and quality of the solver from 10 to 2,000 machines (docs/solver.md has the figures).
-// Outside CI:
+// Measures run time and placement quality of the solver with 10 to 2,000 machines (docs/solver.md
+// has the figures). Not run by CI:
 //   cmake --build build --target violetpulley_solver_bench && build/bench/violetpulley_solver_bench
 #include <benchmark/benchmark.h>
 
@@ -10,7 +10,7 @@
 namespace violetpulley::solver {
 namespace {
 
-// A fleet that is half full of movable work in odd pieces, and jobs that wait: mostly arrays.
+// A fleet fragmented by running tasks of various sizes, and waiting jobs, mostly arrays.
 Problem fragmented_problem(std::int64_t machines, std::int64_t jobs, std::uint32_t tasks) {
   std::mt19937_64 random(7);
   const auto pick = [&](std::uint64_t below) { return random() % below; };
@@ -62,7 +62,8 @@
 }
 
 Problem problem_of_size(const benchmark::State& state) {
-  return fragmented_problem(state.range(0), state.range(1), static_cast<std::uint32_t>(state.range(2)));
+  return fragmented_problem(state.range(0), state.range(1),
+                            static_cast<std::uint32_t>(state.range(2)));
 }
 
 void benchmark_fill(benchmark::State& state) {
