--- a/src/config/history_settings.cpp
+++ b/src/config/history_settings.cpp
@@ -62,7 +62,8 @@
       {"sync_every_s", seconds_field(out.log.sync_interval, {0.01, 3600})},
       {"most_mb",
        [&out](const YAML::Node& node, const std::string& name) {
-         out.log.max_bytes_between_snapshots = static_cast<std::uint64_t>(number(node, name, {1, 1e6}) * 1024 * 1024);
+         out.log.max_bytes_between_snapshots =
+             static_cast<std::uint64_t>(number(node, name, {1, 1e6}) * 1024 * 1024);
        }},
       {"most_age_s", seconds_field(out.max_age, {1, 30 * 86400.0})},
   };
--- a/tests/golden/golden_history_test.cpp
+++ b/tests/golden/golden_history_test.cpp
@@ -159,7 +159,8 @@
           if (std::exchange(header, false))
             return history::packed(history::unpacked<history::SegmentHeader>(payload));
           ++records;
-          auto record = heartbeat_reader.restore(history::unpacked<history::WrittenRecord>(payload));
+          auto record =
+              heartbeat_reader.restore(history::unpacked<history::WrittenRecord>(payload));
           history::WrittenRecord written{record.token, record.at, {}};
           if (const auto* actions = std::get_if<history::ActionsRecorded>(&record.content)) {
             written.content = *actions;
