--- a/bench/history_bench.cpp
+++ b/bench/history_bench.cpp
@@ -355,7 +355,7 @@
     std::filesystem::remove_all(path);
   }
   const double parse_s = measure_heartbeat_parsing(tasks);
-  std::printf("parsing a heartbeat of %u tasks: %.2f us\n", tasks, parse_s * 1e6);
+  std::printf("reading a report of %u tasks off the wire: %.2f us\n", tasks, parse_s * 1e6);
   std::printf(
       "overhead at %d machines, %zu tasks on them, %s: %llu records, %llu jobs; off %.2f us, on "
       "%.2f "
--- a/src/commands/history.cpp
+++ b/src/commands/history.cpp
@@ -188,8 +188,7 @@
   history::Replay replay;
   reader.replay(contents, replay);
   if (replay.controller() == nullptr) {
-    std::cerr
-        << "violetpulley: the history holds no leader election, so there is no state to compact\n";
+    std::cerr << "violetpulley: the history is empty, there is no state to compact\n";
     return kCheckFailed;
   }
   const auto events = contents.record_count();
@@ -227,9 +226,9 @@
   show_command->add_option("--to-s", options->to_s,
                            "last time to print, in seconds after the first record");
   auto* verify_command =
-      add("verify", "verify all files; exit code 1 at the first corruption", &verify);
+      add("verify", "check all files; exit code 1 at the first corruption", &verify);
   auto* replay_command =
-      add("replay", "apply the events to the core and compare its actions with the recorded ones",
+      add("replay", "run the core over the events and compare its actions with the recorded ones",
           &replay);
   replay_command->add_option("--until", options->until, "stop before the record with this number")
       ->each([options](const std::string&) { options->until_given = true; });
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -55,7 +55,7 @@
       Node node(io, std::move(settings.platform), settings.operators, std::move(settings.history));
       signals.async_wait([&io](const asio::error_code& error, int signal) {
         if (error) return;
-        spdlog::info("shutting down on signal {}", signal);
+        spdlog::info("ending on signal {}", signal);
         io.stop();
       });
       io.run();
--- a/src/history/pack.hpp
+++ b/src/history/pack.hpp
@@ -170,7 +170,7 @@
             ...);
   };
   if (!emplace_alternative(std::make_index_sequence<std::variant_size_v<T>>{}))
-    throw DecodeError("variant alternative " + std::to_string(index) + " is unknown");
+    throw DecodeError("variant kind " + std::to_string(index) + " is unknown");
 }
 
 template <class T>
--- a/src/history/replay.cpp
+++ b/src/history/replay.cpp
@@ -23,7 +23,7 @@
   const auto number = record_count_++;
   if (const auto* recorded_actions = std::get_if<ActionsRecorded>(&record.content)) {
     if (!controller_)
-      throw DecodeError("a record of actions precedes the first LeaderElected event");
+      throw DecodeError("a record of actions precedes the first takeover by a leader");
     const auto actions = controller_->take_actions();
     const auto digest = digest_of(actions);
     actions_.add(digest);
@@ -38,7 +38,7 @@
     elected_event_ = {elected->settings, elected->token, elected->former_leases_end, {}};
     return;
   }
-  if (!controller_) throw DecodeError("an event precedes the first LeaderElected event");
+  if (!controller_) throw DecodeError("an event precedes the first takeover by a leader");
   core::apply(*controller_, event, record.at);
 }
 
--- a/tests/history/history_test.cpp
+++ b/tests/history/history_test.cpp
@@ -347,7 +347,7 @@
     memory.put(changed);
     try {
       Reader(memory, key).check();
-      ADD_FAILURE() << "accepted, expected an error with: " << cause;
+      ADD_FAILURE() << "accepted, although an error with " << cause << " was expected";
     } catch (const CorruptionError& problem) {
       EXPECT_NE(std::string(problem.what()).find(cause), std::string::npos) << problem.what();
     }
