--- a/bench/history_bench.cpp
+++ b/bench/history_bench.cpp
@@ -106,11 +106,11 @@
   void step() {
     now_ += milliseconds(100);
     const auto max_open_tasks = agents_.size() * tasks_per_machine_;
-    while (open_tasks_ < max_open_tasks) submit();
+    while (open_tasks_ < max_open_tasks) submit_job();
     for (auto& [id, agent] : agents_)
       if (now_ >= agent.next_heartbeat_at) {
         agent.next_heartbeat_at = now_ + std::chrono::seconds(6);
-        heartbeat(agent);
+        send_heartbeat(agent);
       }
     apply_event(core::Ticked{true, now_});
     const auto actions = controller_->take_actions();
@@ -121,24 +121,24 @@
     for (const auto& action : actions) std::visit([&](const auto& a) { execute(a); }, action);
   }
 
-  void submit() {
+  void submit_job() {
     core::JobRecord record;
     char name[16];
-    std::snprintf(name, sizeof name, "req-%06d", ++jobs_);
+    std::snprintf(name, sizeof name, "req-%06d", ++submitted_jobs_);
     record.spec.id = name;
     record.spec.job_class = "tiles";
     record.spec.team = "t";
     record.spec.tasks = 200;
     record.spec.per_task = {1, 0, 4};
-    record.spec.image = "i" + std::to_string(jobs_ % 8);
+    record.spec.image = "i" + std::to_string(submitted_jobs_ % 8);
     record.spec.image_gb = 1;
     record.spec.spot_allowed = true;
-    record.spec.estimate = Seconds(50 + jobs_ % 20);
-    record.revision = 100 + static_cast<core::Revision>(jobs_);
+    record.spec.estimate = Seconds(50 + submitted_jobs_ % 20);
+    record.revision = 100 + static_cast<core::Revision>(submitted_jobs_);
     open_tasks_ += record.spec.tasks;
     apply_event(core::JobOpened{record});
   }
-  void heartbeat(Agent& agent) {
+  void send_heartbeat(Agent& agent) {
     for (auto& task : agent.heartbeat.tasks) {
       if (task.state == core::TaskState::fetching) task.state = core::TaskState::running;
       if (task.state == core::TaskState::running && now_ >= agent.end_times[task.task]) {
@@ -191,7 +191,7 @@
   std::uint64_t record_count_ = 0;
   std::uint64_t jobs_done_ = 0;
   std::size_t open_tasks_ = 0;
-  int jobs_ = 0;
+  int submitted_jobs_ = 0;
 };
 
 std::string new_directory() {
@@ -319,7 +319,7 @@
   std::uint64_t records = 0;
   std::uint64_t jobs = 0;
   std::uint64_t bytes = 0;
-  std::size_t on_machines = 0;
+  std::size_t tasks_on_machines = 0;
   double longest_slice_s = 0;
   double snapshot_cpu_s = 0;
   double write_s = 0;
@@ -344,7 +344,7 @@
     cpu_s[enabled ? 1 : 0] = cpu_seconds() - started_at;
     records = cluster.record_count();
     jobs = cluster.jobs_done();
-    on_machines = cluster.tasks_on_machines();
+    tasks_on_machines = cluster.tasks_on_machines();
     if (recorder) {
       longest_slice_s = recorder->longest_slice_s();
       snapshot_cpu_s = recorder->snapshot_cpu_s();
@@ -362,10 +362,10 @@
       "us "
       "a record (+%.1f%%), of which writing %.2f us, saves %.2f us; %llu saves, longest slice %.1f "
       "ms; %.1f MB kept\n",
-      machines, on_machines, key ? "signed" : "unsigned", static_cast<unsigned long long>(records),
-      static_cast<unsigned long long>(jobs), cpu_s[0] / static_cast<double>(records) * 1e6,
-      cpu_s[1] / static_cast<double>(records) * 1e6, (cpu_s[1] / cpu_s[0] - 1) * 100,
-      write_s / static_cast<double>(records) * 1e6,
+      machines, tasks_on_machines, key ? "signed" : "unsigned",
+      static_cast<unsigned long long>(records), static_cast<unsigned long long>(jobs),
+      cpu_s[0] / static_cast<double>(records) * 1e6, cpu_s[1] / static_cast<double>(records) * 1e6,
+      (cpu_s[1] / cpu_s[0] - 1) * 100, write_s / static_cast<double>(records) * 1e6,
       snapshot_cpu_s / static_cast<double>(records) * 1e6,
       static_cast<unsigned long long>(snapshots), longest_slice_s * 1e3,
       static_cast<double>(bytes) / 1e6);
--- a/src/history/describe.cpp
+++ b/src/history/describe.cpp
@@ -20,9 +20,9 @@
     ++states[kStates[static_cast<int>(task.state)]];
   }
   std::ostringstream out;
-  out << heartbeat.machine << " session " << heartbeat.epoch << " message "
+  out << heartbeat.machine << " epoch " << heartbeat.epoch << " sequence "
       << heartbeat.heartbeat_sequence << " token " << heartbeat.token;
-  if (heartbeat.notice) out << " taken in " << heartbeat.notice->count() << " s";
+  if (heartbeat.notice) out << " will be reclaimed in " << heartbeat.notice->count() << " s";
   for (const auto& [state, count] : states) out << ", " << count << " " << state;
   return out.str();
 }
@@ -32,7 +32,7 @@
   const auto visit = [&]<typename T>(const T& e) {
     if constexpr (std::is_same_v<T, core::LeaderElected>)
       out << e.recovered.jobs.size() << " jobs, " << e.recovered.machines.size()
-          << " machines, beliefs about " << e.recovered.learned_state.jobs.size() << " jobs";
+          << " machines, learned state of " << e.recovered.learned_state.jobs.size() << " jobs";
     else if constexpr (std::is_same_v<T, core::CatalogReceived>)
       out << e.types.size() << " types";
     else if constexpr (std::is_same_v<T, core::JobOpened>)
@@ -43,15 +43,15 @@
     else if constexpr (std::is_same_v<T, core::HeartbeatReceived>)
       out << heartbeat_line(e.heartbeat);
     else if constexpr (std::is_same_v<T, core::CommandsAnswered>)
-      out << e.machine << (e.heartbeat ? "" : " gave no answer");
+      out << e.machine << (e.heartbeat ? "" : " did not answer");
     else if constexpr (std::is_same_v<T, core::MachineSaved>)
       out << e.id << (e.ok ? "" : " failed");
     else if constexpr (std::is_same_v<T, core::ProgressSaved>)
       out << e.saved.record.job << " chunk " << e.saved.record.chunk << (e.ok ? "" : " failed");
     else if constexpr (std::is_same_v<T, core::FinishAnswered>)
-      out << e.job << " is not ended yet";
+      out << e.job << " has not ended yet";
     else if constexpr (std::is_same_v<T, core::ScaleOutAnswered>)
-      out << e.name << " brought " << e.answer.machines.size();
+      out << e.name << " answered with machines: " << e.answer.machines.size();
     else if constexpr (std::is_same_v<T, core::ScaleInAnswered>)
       out << e.machines.size() << " machines" << (e.ok ? "" : " failed");
     else if constexpr (std::is_same_v<T, core::CloudListed>)
@@ -59,11 +59,11 @@
     else if constexpr (std::is_same_v<T, core::PlacementsSaved>)
       out << e.job << " version " << e.version;
     else if constexpr (std::is_same_v<T, core::FormerLeadersGone>)
-      out << "every other controller says that it does not lead";
+      out << "every other controller reports that it does not lead";
     else if constexpr (std::is_same_v<T, core::PeerReceivesHeartbeats>)
-      out << "workers come to another controller";
+      out << "machines send heartbeats to another controller";
     else
-      out << (e.may_place ? "" : "may not serve");
+      out << (e.may_place ? "" : "may not place tasks");
   };
   std::visit(visit, event);
   return out.str();
