--- a/src/history/describe.cpp
+++ b/src/history/describe.cpp
@@ -61,9 +61,9 @@
     else if constexpr (std::is_same_v<T, core::FormerLeadersGone>)
       out << "every other controller reports that it does not lead";
     else if constexpr (std::is_same_v<T, core::PeerReceivesHeartbeats>)
-      out << "machines send heartbeats to another controller";
+      out << "workers send heartbeats to another controller";
     else
-      out << (e.may_place ? "" : "may not place tasks");
+      out << (e.may_place ? "" : "may not serve");
   };
   std::visit(visit, event);
   return out.str();
