--- a/tests/golden/golden_history_test.cpp
+++ b/tests/golden/golden_history_test.cpp
@@ -63,7 +63,7 @@
       if (synced_before != synced) {
         out += writer.take();
         EXPECT_EQ(out.size(), synced_before);
-        writer.synced();
+        writer.mark_synced();
         synced = synced_before;
       }
       writer.add(reencode_payload(*payload));
@@ -95,13 +95,13 @@
                                const Json& expected) {
     history::Replay full_replay;
     reader_.replay(contents, full_replay, from_start);
-    EXPECT_EQ(full_replay.events(), contents.events());
+    EXPECT_EQ(full_replay.record_count(), contents.record_count());
     ASSERT_TRUE(full_replay.difference());
     EXPECT_EQ(full_replay.difference()->record, expected.at("differs_at").get<std::uint64_t>());
   }
   static void expect_matches(const history::Replay& replay, const Json& expected) {
     EXPECT_FALSE(replay.difference());
-    EXPECT_EQ(replay.events(), expected.at("events").get<std::uint64_t>());
+    EXPECT_EQ(replay.record_count(), expected.at("events").get<std::uint64_t>());
     EXPECT_EQ(history::hex(replay.actions_digest()), text_field(expected, "actions_digest"));
     EXPECT_EQ(history::hex(replay.state_digest()), text_field(expected, "state_digest"));
   }
@@ -115,7 +115,7 @@
 TEST_P(GoldenHistory, HasTheRecordedSegmentsAndSnapshots) {
   const auto contents = reader_.check();
   EXPECT_EQ(contents.history, "golden");
-  EXPECT_EQ(contents.events(), expected_.at("events").get<std::uint64_t>());
+  EXPECT_EQ(contents.record_count(), expected_.at("events").get<std::uint64_t>());
   EXPECT_TRUE(contents.unfinished.empty());
   Json segments = Json::array();
   for (const auto& segment : contents.segments)
@@ -127,7 +127,7 @@
   Json snapshots = Json::array();
   for (const auto& snapshot : contents.snapshots)
     snapshots.push_back({{"name", snapshot.name},
-                         {"events", snapshot.head.events},
+                         {"events", snapshot.header.record_count},
                          {"bytes", snapshot.bytes},
                          {"state_digest", history::hex(snapshot.state_digest)}});
   EXPECT_EQ(snapshots, expected_.at("snapshots"));
@@ -145,7 +145,7 @@
 TEST_P(GoldenHistory, AReplayReachesTheStateOfTheLastAgreedSnapshot) {
   const auto contents = reader_.check();
   const auto agreed_events = agreement_.is_null()
-                                 ? contents.events()
+                                 ? contents.record_count()
                                  : agreement_.at("from_start").at("events").get<std::uint64_t>();
   const Json* last_agreed_snapshot = nullptr;
   for (const auto& snapshot : expected_.at("snapshots"))
@@ -169,18 +169,19 @@
           if (std::exchange(is_header, false))
             return history::packed(history::unpacked<history::SegmentHeader>(payload));
           ++records;
-          auto record = heartbeat_reader.whole(history::unpacked<history::WrittenRecord>(payload));
+          auto record =
+              heartbeat_reader.restore(history::unpacked<history::WrittenRecord>(payload));
           history::WrittenRecord written{record.token, record.at, {}};
-          if (const auto* actions = std::get_if<history::ActionsRecorded>(&record.what)) {
-            written.what = *actions;
+          if (const auto* actions = std::get_if<history::ActionsRecorded>(&record.content)) {
+            written.content = *actions;
             return history::packed(written);
           }
-          const auto& event = std::get<core::Event>(record.what);
-          written.what = event;
+          const auto& event = std::get<core::Event>(record.content);
+          written.content = event;
           if (const auto* heartbeat = history::heartbeat_of(event)) {
-            const bool answer = std::holds_alternative<core::CommandsAnswered>(event);
-            if (const auto* changes = heartbeat_writer.changes(*heartbeat, answer))
-              written.what = *changes;
+            const bool answers_commands = std::holds_alternative<core::CommandsAnswered>(event);
+            if (const auto* changes = heartbeat_writer.changes(*heartbeat, answers_commands))
+              written.content = *changes;
           }
           return history::packed(written);
         });
