--- a/src/commands/pack.cpp
+++ b/src/commands/pack.cpp
@@ -34,8 +34,8 @@
 };
 
 struct Solution {
-  solver::SearchResult found;
-  std::optional<solver::ExactResult> proof;
+  solver::SearchResult result;
+  std::optional<solver::ExactResult> exact_result;
   std::vector<solver::TransitionStep> steps;
   std::vector<std::pair<std::size_t, solver::Explanation>> left_out;
 };
@@ -45,17 +45,17 @@
 Solution solve(const Problem& problem, const Options& options) {
   Solution out;
   if (options.exact) {
-    out.proof = search_exact(problem, options.steps);
-    out.found = out.proof->best;
+    out.exact_result = search_exact(problem, options.steps);
+    out.result = out.exact_result->best;
   } else {
     solver::SearchOptions search_options;
     search_options.seed = options.seed;
-    out.found = search_fast(problem, search_options);
+    out.result = search_fast(problem, search_options);
   }
-  out.steps = plan_transition(problem, current_placement(problem), out.found.placement);
+  out.steps = plan_transition(problem, current_placement(problem), out.result.placement);
   for (std::size_t j = 0; j < problem.jobs.size(); ++j)
-    if (auto why = explain(problem, out.found.placement, j); why.missing > 0)
-      out.left_out.emplace_back(j, std::move(why));
+    if (auto explanation = explain(problem, out.result.placement, j); explanation.missing > 0)
+      out.left_out.emplace_back(j, std::move(explanation));
   return out;
 }
 
@@ -119,15 +119,16 @@
 
 void print_reasons(const Problem& problem, const Solution& solution) {
   if (!solution.left_out.empty()) fmt::print("\nLeft out:\n");
-  for (const auto& [j, why] : solution.left_out) {
+  for (const auto& [j, explanation] : solution.left_out) {
     const auto& job = problem.jobs[j];
-    fmt::print("  {}: {} of {} tasks; {}\n", job.id, why.missing, job.tasks,
-               why.no_machines  ? "there is no machine"
-               : why.impossible ? "impossible on these machines even when they are empty:"
-                                : "it waits:");
-    for (const auto reason : why.reasons)
+    fmt::print("  {}: {} of {} tasks; {}\n", job.id, explanation.missing, job.tasks,
+               explanation.no_machines  ? "there is no machine"
+               : explanation.impossible ? "impossible on these machines even when they are empty:"
+                                        : "it waits:");
+    for (const auto reason : explanation.reasons)
       fmt::print("    {}: {}\n", code_of(reason), sentence_of(reason, job));
-    if (const auto text = remedy_text(why.remedy); !text.empty()) fmt::print("    {}\n", text);
+    if (const auto text = remedy_text(explanation.remedy); !text.empty())
+      fmt::print("    {}\n", text);
   }
 }
 
@@ -142,15 +143,16 @@
 }
 
 Json to_json(const Problem& problem, const Solution& solution, bool with_reasons) {
-  Json out{{"score", score_json(solution.found.score)}, {"steps_looked_at", solution.found.steps}};
-  if (solution.proof) {
-    out["proven"] = solution.proof->proven;
-    out["bound"] = score_json(solution.proof->bound);
+  Json out{{"score", score_json(solution.result.score)},
+           {"steps_looked_at", solution.result.steps}};
+  if (solution.exact_result) {
+    out["proven"] = solution.exact_result->proven;
+    out["bound"] = score_json(solution.exact_result->bound);
   }
   auto& placement = out["placement"] = Json::array();
   for (std::size_t j = 0; j < problem.jobs.size(); ++j)
     for (std::size_t m = 0; m < problem.machines.size(); ++m)
-      if (const auto count = solution.found.placement[j][m]; count > 0)
+      if (const auto count = solution.result.placement[j][m]; count > 0)
         placement.push_back(
             {{"job", problem.jobs[j].id}, {"machine", problem.machines[m].id}, {"tasks", count}});
   auto& steps = out["steps"] = Json::array();
@@ -166,17 +168,17 @@
   }
   if (!with_reasons) return out;
   auto& left_out = out["left_out"] = Json::array();
-  for (const auto& [j, why] : solution.left_out) {
+  for (const auto& [j, explanation] : solution.left_out) {
     Json reasons = Json::array();
-    for (const auto reason : why.reasons)
+    for (const auto reason : explanation.reasons)
       reasons.push_back(
           {{"code", code_of(reason)}, {"text", sentence_of(reason, problem.jobs[j])}});
     left_out.push_back({{"job", problem.jobs[j].id},
-                        {"missing", why.missing},
-                        {"impossible", why.impossible},
-                        {"no_machines", why.no_machines},
+                        {"missing", explanation.missing},
+                        {"impossible", explanation.impossible},
+                        {"no_machines", explanation.no_machines},
                         {"reasons", reasons},
-                        {"remedy", remedy_text(why.remedy)}});
+                        {"remedy", remedy_text(explanation.remedy)}});
   }
   return out;
 }
@@ -200,15 +202,16 @@
   if (options.json) {
     std::cout << to_json(problem, solution, options.explain).dump(2) << "\n";
   } else {
-    print_machines(problem, solution.found.placement);
+    print_machines(problem, solution.result.placement);
     print_steps(problem, solution.steps);
     if (options.explain) print_reasons(problem, solution);
     fmt::print("\n{} of {} jobs are placed, {} machines, {:g} an hour{}\n",
                problem.jobs.size() - solution.left_out.size(), problem.jobs.size(),
-               solution.found.score.machines, to_units(solution.found.score.price),
-               !solution.proof          ? ""
-               : solution.proof->proven ? "; nothing is better"
-                                        : "; stopped before it was proven, see bound in --json");
+               solution.result.score.machines, to_units(solution.result.score.price),
+               !solution.exact_result ? ""
+               : solution.exact_result->proven
+                   ? "; nothing is better"
+                   : "; stopped before it was proven, see bound in --json");
   }
   return solution.left_out.empty() ? kSuccess : kCheckFailed;
 }
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -13,14 +13,15 @@
 
 struct AllSettings {
   config::Settings platform;
-  config::OperatorSettings operators;
+  config::OperatorSettings operator_settings;
   config::HistorySettings history;
 };
 
 AllSettings load(const ServeOptions& options) {
   AllSettings out;
   out.platform = config::load_settings(options.config);
-  if (!options.operators.empty()) out.operators = config::load_operator_settings(options.operators);
+  if (!options.operator_settings.empty())
+    out.operator_settings = config::load_operator_settings(options.operator_settings);
   if (!options.history.empty()) out.history = config::load_history_settings(options.history);
   return out;
 }
@@ -52,7 +53,8 @@
     try {
       asio::io_context io(1);
       asio::signal_set signals(io, SIGINT, SIGTERM);
-      Node node(io, std::move(settings.platform), settings.operators, std::move(settings.history));
+      Node node(io, std::move(settings.platform), settings.operator_settings,
+                std::move(settings.history));
       signals.async_wait([&io](const asio::error_code& error, int signal) {
         if (error) return;
         spdlog::info("ending on signal {}", signal);
--- a/src/commands/serve.hpp
+++ b/src/commands/serve.hpp
@@ -9,8 +9,8 @@
 /// Paths of the settings files.
 struct ServeOptions {
   std::string config;
-  std::string operators;  // empty: defaults
-  std::string history;    // empty: no history
+  std::string operator_settings;  // empty: defaults
+  std::string history;            // empty: no history
 };
 
 /// Runs a controller until SIGINT or SIGTERM. Returns an exit code; errors go to standard error.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -38,7 +38,8 @@
 void add_serve_options(CLI::App& app, ServeOptions& options, bool required) {
   auto* config = app.add_option("--config", options.config, "the platform's settings file (TOML)");
   if (required) config->required();
-  app.add_option("--operator-settings", options.operators, "the operators' own settings (YAML)");
+  app.add_option("--operator-settings", options.operator_settings,
+                 "the operators' own settings (YAML)");
   app.add_option("--history", options.history, "settings of the history (YAML, see deploy/)");
 }
 
--- a/src/node/heartbeat_endpoint.cpp
+++ b/src/node/heartbeat_endpoint.cpp
@@ -14,9 +14,9 @@
 void HeartbeatEndpoint::handle(const net::Request& request, const net::Responder& respond) {
   last_request_ = core::Clock::now();
   if (auto* leader = ready_leader_()) return leader->handle_heartbeat(request, respond);
-  const auto leader_member = election_.leader_name();
-  if (!leader_member.empty() && leader_member != member_)
-    return respond({421, store::Json{{kLeaderField, leader_member}}.dump(), {}});
+  const auto leader_name = election_.leader_name();
+  if (!leader_name.empty() && leader_name != member_)
+    return respond({421, store::Json{{kLeaderField, leader_name}}.dump(), {}});
   respond({503, R"({"error":"no leader is known"})", kRetryAfter});
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -22,8 +22,8 @@
 /// from overflowing.
 constexpr std::uint64_t kMaxSilenceMs = 1'000'000;
 constexpr std::size_t kMaxReportedJobs = 2000;  // in one status
-constexpr milliseconds kLeaderWatchGap{50};
-constexpr milliseconds kFollowerWatchGap{400};
+constexpr milliseconds kLeaderWatchDelay{50};
+constexpr milliseconds kFollowerWatchDelay{400};
 constexpr milliseconds kCatalogWaitAfterElection{500};
 constexpr double kCloudRateFraction = 0.9;  // of the cloud's request limit
 
@@ -46,10 +46,10 @@
 }  // namespace
 
 Node::Node(asio::io_context& io, config::Settings settings,
-           const config::OperatorSettings& operators, config::HistorySettings history)
+           const config::OperatorSettings& operator_settings, config::HistorySettings history)
     : io_(io),
       settings_(std::move(settings)),
-      tuning_(operators.tuning),
+      tuning_(operator_settings.tuning),
       history_(std::move(history)),
       leadership_(settings_.workers, settings_.clock_skew),
       store_(io, net::parse_endpoint(settings_.state_address), store_share(settings_, false),
@@ -73,8 +73,8 @@
       server_(io, net::parse_endpoint(settings_.public_address), server_limits(settings_),
               request_handler(), RequestRouter::client_kind) {
   recorder_ = make_recorder();
-  if (!operators.why_address.empty())
-    operator_api_ = make_operator_api(net::parse_endpoint(operators.why_address));
+  if (!operator_settings.why_address.empty())
+    operator_api_ = make_operator_api(net::parse_endpoint(operator_settings.why_address));
   update_connection_limits();
   job_replica_.start();
   election_.start();
@@ -110,10 +110,10 @@
 peers::PeerNetwork::Events Node::peer_events() {
   return {[this](const peers::Status& status) { handle_peer_status(status); },
           [this](const std::string& member) {
-            led_at_disconnect_[member] = election_.leader_revision_of(member);
+            leader_revision_at_disconnect_[member] = election_.leader_revision_of(member);
           },
           [this](const std::string& member) {
-            election_.revoke_lease_of(member, led_at_disconnect_[member]);
+            election_.revoke_lease_of(member, leader_revision_at_disconnect_[member]);
           }};
 }
 
@@ -147,18 +147,18 @@
   const auto leader_address = [this, port = address.port()] {
     return leader_operator_address(port);
   };
-  auto operators = std::make_unique<api::OperatorApi>(
+  auto operator_api = std::make_unique<api::OperatorApi>(
       io_, address,
       api::OperatorApi::Environment{settings_.teams,
                                     [this]() -> const MachineTypes& { return catalog_.types(); },
                                     leading_core, leader_address});
   spdlog::info("operator API (why a job waits) listens on {}", net::text_of(address));
-  return operators;
+  return operator_api;
 }
 
 void Node::leadership_won() {
   store_.set_share(store_share(settings_, true));
-  job_replica_.set_watch_delay(kLeaderWatchGap);
+  job_replica_.set_watch_delay(kLeaderWatchDelay);
   leader_ = std::make_unique<Leader>(Leader::Services{io_, settings_, tuning_, leadership_,
                                                       election_, store_, job_replica_, cloud_,
                                                       history_, recorder_.get(), isolated_at_});
@@ -168,7 +168,7 @@
 
 void Node::leadership_lost() {
   store_.set_share(store_share(settings_, false));
-  job_replica_.set_watch_delay(kFollowerWatchGap);
+  job_replica_.set_watch_delay(kFollowerWatchDelay);
   // A callback of the leader may be running, so the leader is destroyed only after the callback has
   // returned. The node owns the leader until then, because the leader uses components of the node.
   if (leader_) former_leaders_.push_back(std::move(leader_));
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -19,8 +19,8 @@
  public:
   /// Starts the node. Throws std::system_error if it cannot listen on an address, and
   /// std::invalid_argument if an address cannot be parsed.
-  Node(asio::io_context& io, config::Settings settings, const config::OperatorSettings& operators,
-       config::HistorySettings history);
+  Node(asio::io_context& io, config::Settings settings,
+       const config::OperatorSettings& operator_settings, config::HistorySettings history);
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
@@ -83,7 +83,7 @@
   asio::steady_timer tick_timer_;
   /// By peer: revision of the leader key under which the peer led when the connection to it last
   /// ended; 0: the peer did not lead.
-  std::map<std::string, store::Revision> led_at_disconnect_;
+  std::map<std::string, store::Revision> leader_revision_at_disconnect_;
   /// Task counts of jobs, as the leader last reported them.
   std::unordered_map<core::JobId, core::JobCounts> reported_counts_;
   peers::PeerNetwork peer_network_;
--- a/tests/store/read_barrier_test.cpp
+++ b/tests/store/read_barrier_test.cpp
@@ -205,7 +205,7 @@
       std::function<void(TestController&, const char*, const std::string&)> ask;
       ask = [&](TestController& at, const char* method, const std::string& body) {
         ++open_requests;
-        at.user.request(
+        at.user_client.request(
             {method, "/" + id, body}, std::chrono::seconds(5),
             [&, method, body, sent = Clock::now()](const std::optional<net::Response>& response) {
               --open_requests;
--- a/tests/store/two_controllers.hpp
+++ b/tests/store/two_controllers.hpp
@@ -34,22 +34,22 @@
         job_replica(
             io, store,
             {[](const core::JobRecord&) {}, [this](const core::JobId& id) { closed.insert(id); }}),
-        users(io, store, job_replica,
-              {{},
-               {},
-               [this]() -> const std::vector<core::MachineType>& { return types; },
-               [](const core::JobId&) { return core::JobCounts{}; }}),
+        user_api(io, store, job_replica,
+                 {{},
+                  {},
+                  [this]() -> const std::vector<core::MachineType>& { return types; },
+                  [](const core::JobId&) { return core::JobCounts{}; }}),
         election(io, store, leadership, name, name + ":1",
                  {[this] { won(); }, [this](const std::string&) { lost(); }, [] {}},
                  static_cast<std::uint64_t>(seed) + 1),
         server(io, fakes::any_port(), {},
                [this](net::Request&& request, const net::Responder& respond) {
                  const auto id = request.target.substr(1);
-                 if (request.method == "GET") return users.poll(id, respond);
-                 if (request.method == "PUT") return users.submit(request, respond);
-                 users.cancel(id, respond);
+                 if (request.method == "GET") return user_api.poll(id, respond);
+                 if (request.method == "PUT") return user_api.submit(request, respond);
+                 user_api.cancel(id, respond);
                }),
-        user(io, server.local_endpoint(), 64) {
+        user_client(io, server.local_endpoint(), 64) {
     job_replica.start();
     election.start();
   }
@@ -74,14 +74,16 @@
   }
   void lost() {
     ready = false;
-    asio::post(io, [old = std::shared_ptr<ReadBarrierLoop>(std::move(read_barriers))] {});
+    asio::post(
+        io, [former_read_barriers = std::shared_ptr<ReadBarrierLoop>(std::move(read_barriers))] {});
   }
   /// Cancels the job as a user; `answered` gets true if the cancellation is confirmed.
   void cancel(const core::JobId& id, std::function<void(bool)> answered) {
-    user.request({"POST", "/" + id, ""}, std::chrono::seconds(5),
-                 [answered = std::move(answered)](const std::optional<net::Response>& response) {
-                   answered(response && response->status == 200);
-                 });
+    user_client.request(
+        {"POST", "/" + id, ""}, std::chrono::seconds(5),
+        [answered = std::move(answered)](const std::optional<net::Response>& response) {
+          answered(response && response->status == 200);
+        });
   }
   bool serves() const { return ready && leadership.may_serve(core::Clock::now()); }
 
@@ -92,12 +94,12 @@
   core::Leadership leadership;
   std::set<core::JobId> closed;  // jobs reported as closed to the core
   JobReplica job_replica;
-  api::UserApi users;
+  api::UserApi user_api;
   std::unique_ptr<ReadBarrierLoop> read_barriers;
   bool ready = false;
   Election election;
   net::HttpServer server;
-  net::HttpClient user;
+  net::HttpClient user_client;
 };
 
 /// Two controllers and the state service that they share.
