--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -162,8 +162,8 @@
   return true;
 }
 
-// Submissions that were refused earlier are repeated earlier: each refusal reserves one write
-// interval after the previous one.
+// Spreads the repetitions: each refused submission gets a retry time at least one write interval
+// after that of the previously refused one.
 seconds UserApi::retry_after(core::Duration wait) {
   const auto now = core::Clock::now();
   next_retry_at_ = std::max(next_retry_at_ + store_.write_interval(), now + wait);
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -57,7 +57,7 @@
   std::deque<QueuedRequest> queue_;
   core::TimePoint resume_at_{};  ///< End of the pause after a 429 response.
   bool timer_running_ = false;
-  async::Lifetime lifetime_;  // last member: ends before the others
+  async::Lifetime lifetime_;  // must be the last member, so that it is destroyed first
 };
 
 }  // namespace violetpulley::cloud
--- a/src/commands/history.cpp
+++ b/src/commands/history.cpp
@@ -35,7 +35,7 @@
 }
 
 // Prints the corruption as JSON or text.
-int report_damage(const Options& options, const history::CorruptionError& problem) {
+int report_corruption(const Options& options, const history::CorruptionError& problem) {
   if (options.json)
     std::cout << Json{{"ok", false},
                       {"file", problem.file},
@@ -53,7 +53,7 @@
   try {
     return work();
   } catch (const history::CorruptionError& problem) {
-    return report_damage(options, problem);
+    return report_corruption(options, problem);
   } catch (const config::SettingsError& problem) {
     std::cerr << "violetpulley: " << problem.what() << "\n";
   } catch (const history::FileError& problem) {
@@ -197,7 +197,7 @@
                      replay.now(), replay.wall_now());
   while (log.snapshotting()) log.continue_snapshot();
   log.prune(1);
-  std::cout << "compacted: " << events << " records are in one save, state "
+  std::cout << "compacted: " << events << " records are in one snapshot, state "
             << history::hex(replay.state_digest()) << "\n";
   return kSuccess;
 }
--- a/src/commands/pack.cpp
+++ b/src/commands/pack.cpp
@@ -37,7 +37,7 @@
   solver::SearchResult result;
   std::optional<solver::ExactResult> exact_result;
   std::vector<solver::TransitionStep> steps;
-  std::vector<std::pair<std::size_t, solver::Explanation>> left_out;
+  std::vector<std::pair<std::size_t, solver::Explanation>> unplaced;
 };
 
 double to_units(Amount amount) { return static_cast<double>(amount) / solver::kOne; }
@@ -55,7 +55,7 @@
   out.steps = plan_transition(problem, current_placement(problem), out.result.placement);
   for (std::size_t j = 0; j < problem.jobs.size(); ++j)
     if (auto explanation = explain(problem, out.result.placement, j); explanation.missing > 0)
-      out.left_out.emplace_back(j, std::move(explanation));
+      out.unplaced.emplace_back(j, std::move(explanation));
   return out;
 }
 
@@ -118,8 +118,8 @@
 }
 
 void print_reasons(const Problem& problem, const Solution& solution) {
-  if (!solution.left_out.empty()) fmt::print("\nLeft out:\n");
-  for (const auto& [j, explanation] : solution.left_out) {
+  if (!solution.unplaced.empty()) fmt::print("\nLeft out:\n");
+  for (const auto& [j, explanation] : solution.unplaced) {
     const auto& job = problem.jobs[j];
     fmt::print("  {}: {} of {} tasks; {}\n", job.id, explanation.missing, job.tasks,
                explanation.no_machines  ? "there is no machine"
@@ -167,13 +167,13 @@
                      {"loss", to_units(step.loss)}});
   }
   if (!with_reasons) return out;
-  auto& left_out = out["left_out"] = Json::array();
-  for (const auto& [j, explanation] : solution.left_out) {
+  auto& unplaced = out["left_out"] = Json::array();
+  for (const auto& [j, explanation] : solution.unplaced) {
     Json reasons = Json::array();
     for (const auto reason : explanation.reasons)
       reasons.push_back(
           {{"code", code_of(reason)}, {"text", sentence_of(reason, problem.jobs[j])}});
-    left_out.push_back({{"job", problem.jobs[j].id},
+    unplaced.push_back({{"job", problem.jobs[j].id},
                         {"missing", explanation.missing},
                         {"impossible", explanation.impossible},
                         {"no_machines", explanation.no_machines},
@@ -206,14 +206,14 @@
     print_steps(problem, solution.steps);
     if (options.explain) print_reasons(problem, solution);
     fmt::print("\n{} of {} jobs are placed, {} machines, {:g} an hour{}\n",
-               problem.jobs.size() - solution.left_out.size(), problem.jobs.size(),
+               problem.jobs.size() - solution.unplaced.size(), problem.jobs.size(),
                solution.result.score.machines, to_units(solution.result.score.price),
                !solution.exact_result ? ""
                : solution.exact_result->proven
                    ? "; nothing is better"
                    : "; stopped before it was proven, see bound in --json");
   }
-  return solution.left_out.empty() ? kSuccess : kCheckFailed;
+  return solution.unplaced.empty() ? kSuccess : kCheckFailed;
 }
 
 }  // namespace
--- a/src/history/reader.cpp
+++ b/src/history/reader.cpp
@@ -78,16 +78,16 @@
     const auto payload = frames.next();
     if (!payload) break;
     auto piece = read_payload<SnapshotPiece>(name, offset, *payload);
-    if (end) throw CorruptionError(name, offset, "a frame follows the end of the save");
+    if (end) throw CorruptionError(name, offset, "a frame follows the end frame of the snapshot");
     if (auto* first = std::get_if<SnapshotHeader>(&piece)) {
-      if (number != 0) throw CorruptionError(name, offset, "the save has a second head");
+      if (number != 0) throw CorruptionError(name, offset, "the snapshot has a second header");
       header = std::move(*first);
     } else if (auto* slice = std::get_if<SnapshotSlice>(&piece)) {
       if (!part_incomplete) parts.emplace_back(slice->part, "");
       if (parts.back().first != slice->part)
         throw CorruptionError(
             name, offset,
-            "the part \"" + parts.back().first + "\" is cut short: its last slice is missing");
+            "the part \"" + parts.back().first + "\" is truncated: its last slice is missing");
       parts.back().second += slice->bytes;
       part_incomplete = !slice->last;
     } else {
@@ -98,7 +98,7 @@
   // later.
   if (frames.torn_bytes() > 0) throw CorruptionError(name, frames.offset(), frames.torn_cause());
   if (!end || part_incomplete)
-    throw CorruptionError(name, frames.offset(), "the save has no end frame");
+    throw CorruptionError(name, frames.offset(), "the snapshot has no end frame");
   if (digest_of(parts) != end->state_digest)
     throw CorruptionError(name, frames.offset(), "the state does not match its digest");
   std::size_t size = 0;
@@ -159,7 +159,7 @@
       (contents.snapshots.empty() ||
        contents.snapshots.front().header.segment < contents.segments.front().header.segment))
     throw CorruptionError(contents.segments.front().name, 0,
-                          "earlier events are missing and no save covers them");
+                          "earlier events are missing and no snapshot covers them");
 }
 
 void Reader::check_segment(Contents& contents, std::size_t index) const {
@@ -215,7 +215,7 @@
 }
 
 Contents Reader::recover(Replay& replay,
-                         const std::function<void(const CorruptionError&)>& on_damaged) {
+                         const std::function<void(const CorruptionError&)>& on_corrupt_snapshot) {
   Contents out;
   std::vector<std::string> segments;
   std::vector<std::string> snapshots;
@@ -234,7 +234,7 @@
       break;
     } catch (const CorruptionError& problem) {
       if (snapshots.empty() && segment_number(segments.empty() ? "" : segments.front()) != 1) throw;
-      on_damaged(problem);
+      on_corrupt_snapshot(problem);
     }
   }
   for (const auto& name : segments) {
--- a/src/history/reader.hpp
+++ b/src/history/reader.hpp
@@ -57,10 +57,11 @@
                            const std::function<bool(const Record&, std::uint64_t)>& on_record);
 
   /// Restores the newest valid snapshot and replays the events after it, for a process that
-  /// continues the history; older files are not read. Calls `on_damaged` for each corrupt snapshot
-  /// that is skipped in favour of the previous one. Throws CorruptionError if the history cannot be
-  /// restored from any snapshot or from the first event, and FileError.
-  Contents recover(Replay& replay, const std::function<void(const CorruptionError&)>& on_damaged);
+  /// continues the history; older files are not read. Calls `on_corrupt_snapshot` for each corrupt
+  /// snapshot that is skipped in favour of the previous one. Throws CorruptionError if the history
+  /// cannot be restored from any snapshot or from the first event, and FileError.
+  Contents recover(Replay& replay,
+                   const std::function<void(const CorruptionError&)>& on_corrupt_snapshot);
 
   /// Restores the newest snapshot and replays the events after it. With `from_start`, replays all
   /// events, from the oldest snapshot if the first events were removed. Stops before the record
--- a/src/leader/job_verifier.hpp
+++ b/src/leader/job_verifier.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// Withholds new jobs from the core until a proof of leadership allows their placement. A job may
-/// be placed only if it was read while this node provably led, which a proof requested after the
-/// read shows (docs/safety.md, "One copy of a task", 3). Owns the jobs that wait for a proof.
+/// Withholds new jobs from the core until their placement is safe: a job may be placed only after a
+/// proof of leadership that was requested after the job was read, since the proof shows that this
+/// node led at the time of the read (docs/safety.md, "One copy of a task", 3). Owns the jobs that
+/// wait for a proof.
 #pragma once
 
 #include <map>
--- a/src/node/health.cpp
+++ b/src/node/health.cpp
@@ -18,7 +18,7 @@
 // A node that has lost the state service is unhealthy if a peer still has contact with the service,
 // or if the node has lost all peers too: users must not wait for such a node. If the peers have
 // lost the state service as well, the outage is shared and the node stays healthy, because each
-// removal from service would double the time for which the node stays removed the next time.
+// removal from service doubles the duration of the node's next removal.
 bool HealthMonitor::healthy(bool replica_synced, core::TimePoint now) const {
   if (!replica_synced) return false;
   if (now - store_answered_ < kContactTimeout) return true;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::chrono::seconds kTickInterval{1};
-/// A peer receives heartbeats if an agent sent it a request within this time.
+/// A peer counts as receiving heartbeats if an agent sent it a request within this time.
 constexpr std::uint64_t kRecentHeartbeatMs = 3000;
 /// Upper bound for a silence of the state service that a peer reports: keeps the time arithmetic
 /// from overflowing.
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -89,7 +89,7 @@
   peers::PeerNetwork peer_network_;
   net::HttpServer server_;
   std::unique_ptr<api::OperatorApi> operator_api_;  ///< Null: not configured.
-  async::Lifetime lifetime_;  ///< Last member, so that it ends before the others.
+  async::Lifetime lifetime_;  ///< Must be the last member, so that it is destroyed first.
 };
 
 }  // namespace violetpulley
--- a/src/peers/status.hpp
+++ b/src/peers/status.hpp
@@ -22,7 +22,7 @@
 };
 
 /// Value of a silence if nothing was ever received.
-inline constexpr std::uint64_t kNeverHeard = std::numeric_limits<std::uint64_t>::max();
+inline constexpr std::uint64_t kNeverReceived = std::numeric_limits<std::uint64_t>::max();
 
 /// Version of the status message; messages of another version are refused.
 inline constexpr std::uint32_t kStatusVersion = 1;
@@ -44,7 +44,7 @@
   /// program version does not report the token.
   std::uint64_t followed_token = 0;
   /// Milliseconds since an agent last sent a request to the sender, whatever the response was.
-  std::uint64_t agents_silence_ms = kNeverHeard;
+  std::uint64_t agents_silence_ms = kNeverReceived;
   MSGPACK_DEFINE(version, member, store_silence_ms, token, counts, followed_token,
                  agents_silence_ms)
 };
--- a/src/store/election.cpp
+++ b/src/store/election.cpp
@@ -11,7 +11,7 @@
 constexpr milliseconds kLeaseTime{3000};
 constexpr milliseconds kWatchBlock{8000};
 constexpr milliseconds kReloadRetry{300};
-constexpr milliseconds kWatchRetry{200};
+constexpr milliseconds kWatchRetryDelay{200};
 constexpr milliseconds kMinCampaignRetry{100};
 constexpr milliseconds kMaxCampaignRetry{300};
 }  // namespace
@@ -62,7 +62,7 @@
 void Election::watch() {
   store_.changes(kLeaderKey, applied_revision_, kWatchBlock, RequestPriority::safety,
                  lifetime_.guard([this](const ChangesResult& result) {
-                   if (result.outcome != Outcome::ok) return reload_later(kWatchRetry);
+                   if (result.outcome != Outcome::ok) return reload_later(kWatchRetryDelay);
                    last_response_ = Clock::now();
                    for (const auto& change : result.changes)
                      if (change.key == kLeaderKey && change.revision > applied_revision_)
@@ -99,8 +99,7 @@
   if (leader_->lease == candidate_lease_) return;  // being written; its response is still pending
   spdlog::info(
       "leader key of revision {} belongs to a previous incarnation of this controller; revoking "
-      "its "
-      "lease",
+      "its lease",
       leader_->revision);
   store_.revoke_lease(leader_->lease);
 }
@@ -182,7 +181,7 @@
                           leadership_.record_proof(sent);
                           last_response_ = Clock::now();
                         }
-                        renew_later(outcome == Outcome::ok ? kRenewInterval : kRenewRetry);
+                        renew_later(outcome == Outcome::ok ? kRenewInterval : kRenewRetryDelay);
                       }));
 }
 
--- a/src/store/election.hpp
+++ b/src/store/election.hpp
@@ -15,7 +15,7 @@
 /// Interval at which a leader extends its lease and sends a read barrier.
 inline constexpr std::chrono::milliseconds kRenewInterval{800};
 /// Delay before the next attempt when the previous one failed or got no response.
-inline constexpr std::chrono::milliseconds kRenewRetry{250};
+inline constexpr std::chrono::milliseconds kRenewRetryDelay{250};
 
 class Election {
  public:
--- a/src/store/read_barrier_loop.cpp
+++ b/src/store/read_barrier_loop.cpp
@@ -27,7 +27,7 @@
 void ReadBarrierLoop::run() {
   request_barrier([this](bool fresh) {
     log_serving_changes(Clock::now());
-    timer_.expires_after(fresh ? kRenewInterval : kRenewRetry);
+    timer_.expires_after(fresh ? kRenewInterval : kRenewRetryDelay);
     timer_.async_wait(lifetime_.guard([this](const asio::error_code& error) {
       if (!error) run();
     }));
--- a/tests/agent/command_sender_test.cpp
+++ b/tests/agent/command_sender_test.cpp
@@ -75,9 +75,9 @@
   }
 }
 
-// An endpoint may have passed to another machine. The answer of that machine was taken as an answer
-// of the addressed machine, which then counted as reachable and confirmed. A truncated answer
-// proves nothing either.
+// An endpoint may have passed to another machine. The answer of that machine was treated as
+// an answer of the addressed machine, which then counted as reachable and confirmed. A truncated
+// answer does not prove the state of the machine either.
 TEST(CommandSender, AnAnswerOfAnotherMachineOrATruncatedAnswerCountsAsNoAnswer) {
   for (
       const std::string body :
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -319,7 +319,7 @@
     const auto decoded = peers::decode(message.data(), message.size());
     EXPECT_EQ(to_hex(peers::encode(decoded)), text_field(item, "read_and_written_again"));
     EXPECT_EQ(decoded.followed_token, item.at("fields").get<int>() > 5 ? 8U : 0U);
-    EXPECT_EQ(decoded.agents_silence_ms, peers::kNeverHeard);
+    EXPECT_EQ(decoded.agents_silence_ms, peers::kNeverReceived);
   }
 }
 
--- a/tests/history/history_test.cpp
+++ b/tests/history/history_test.cpp
@@ -335,7 +335,7 @@
   }
 }
 
-TEST(History, DamageIsRefusedWithItsCause) {
+TEST(History, CorruptionIsRefusedWithItsCause) {
   const auto& run = short_run();
   WrittenHistory written;
   write_short_tail(written, run, kKey);
@@ -371,7 +371,7 @@
   expect_refused(
       "checksum", [&](Map& m) { m[snapshots[1]][m[snapshots[1]].size() / 2] ^= 1; }, kKey);
   expect_refused(
-      "no save covers",
+      "no snapshot covers",
       [&](Map& m) {
         for (const auto& s : snapshots) m.erase(s);
       },
@@ -479,7 +479,7 @@
   EXPECT_THROW(reader.restore({7, {}, unknown}), DecodeError);
 }
 
-TEST(History, RecoveryFallsBackFromADamagedSnapshotToThePreviousOne) {
+TEST(History, RecoveryFallsBackFromACorruptSnapshotToThePreviousOne) {
   const auto& run = short_run();
   WrittenHistory written;
   write_short_tail(written, run, kKey);
@@ -487,12 +487,12 @@
   for (const auto& name : written.files.list())
     if (snapshot_number(name)) snapshots.push_back(name);
   written.files.bytes(snapshots.back())[100] ^= 4;
-  int damaged_snapshots = 0;
+  int corrupt_snapshots = 0;
   Replay replay;
   const auto contents = Reader(written.files, kKey).recover(replay, [&](const CorruptionError&) {
-    ++damaged_snapshots;
+    ++corrupt_snapshots;
   });
-  EXPECT_EQ(damaged_snapshots, 1);
+  EXPECT_EQ(corrupt_snapshots, 1);
   EXPECT_EQ(contents.record_count(), written.records);
   EXPECT_EQ(replay.state_digest(), run.states[written.records]);
 }
@@ -613,7 +613,7 @@
 
 /// Runs the `history` commands as an operator does: verify, replay, compact with a new key, and
 /// detect corruption.
-TEST(HistoryCommand, VerifiesReplaysCompactsAndFindsDamage) {
+TEST(HistoryCommand, VerifiesReplaysCompactsAndFindsCorruption) {
   const auto path = ::testing::TempDir() + "violetpulley-command-" + std::to_string(getpid());
   std::filesystem::remove_all(path);
   const auto run_command = [&](const std::string& arguments) {
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -91,7 +91,7 @@
   while (!timed_out) io_.run_one();
 }
 
-// On the bench, a leader that was too busy to read its sockets declared machines dead although
+// In a benchmark, a leader that was too busy to read its sockets declared machines dead although
 // their answers had arrived: many answers and their deadlines fell due in the same turn of the
 // event loop.
 TEST(HttpClientDeadline, AResponseThatArrivedUnreadIsNoTimeout) {
--- a/tests/store/read_barrier_test.cpp
+++ b/tests/store/read_barrier_test.cpp
@@ -85,15 +85,15 @@
   deployment_.state.set_response_delay(leader.endpoint, milliseconds(300));
   // The barrier in flight may have been sent before the cancellation; the next barrier is not.
   cancel_and_wait(deployment_.other(leader), "req-1");
-  const auto asked = Clock::now();
+  const auto requested_at = Clock::now();
   bool fresh = false;
   bool known = false;
   ReadBarrierLoop read_barriers(io_, leader.leadership, leader.job_replica);
   read_barriers.request_barrier([&](bool ok) {
     fresh = ok;
     known = leader.closed.contains("req-1");
-    EXPECT_LT(*leader.leadership.fresh_until(), asked + milliseconds(300))
-        << "freshness counted from the answer";
+    EXPECT_LT(*leader.leadership.fresh_until(), requested_at + milliseconds(300))
+        << "freshness counted from the response";
   });
   until([&] { return fresh; });
   EXPECT_TRUE(known);
