--- a/src/agent/command_sender.cpp
+++ b/src/agent/command_sender.cpp
@@ -86,7 +86,7 @@
   // 409: the agent refuses the commands and responds with its heartbeat.
   if (!response ||
       (response->status != net::kStatusOk && response->status != net::kStatusConflict)) {
-    spdlog::debug("machine {}: no usable answer to commands", machine);
+    spdlog::debug("machine {}: no usable response to commands", machine);
     return std::nullopt;
   }
   try {
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -82,7 +82,7 @@
              try {
                catalog = Catalog{parse_catalog(response->body), response->body};
              } catch (const DecodeError& problem) {
-               spdlog::warn("malformed catalog from the cloud, treated as no response: {}",
+               spdlog::warn("malformed catalog from the cloud, treated as no answer: {}",
                             problem.what());
              }
              done(std::move(catalog));
@@ -114,7 +114,7 @@
              try {
                page = decode_machine_page(response->body);
              } catch (const DecodeError& problem) {
-               spdlog::warn("malformed list of machines from the cloud, treated as no response: {}",
+               spdlog::warn("malformed list of machines from the cloud, treated as no answer: {}",
                             problem.what());
                return done(std::nullopt);
              }
--- a/src/history/frames.cpp
+++ b/src/history/frames.cpp
@@ -101,7 +101,7 @@
     : name_(std::move(name)), bytes_(bytes), key_(key), chain_(key) {
   if (bytes_.size() < kFileHeaderBytes) {
     torn_bytes_ = bytes_.size();
-    torn_cause_ = "the file header is truncated";
+    torn_cause_ = "the head of the file is cut off";
     return;
   }
   if (bytes_.substr(0, kMagic.size()) != kMagic)
@@ -124,7 +124,7 @@
 std::optional<FrameReader::Frame> FrameReader::frame_at(std::size_t at, std::uint64_t number,
                                                         const char*& cause) const {
   const auto remaining = bytes_.size() - at;
-  cause = "a frame is truncated";
+  cause = "a frame is cut off";
   if (remaining < kFrameHeaderBytes) return std::nullopt;
   const auto length = read_little_endian<std::uint32_t>(bytes_, at);
   const std::size_t frame_bytes = kFrameHeaderBytes + length + (signed_ ? Tag{}.size() : 0);
--- a/src/history/reader.cpp
+++ b/src/history/reader.cpp
@@ -80,14 +80,14 @@
     auto piece = read_payload<SnapshotPiece>(name, offset, *payload);
     if (end) throw CorruptionError(name, offset, "a frame follows the end frame of the snapshot");
     if (auto* first = std::get_if<SnapshotHeader>(&piece)) {
-      if (number != 0) throw CorruptionError(name, offset, "the snapshot has a second header");
+      if (number != 0) throw CorruptionError(name, offset, "the snapshot has a second head");
       header = std::move(*first);
     } else if (auto* slice = std::get_if<SnapshotSlice>(&piece)) {
       if (!part_incomplete) parts.emplace_back(slice->part, "");
       if (parts.back().first != slice->part)
         throw CorruptionError(
             name, offset,
-            "the part \"" + parts.back().first + "\" is truncated: its last slice is missing");
+            "the part \"" + parts.back().first + "\" is cut short: its last slice is missing");
       parts.back().second += slice->bytes;
       part_incomplete = !slice->last;
     } else {
--- a/src/history/recorder.cpp
+++ b/src/history/recorder.cpp
@@ -26,7 +26,7 @@
     work();
   } catch (const std::exception& problem) {
     // For example a full or read-only disk, or a corrupt history.
-    spdlog::error("history: recording stopped, the service continues without a history: {}",
+    spdlog::error("history is off from now on, the service continues without a history: {}",
                   problem.what());
     log_.reset();
   }
@@ -52,7 +52,7 @@
     spdlog::error("history: a snapshot is corrupt, trying the previous one: {}", problem.what());
   });
   if (const auto* last = contents.last(); last != nullptr && last->torn_bytes > 0)
-    spdlog::warn("history: {} has a torn tail of {} bytes, which are removed: {}", last->name,
+    spdlog::warn("history: {} has a torn tail, {} bytes are cut off: {}", last->name,
                  last->torn_bytes, last->torn_cause);
   if (replay.difference())
     spdlog::warn("history: the replay differs from the recorded actions at record {}",
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -319,7 +319,7 @@
   const auto now = std::chrono::steady_clock::now();
   if (now - last_refusal_log_ < kRefusalLogInterval) return;
   last_refusal_log_ = now;
-  spdlog::warn("{} connections refused: limit reached with {} open, {} of agents and {} of users",
+  spdlog::warn("{} connections refused: limit reached with {} open, {} of workers and {} of users",
                std::exchange(unlogged_refusals_, 0), open_connections(),
                open_connections(ClientKind::agent), open_connections(ClientKind::user));
 }
--- a/src/store/job_replica.cpp
+++ b/src/store/job_replica.cpp
@@ -90,7 +90,7 @@
     return true;
   }
   if (!std::exchange(regression_logged_, true))
-    spdlog::warn("state service returned revision {}, expected at least {}; response discarded",
+    spdlog::warn("state service returned revision {}, expected at least {}; answer discarded",
                  result.revision, since);
   return false;
 }
--- a/src/store/store_codec.cpp
+++ b/src/store/store_codec.cpp
@@ -65,7 +65,7 @@
   try {
     decode(Json::parse(body));
   } catch (const Json::exception& problem) {
-    spdlog::warn("malformed response from the state service, treated as no response: {}",
+    spdlog::warn("malformed answer from the state service, treated as no answer: {}",
                  problem.what());
     result.outcome = Outcome::unknown;
   }
--- a/tests/store/read_barrier_test.cpp
+++ b/tests/store/read_barrier_test.cpp
@@ -93,7 +93,7 @@
     fresh = ok;
     known = leader.closed.contains("req-1");
     EXPECT_LT(*leader.leadership.fresh_until(), requested_at + milliseconds(300))
-        << "freshness counted from the response";
+        << "freshness counted from the answer";
   });
   until([&] { return fresh; });
   EXPECT_TRUE(known);
