--- a/tests/end_to_end/loopback_test.cpp
+++ b/tests/end_to_end/loopback_test.cpp
@@ -30,14 +30,14 @@
     };
     std::map<std::string, std::string> nodes;
     for (const char* name : {"n-0", "n-1", "n-2"}) {
-      public_[name] = port();
-      peer_network_[name] = port();
-      why_[name] = port();
-      nodes[name] = public_[name];
+      public_addresses_[name] = port();
+      peer_addresses_[name] = port();
+      operator_addresses_[name] = port();
+      nodes[name] = public_addresses_[name];
     }
     cloud_.set_node_addresses(nodes);
     taken.clear();
-    for (const auto& [name, address] : public_) start(name);
+    for (const auto& [name, address] : public_addresses_) start(name);
   }
 
  public:
@@ -53,11 +53,11 @@
     std::ofstream(history) << (name == "n-2" ? "home: state-service\ninterval_s: 1\n"
                                              : "home: directory\ninterval_s: 1\ndirectory: " +
                                                    history_of(name) + "\n");
-    const auto operators = path + "-operators.yaml";
-    std::ofstream(operators) << "why_address: " + why_.at(name) + "\n";
+    const auto operator_settings = path + "-operators.yaml";
+    std::ofstream(operator_settings) << "why_address: " + operator_addresses_.at(name) + "\n";
     std::vector<std::string> arguments{
-        VIOLETPULLEY_PROGRAM, "--history", history, "--operator-settings", operators,
-        "--config",           path};
+        VIOLETPULLEY_PROGRAM, "--history", history, "--operator-settings",
+        operator_settings,    "--config",  path};
     std::vector<char*> args;
     for (auto& argument : arguments) args.push_back(argument.data());
     args.push_back(nullptr);
@@ -95,8 +95,9 @@
 
   std::string settings(const std::string& name) {
     std::string text = "member = \"" + name + "\"\nsite = \"z1\"\npublic_addr = \"" +
-                       public_.at(name) + "\"\nmesh_addr = \"" + peer_network_.at(name) + "\"\n";
-    for (const auto& [other, address] : peer_network_)
+                       public_addresses_.at(name) + "\"\nmesh_addr = \"" +
+                       peer_addresses_.at(name) + "\"\n";
+    for (const auto& [other, address] : peer_addresses_)
       if (other != name)
         text += "[[siblings]]\nmember = \"" + other + "\"\nsite = \"z1\"\npeer_addr = \"" +
                 address + "\"\n";
@@ -128,7 +129,7 @@
 
   net::Response ask(const std::string& node, const std::string& method, const std::string& target,
                     const std::string& body = "") {
-    return ask_at(public_.at(node), method, target, body);
+    return ask_at(public_addresses_.at(node), method, target, body);
   }
   net::Response ask_at(const std::string& address, const std::string& method,
                        const std::string& target, const std::string& body = "") {
@@ -195,9 +196,9 @@
   asio::io_context io_;
   fakes::StateService state_;
   fakes::Cloud cloud_;
-  std::map<std::string, std::string> public_;
-  std::map<std::string, std::string> peer_network_;
-  std::map<std::string, std::string> why_;
+  std::map<std::string, std::string> public_addresses_;
+  std::map<std::string, std::string> peer_addresses_;
+  std::map<std::string, std::string> operator_addresses_;
   std::map<std::string, pid_t> processes_;
 };
 
@@ -245,7 +246,7 @@
   // its own port on the leader's host. Here all controllers share one host, so the request comes
   // back to the same controller, which refuses it.
   int answered = 0;
-  for (const auto& [name, address] : why_) {
+  for (const auto& [name, address] : operator_addresses_) {
     const auto response = ask_at(address, "GET", "/v1/jobs/req-91/why");
     if (response.status != 200) {
       EXPECT_EQ(response.status, 503);
--- a/tests/history/history_test.cpp
+++ b/tests/history/history_test.cpp
@@ -169,7 +169,7 @@
   core::simulated::World world(static_cast<std::uint64_t>(GetParam()));
   core::simulated::Observer observer;
   std::unique_ptr<StateCapture> capture;
-  Parts whole;
+  Parts unsliced;
   Parts sliced;
   int captures = 0;
   int calls = 0;
@@ -179,7 +179,7 @@
   observer.actions = [&](core::FencingToken, TimePoint, const std::vector<core::Action>&,
                          core::Controller& controller) {
     if (!capture) {
-      whole = parts_of(controller);
+      unsliced = parts_of(controller);
       sliced.clear();
       capture = std::make_unique<StateCapture>(controller);
       return;
@@ -193,10 +193,11 @@
       return;
     }
     ++captures;
-    ASSERT_EQ(sliced.size(), whole.size());
-    for (std::size_t i = 0; i < whole.size(); ++i)
-      ASSERT_TRUE(sliced[i] == whole[i]) << "part " << whole[i].first << ", save " << captures;
-    EXPECT_EQ(capture->digest(), digest_of(whole));
+    ASSERT_EQ(sliced.size(), unsliced.size());
+    for (std::size_t i = 0; i < unsliced.size(); ++i)
+      ASSERT_TRUE(sliced[i] == unsliced[i])
+          << "part " << unsliced[i].first << ", snapshot " << captures;
+    EXPECT_EQ(capture->digest(), digest_of(unsliced));
     capture.reset();
   };
   world.observe(observer);
--- a/tests/peers/peer_network_test.cpp
+++ b/tests/peers/peer_network_test.cpp
@@ -14,7 +14,7 @@
 
 struct ThreeNodes {
   asio::io_context io;
-  std::array<asio::ip::tcp::endpoint, 3> at{free_port(io), free_port(io), free_port(io)};
+  std::array<asio::ip::tcp::endpoint, 3> endpoints{free_port(io), free_port(io), free_port(io)};
   std::array<std::unique_ptr<PeerNetwork>, 3> nodes;
   std::set<std::string> status_from;
   std::set<std::string> disconnected;  // As node 0 sees the connections.
@@ -25,14 +25,15 @@
       std::vector<config::Peer> peers;
       for (std::size_t j = 0; j < 3; ++j)
         if (j != i)
-          peers.push_back({std::to_string(j), "", "127.0.0.1:" + std::to_string(at[j].port())});
+          peers.push_back(
+              {std::to_string(j), "", "127.0.0.1:" + std::to_string(endpoints[j].port())});
       PeerNetwork::Events events{[](const Status&) {}, [](const std::string&) {},
                                  [](const std::string&) {}};
       if (i == 0)
         events = {[this](const Status& status) { status_from.insert(status.member); },
                   [this](const std::string& member) { disconnected.insert(member); },
                   [this](const std::string& member) { process_ended.insert(member); }};
-      nodes[i] = std::make_unique<PeerNetwork>(io, at[i], peers, events);
+      nodes[i] = std::make_unique<PeerNetwork>(io, endpoints[i], peers, events);
     }
     while (status_from.size() < 2) {
       for (std::size_t i = 1; i < 3; ++i) {
