--- a/tests/store/read_barrier_test.cpp
+++ b/tests/store/read_barrier_test.cpp
@@ -85,14 +85,14 @@
   deployment_.state.set_response_delay(leader.endpoint, milliseconds(300));
   // The barrier in flight may have been sent before the cancellation; the next barrier is not.
   cancel_and_wait(deployment_.other(leader), "req-1");
-  const auto asked = Clock::now();
+  const auto requested_at = Clock::now();
   bool fresh = false;
   bool known = false;
   ReadBarrierLoop read_barriers(io_, leader.leadership, leader.job_replica);
   read_barriers.request_barrier([&](bool ok) {
     fresh = ok;
     known = leader.closed.contains("req-1");
-    EXPECT_LT(*leader.leadership.fresh_until(), asked + milliseconds(300))
+    EXPECT_LT(*leader.leadership.fresh_until(), requested_at + milliseconds(300))
         << "freshness counted from the answer";
   });
   until([&] { return fresh; });
@@ -205,7 +205,7 @@
       std::function<void(TestController&, const char*, const std::string&)> ask;
       ask = [&](TestController& at, const char* method, const std::string& body) {
         ++open_requests;
-        at.user.request(
+        at.user_client.request(
             {method, "/" + id, body}, std::chrono::seconds(5),
             [&, method, body, sent = Clock::now()](const std::optional<net::Response>& response) {
               --open_requests;
