--- a/src/core/autoscaling/scale_out_planner.cpp
+++ b/src/core/autoscaling/scale_out_planner.cpp
@@ -37,14 +37,14 @@
 std::vector<ScalerJob> ScaleOutPlanner::unplaced_tasks(const std::vector<Candidate>& queue) const {
   std::vector<ScalerJob> unplaced;
   // No machines are requested for tasks that cannot start because of their team's quota.
-  std::map<std::string, Resources> quota_left_by_team;
+  std::map<std::string, Resources> remaining_quota_by_team;
   for (const auto& candidate : queue) {
     const auto& job = *candidate.job;
     const auto& spec = job.spec();
-    const auto quota_left = task_starter_.remaining_quota(spec.team);
-    if (!quota_left || job.gang() || job.suspected_faulty) continue;
-    auto& team_left = quota_left_by_team.try_emplace(spec.team, *quota_left).first->second;
-    ScalerJob entry{&spec, candidate.estimate, unplaced_tasks_of(job, team_left), {}};
+    const auto quota = task_starter_.remaining_quota(spec.team);
+    if (!quota || job.gang() || job.suspected_faulty) continue;
+    auto& remaining_quota = remaining_quota_by_team.try_emplace(spec.team, *quota).first->second;
+    ScalerJob entry{&spec, candidate.estimate, unplaced_tasks_of(job, remaining_quota), {}};
     if (spec.spread) entry.zone_capacity = zone_capacity(job);
     if (!entry.tasks.empty()) unplaced.push_back(std::move(entry));
   }
@@ -52,13 +52,13 @@
 }
 
 std::vector<TaskIndex> ScaleOutPlanner::unplaced_tasks_of(const Job& job,
-                                                          Resources& quota_left) const {
+                                                          Resources& remaining_quota) const {
   const auto& need = job.spec().per_task;
   std::vector<TaskIndex> tasks;
   for (const auto index : job.waiting) {
-    if (!need.fits_in(quota_left)) break;
+    if (!need.fits_in(remaining_quota)) break;
     if (task_starter_.blocked_on_reconciliation(job, index)) continue;
-    quota_left -= need;
+    remaining_quota -= need;
     if (job.tasks[index].bound_to.empty()) tasks.push_back(index);
   }
   return tasks;
--- a/src/core/autoscaling/scale_out_planner.hpp
+++ b/src/core/autoscaling/scale_out_planner.hpp
@@ -75,7 +75,7 @@
   std::vector<ScalerJob> unplaced_tasks(const std::vector<Candidate>& queue) const;
   /// The job's unplaced tasks, as many as the team's quota allows. Subtracts the resources of the
   /// job's waiting tasks, bound ones included, from `remaining_quota`.
-  std::vector<TaskIndex> unplaced_tasks_of(const Job& job, Resources& quota_left) const;
+  std::vector<TaskIndex> unplaced_tasks_of(const Job& job, Resources& remaining_quota) const;
   /// Number of further tasks of the job that each zone may take.
   std::map<std::string, TaskIndex> zone_capacity(const Job& job) const;
   /// Number of the job's tasks by zone, including tasks that are bound to machines which are
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -126,7 +126,7 @@
 }
 
 void Controller::return_retiring_machines(TimePoint now) {
-  doubt_resolver_.settle_machines(now);
+  doubt_resolver_.retire_machines(now);
   for (const auto& id : doubt_resolver_.machines_to_return(now))
     watch_.request_release(*fleet_.find(id), "with a delayed start", now);
 }
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -60,8 +60,8 @@
   /// lead.
   void former_leaders_gone(TimePoint now) { recovery_.former_leaders_gone(now); }
   /// Records that agents send their heartbeats to another controller.
-  void note_peer_receives_heartbeats(TimePoint now) {
-    failure_detector_.note_peer_receives_heartbeats(now);
+  void record_peer_receives_heartbeats(TimePoint now) {
+    failure_detector_.record_peer_receives_heartbeats(now);
   }
   /// Whether this leader may be isolated. Only then it matters whether peers receive heartbeats.
   bool possibly_isolated(TimePoint now) const {
--- a/src/core/dispatch/command_dispatcher.cpp
+++ b/src/core/dispatch/command_dispatcher.cpp
@@ -143,7 +143,7 @@
 }
 
 SocketShares CommandDispatcher::shares() const {
-  auto shares = share_sockets(sockets_, fleet_.all().size());
+  auto shares = allocate_sockets(sockets_, fleet_.all().size());
   if (max_in_flight_ > 0) shares.commands = std::min(shares.commands, max_in_flight_);
   return shares;
 }
@@ -161,13 +161,13 @@
 }
 
 CommandDispatcher::Urgency CommandDispatcher::urgency_of(const Machine& machine) {
-  Attempt oldest_unseen = std::numeric_limits<Attempt>::max();
+  Attempt oldest_unreported = std::numeric_limits<Attempt>::max();
   for (const auto& [key, assignment] : machine.tasks) {
     if (assignment.stop) return {UrgencyRank::stops, 0};
-    if (!assignment.reported) oldest_unseen = std::min(oldest_unseen, assignment.attempt);
+    if (!assignment.reported) oldest_unreported = std::min(oldest_unreported, assignment.attempt);
   }
   const bool unresponsive = machine.unanswered_commands > 0;
-  return {unresponsive ? UrgencyRank::unresponsive : UrgencyRank::normal, oldest_unseen};
+  return {unresponsive ? UrgencyRank::unresponsive : UrgencyRank::normal, oldest_unreported};
 }
 
 // Stops are needed for safety, so only the socket share limits them. Machines that are likely dead
@@ -207,7 +207,7 @@
 }
 
 void CommandDispatcher::send_due(TimePoint now) {
-  out_.note_inspections(machines_due_.size());
+  out_.count_inspections(machines_due_.size());
   auto ready = collect_ready(now);
   if (ready.empty()) return;
   std::sort(ready.begin(), ready.end(), [](const ReadyMachine& a, const ReadyMachine& b) {
--- a/src/core/dispatch/command_dispatcher.hpp
+++ b/src/core/dispatch/command_dispatcher.hpp
@@ -89,7 +89,7 @@
   /// Order in which machines get their batches: by rank, then by the oldest unconfirmed attempt.
   struct Urgency {
     UrgencyRank rank = UrgencyRank::normal;
-    Attempt oldest_unseen_attempt = 0;
+    Attempt oldest_unreported_attempt = 0;
     friend auto operator<=>(const Urgency&, const Urgency&) = default;
   };
 
--- a/src/core/dispatch/socket_budget.hpp
+++ b/src/core/dispatch/socket_budget.hpp
@@ -42,7 +42,7 @@
 /// their agents have abandoned. Commands and users share the remainder equally. If the sockets do
 /// not suffice, the excess machines open a new connection for each heartbeat, and commands and
 /// users keep a minimum share, so that every use makes progress.
-inline SocketShares share_sockets(const SocketBudget& budget, std::size_t machines) {
+inline SocketShares allocate_sockets(const SocketBudget& budget, std::size_t machines) {
   constexpr std::size_t kMinInternal = 40;
   constexpr std::size_t kInternalPerNode = 4;
   constexpr std::size_t kMinShare = 8;        // minimum for commands, and for users
--- a/src/core/dispatch/task_starter.hpp
+++ b/src/core/dispatch/task_starter.hpp
@@ -57,7 +57,7 @@
   }
 
   /// Whether the machine accepts new tasks: it is up, confirmed, registered, responsive and not
-  /// partitioned, and is neither being returned, drained or settled, nor quarantined, nor under a
+  /// partitioned, and is neither being returned, drained or retired, nor quarantined, nor under a
   /// reclaim notice.
   bool accepts_new_tasks(const Machine& machine, TimePoint now) const;
 
--- a/src/core/events.cpp
+++ b/src/core/events.cpp
@@ -72,7 +72,7 @@
   }
   void operator()(const FormerLeadersGone&) const { controller.former_leaders_gone(now); }
   void operator()(const PeerReceivesHeartbeats&) const {
-    controller.note_peer_receives_heartbeats(now);
+    controller.record_peer_receives_heartbeats(now);
   }
 };
 
--- a/src/core/failover/assignments.cpp
+++ b/src/core/failover/assignments.cpp
@@ -41,17 +41,18 @@
 void Assignments::record_saved_progress(Job& job, const TaskKey& key, const Assignment& assignment,
                                         TimePoint now, bool checkpoint_saved) {
   // The tasks of a gang save their checkpoints together, recorded with task 0.
-  auto& saved = job.tasks[job.gang() ? 0 : key.index].checkpointed;
+  auto& checkpointed = job.tasks[job.gang() ? 0 : key.index].checkpointed;
   const auto until = assignment.stop_since.value_or(now);
   const Seconds run_time = assignment.saved + Seconds(until - *assignment.running_since);
   const auto checkpoint_every = job.spec().checkpoint_every;
   if (checkpoint_saved)
-    saved = std::max(saved, run_time);
+    checkpointed = std::max(checkpointed, run_time);
   else if (checkpoint_every > Seconds(0))
-    saved = std::max(saved, checkpoint_every * std::floor(run_time / checkpoint_every));
+    checkpointed =
+        std::max(checkpointed, checkpoint_every * std::floor(run_time / checkpoint_every));
 }
 
-void Assignments::reset_to_unseen(Machine& machine, const TaskKey& key, TimePoint now) {
+void Assignments::reset_to_unreported(Machine& machine, const TaskKey& key, TimePoint now) {
   auto assignment = machine.tasks.at(key);
   drop(machine, key, now);
   assignment.reported = false;
@@ -66,7 +67,7 @@
   if (found == jobs_.end() || key.index >= found->second.tasks.size()) return;
   jobs_.before_change(found->second);
   found->second.set_waiting(key.index);
-  if (found->second.gang()) jobs_.note_broken_gang(key.job);
+  if (found->second.gang()) jobs_.mark_gang_broken(key.job);
   out_.request_scheduling_round();
 }
 
--- a/src/core/failover/assignments.hpp
+++ b/src/core/failover/assignments.hpp
@@ -32,7 +32,7 @@
   void drop(Machine& machine, const TaskKey& key, TimePoint now, bool checkpoint_saved = false);
   /// Resets the assignment of a task that the machine has lost to the state before its start was
   /// answered: a delayed start command may run the task again under the same attempt.
-  void reset_to_unseen(Machine& machine, const TaskKey& key, TimePoint now);
+  void reset_to_unreported(Machine& machine, const TaskKey& key, TimePoint now);
   /// Makes the task wait for another start. Requires that its former attempt is proven to have
   /// ended.
   void requeue(const TaskKey& key);
--- a/src/core/failover/doubt_resolver.cpp
+++ b/src/core/failover/doubt_resolver.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Selection of the machines to settle for waiting jobs, cheapest return first.
+/// Selection of the machines to retire for waiting jobs, cheapest return first.
 #include "core/failover/doubt_resolver.hpp"
 
 #include <algorithm>
@@ -9,18 +9,18 @@
 
 namespace {
 
-/// Maximum number of attempts in doubt that one agent remembers. Each takes about 100 bytes of
+/// Maximum number of in-doubt attempts that one agent may remember. Each takes about 100 bytes of
 /// every heartbeat, whose size is limited to 64 KiB (PROTOCOL).
 constexpr std::size_t kMaxAttemptsInDoubt = 200;
-/// Maximum number of machines that are settled for team limits at the same time: the larger of
-/// `kMinSettling` and this share of the fleet.
-constexpr std::size_t kMinSettling = 2;
-constexpr double kMaxSettlingShare = 0.05;
+/// Maximum number of machines that are retired for team limits at the same time: the larger of
+/// `kMinRetiringLimit` and this share of the fleet.
+constexpr std::size_t kMinRetiringLimit = 2;
+constexpr double kMaxRetiringShare = 0.05;
 
-/// A machine with ended attempts of a team, which may be settled for the team's limit.
-struct SettleCandidate {
+/// A machine with ended attempts of a team, which may be retired for the team's limit.
+struct RetirementCandidate {
   const Machine* machine = nullptr;
-  Resources freed;  ///< part of the team's limit that the return of the machine frees
+  Resources freed;  ///< part of the team's limit that returning the machine frees
   Seconds cost{0};  ///< run time that the other tasks on the machine lose
 };
 
@@ -30,7 +30,7 @@
   return cost;
 }
 
-bool is_cheaper(const SettleCandidate& a, const SettleCandidate& b) {
+bool is_cheaper(const RetirementCandidate& a, const RetirementCandidate& b) {
   return std::tie(a.cost, a.machine->id) < std::tie(b.cost, b.machine->id);
 }
 
@@ -39,19 +39,19 @@
 
 }  // namespace
 
-void DoubtResolver::settle_machines(TimePoint now) {
-  settle_for_heartbeat_size(now);
+void DoubtResolver::retire_machines(TimePoint now) {
+  retire_for_heartbeat_size(now);
   if (ended_attempts_.empty()) return;
-  settle_for_zones(now);
-  settle_for_team_limits(now);
+  retire_for_zones(now);
+  retire_for_team_limits(now);
 }
 
-void DoubtResolver::settle_for_heartbeat_size(TimePoint now) {
+void DoubtResolver::retire_for_heartbeat_size(TimePoint now) {
   for (const auto& [id, machine] : fleet_.all())
     if (machine.in_doubt_attempts.size() > kMaxAttemptsInDoubt) ended_attempts_.retire(id, now);
 }
 
-void DoubtResolver::settle_for_zones(TimePoint now) {
+void DoubtResolver::retire_for_zones(TimePoint now) {
   for (const auto& [task, ended] : ended_attempts_.attempts()) {
     const auto found = jobs_.find(task.job);
     if (found == jobs_.end() || found->second.waiting.empty()) continue;
@@ -60,12 +60,12 @@
   }
 }
 
-void DoubtResolver::settle_for_team_limits(TimePoint now) {
+void DoubtResolver::retire_for_team_limits(TimePoint now) {
   std::set<std::string> teams;
   for (const auto& [task, ended] : ended_attempts_.attempts()) teams.insert(ended.team);
   for (const auto& team : teams) {
     const auto need = blocked_demand(team, now);
-    if (!need.fits_in(Resources{})) settle_for_team(team, need, now);
+    if (!need.fits_in(Resources{})) retire_for_team(team, need, now);
   }
 }
 
@@ -85,16 +85,16 @@
   return need;
 }
 
-std::size_t DoubtResolver::max_settling() const {
-  const auto share = static_cast<double>(fleet_.all().size()) * kMaxSettlingShare;
-  return std::max(kMinSettling, static_cast<std::size_t>(share));
+std::size_t DoubtResolver::retiring_limit() const {
+  const auto share = static_cast<double>(fleet_.all().size()) * kMaxRetiringShare;
+  return std::max(kMinRetiringLimit, static_cast<std::size_t>(share));
 }
 
-void DoubtResolver::settle_for_team(const std::string& team, Resources need, TimePoint now) {
+void DoubtResolver::retire_for_team(const std::string& team, Resources need, TimePoint now) {
   std::map<MachineId, Resources> freed_by_machine;
   for (const auto& [task, ended] : ended_attempts_.attempts())
     if (ended.team == team) freed_by_machine[ended.machine] += ended.resources;
-  std::vector<SettleCandidate> candidates;
+  std::vector<RetirementCandidate> candidates;
   for (const auto& [id, freed] : freed_by_machine) {
     const auto* machine = fleet_.find(id);
     if (ended_attempts_.is_retiring(id))
@@ -105,7 +105,7 @@
   std::sort(candidates.begin(), candidates.end(), is_cheaper);
   for (const auto& candidate : candidates) {
     if (need.fits_in(Resources{})) return;
-    if (ended_attempts_.retiring().size() >= max_settling()) return;
+    if (ended_attempts_.retiring().size() >= retiring_limit()) return;
     ended_attempts_.retire(candidate.machine->id, now);
     need -= candidate.freed;
   }
--- a/src/core/failover/heartbeat_handler.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -144,7 +144,7 @@
   // A delayed start command may still reach the machine that has lost this task and run it again.
   // So the same attempt is started there again, after which the delayed command has no effect.
   if (machine.in_doubt_attempts.contains(machine.tasks.at(key).attempt)) {
-    assignments_.reset_to_unseen(machine, key, now);
+    assignments_.reset_to_unreported(machine, key, now);
     return;
   }
   const bool orphaned = machine.tasks.at(key).orphaned;
@@ -210,13 +210,13 @@
   if (!job.gang()) return;
   if (job.attempt != 0 && job.attempt != status.attempt) {
     // Machines list two attempts of the gang: both are stopped, then the gang is started again.
-    jobs_.note_broken_gang(status.task.job);
+    jobs_.mark_gang_broken(status.task.job);
     job.attempt = std::max(job.attempt, status.attempt);
     return;
   }
   job.attempt = status.attempt;
   // After the recovery, tasks that no machine has listed count as ended: the gang is incomplete.
-  if (!recovery_.recovering()) jobs_.note_broken_gang(status.task.job);
+  if (!recovery_.recovering()) jobs_.mark_gang_broken(status.task.job);
 }
 
 void HeartbeatHandler::commands_answered(const MachineId& id, const Heartbeat* response,
--- a/src/core/failover/reconciler.cpp
+++ b/src/core/failover/reconciler.cpp
@@ -34,15 +34,15 @@
 };
 
 // Number of tasks of the job that fit on these machines; stops counting at `enough`.
-std::size_t count_places(const std::vector<const Machine*>& machines, const JobSpec& spec,
-                         std::size_t enough) {
-  std::size_t places = 0;
+std::size_t count_slots(const std::vector<const Machine*>& machines, const JobSpec& spec,
+                        std::size_t enough) {
+  std::size_t slots = 0;
   for (const auto* machine : machines) {
-    if (places >= enough) break;
+    if (slots >= enough) break;
     if (allowed_on(spec, machine->type, machine->zone, machine->spot))
-      places += slots_in(machine->free(), spec);
+      slots += slots_in(machine->free(), spec);
   }
-  return places;
+  return slots;
 }
 }  // namespace
 
@@ -162,13 +162,13 @@
     work.tasks += count;
     work.resources += spec.per_task * count;
     work.run_time += spec.estimate * count;
-    const auto places = count_places(machines, spec, blocked);
-    const auto cost = elapsed * static_cast<double>(std::min(blocked, places));
+    const auto slots = count_slots(machines, spec, blocked);
+    const auto cost = elapsed * static_cast<double>(std::min(blocked, slots));
     auto& cost_of_shape = job.gang()      ? work.cost.gangs
-                          : job.service() ? work.cost.replicas
+                          : job.service() ? work.cost.services
                                           : work.cost.arrays;
     cost_of_shape += cost;
-    if (job.waiting.size() == job.tasks.size()) work.cost.unseen += cost;
+    if (job.waiting.size() == job.tasks.size()) work.cost.fully_waiting += cost;
   }
   return work;
 }
@@ -188,14 +188,14 @@
   JobSpec mean_task;
   mean_task.per_task = mean_blocked_resources_;
   mean_task.tasks = static_cast<TaskIndex>(work.tasks);
-  double places = 0;
-  for (const auto* machine : machines) places += slots_in(machine->free(), mean_task);
-  const auto max_cost = elapsed * places;
+  double slots = 0;
+  for (const auto* machine : machines) slots += slots_in(machine->free(), mean_task);
+  const auto max_cost = elapsed * slots;
   const double share = work.cost.total() > max_cost ? max_cost / work.cost.total() : 1;
   cost_.arrays += work.cost.arrays * share;
   cost_.gangs += work.cost.gangs * share;
-  cost_.replicas += work.cost.replicas * share;
-  cost_.unseen += work.cost.unseen * share;
+  cost_.services += work.cost.services * share;
+  cost_.fully_waiting += work.cost.fully_waiting * share;
 }
 
 }  // namespace violetpulley::core
--- a/src/core/failover/reconciler.hpp
+++ b/src/core/failover/reconciler.hpp
@@ -18,13 +18,13 @@
 struct ReconciliationCost {
   Seconds arrays{0};
   Seconds gangs{0};
-  Seconds replicas{0};
-  Seconds unseen{0};  ///< included above: jobs of which every task is waiting
+  Seconds services{0};
+  Seconds fully_waiting{0};  ///< part of the above: jobs of which every task is waiting
 
-  Seconds total() const { return arrays + gangs + replicas; }
+  Seconds total() const { return arrays + gangs + services; }
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.arrays, s.gangs, s.replicas, s.unseen);
+    f(s.arrays, s.gangs, s.services, s.fully_waiting);
   }
 };
 
--- a/src/core/failover/task_exit_handler.cpp
+++ b/src/core/failover/task_exit_handler.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr std::chrono::seconds kRestartDelay{1};       // of a task that ended without a failure
-constexpr Seconds kInitialJobPause{2};                 // of a suspected job
+constexpr Seconds kInitialJobBackoff{2};               // of a suspected job
 constexpr std::size_t kFaultyJobMachineThreshold = 3;  // failures on this many: job at fault
 constexpr int kMaxBackoffDoublings = 6;                // of a backoff of 1 s
 }  // namespace
@@ -36,7 +36,7 @@
     delay_restart(job, now);
     return;
   }
-  if (job.gang()) jobs_.note_broken_gang(status.task.job);
+  if (job.gang()) jobs_.mark_gang_broken(status.task.job);
   if (status.cause == ExitCause::error) handle_failure(machine, job, now);
   if (status.cause == ExitCause::unknown || status.cause == ExitCause::no_capacity ||
       status.cause == ExitCause::busy)
@@ -106,12 +106,12 @@
 // The pause doubles with each retry. A suspected job retries with a single task, as a retry of all
 // tasks would cost as much as the first start.
 void TaskExitHandler::suspect_job(Job& job, TimePoint now) {
-  const auto pause = std::clamp(job.failure_backoff * 2, kInitialJobPause, kMaxFailureBackoff);
-  if (pause > job.failure_backoff)
-    out_.push_back(JobSuspected{job.spec().id, job.failed_on.size(), pause});
+  const auto backoff = std::clamp(job.failure_backoff * 2, kInitialJobBackoff, kMaxFailureBackoff);
+  if (backoff > job.failure_backoff)
+    out_.push_back(JobSuspected{job.spec().id, job.failed_on.size(), backoff});
   job.suspected_faulty = true;
-  job.failure_backoff = pause;
-  job.backoff_until = now + to_duration(pause);
+  job.failure_backoff = backoff;
+  job.backoff_until = now + to_duration(backoff);
 }
 
 }  // namespace violetpulley::core
--- a/src/core/jobs/jobs.hpp
+++ b/src/core/jobs/jobs.hpp
@@ -74,7 +74,7 @@
   void persist_placements(bool all_confirmed);
 
   /// Marks a gang as broken: it has lost a task, so all of its other tasks must stop.
-  void note_broken_gang(const JobId& gang) { broken_gangs_.insert(gang); }
+  void mark_gang_broken(const JobId& gang) { broken_gangs_.insert(gang); }
   /// Returns the broken gangs and clears the set.
   std::set<JobId> take_broken_gangs() { return std::exchange(broken_gangs_, {}); }
 
--- a/src/core/learned_state_handover.cpp
+++ b/src/core/learned_state_handover.cpp
@@ -21,7 +21,7 @@
   }
   learned.failed_on.assign(job.failed_on.begin(), job.failed_on.end());
   learned.failures = job.failures;
-  learned.pause = time_until(job.backoff_until, now);
+  learned.backoff = time_until(job.backoff_until, now);
   return learned;
 }
 
@@ -87,8 +87,8 @@
   job.failed_on.insert(learned.failed_on.begin(), learned.failed_on.end());
   job.failures = learned.failures;
   if (!learned.failed_on.empty()) job.last_failure = now;
-  const auto pause = std::clamp(learned.pause - elapsed, Seconds(0), kMaxFailureBackoff);
-  job.backoff_until = now + to_duration(pause);
+  const auto backoff = std::clamp(learned.backoff - elapsed, Seconds(0), kMaxFailureBackoff);
+  job.backoff_until = now + to_duration(backoff);
 }
 
 void LearnedStateHandover::apply_to_machine(const LearnedMachine& learned, Machine& machine) {
--- a/src/core/machines/ended_attempts.cpp
+++ b/src/core/machines/ended_attempts.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Maintains the table of attempts that have ended in doubt, and the resources they use by team.
+/// Maintains the table of in-doubt attempts that have ended, and the resources they use by team.
 #include "core/machines/ended_attempts.hpp"
 
 #include <limits>
--- a/src/core/machines/ended_attempts.hpp
+++ b/src/core/machines/ended_attempts.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// Attempts that have ended on a machine although their start command was never answered ("in
-/// doubt"). A delayed copy of the start has no effect while the agent remembers the attempt, but an
-/// agent that has lost its tasks within the same epoch runs the attempt again (docs/safety.md, "An
-/// attempt that has ended in doubt"). Owns these attempts until their machine has a new epoch or is
-/// gone, the resources that they count against the limits of their teams, and the set of retiring
-/// machines. A retiring machine takes no new tasks and is returned to the cloud; after its return
-/// no delayed start can have an effect.
+/// Attempts that have ended on a machine although their start command was sent and never answered
+/// (in-doubt attempts). A delayed copy of the start has no effect while the agent remembers the
+/// attempt, but an agent that has lost its tasks within the same epoch runs the attempt again
+/// (docs/safety.md, "An attempt that has ended in doubt"). Owns these attempts until their machine
+/// has a new epoch or is gone, the resources that they count against the limits of their teams, and
+/// the set of retiring machines. A retiring machine takes no new tasks and is returned to the
+/// cloud; after its return no delayed start can have an effect.
 #pragma once
 
 #include <map>
@@ -18,12 +18,12 @@
 
 namespace violetpulley::core {
 
-/// Longest time that a retiring machine is kept because other tasks run on it. The limit is short
-/// since a cancellation may have been confirmed to the user up to `cancel_s` - `lease_s` before
-/// this leader learned of it.
+/// Longest time for which a retiring machine is kept because other tasks run on it. The limit is
+/// short since a cancellation may have been confirmed to the user up to `cancel_s` - `lease_s`
+/// before this leader learned of it.
 inline Seconds max_retiring_time(const AgentTimes& workers) { return workers.lease / 2; }
 
-/// State of a task whose attempt has ended in doubt.
+/// State of a task with an ended in-doubt attempt.
 enum class EndedTask : std::uint8_t {
   done,      ///< The task is done. A delayed start may repeat it, within its team's limit.
   held,      ///< The task restarts once its earlier attempt cannot run again.
@@ -44,7 +44,7 @@
   }
 };
 
-/// The attempts that have ended in doubt, by task. A task has at most one such attempt: while it
+/// The in-doubt attempts that have ended, by task. A task has at most one such attempt: while it
 /// has one, it is either done or cancelled, or it is held and starts no other attempt.
 class EndedAttempts {
  public:
@@ -67,7 +67,7 @@
   /// The entries of a job, as a range of `attempts`.
   std::pair<Table::const_iterator, Table::const_iterator> of_job(const JobId& job) const;
   bool is_retiring(const MachineId& machine) const { return retiring_.contains(machine); }
-  /// The retiring machines, and since when they retire.
+  /// The retiring machines, and the time from which each has been retiring.
   const std::map<MachineId, TimePoint>& retiring() const { return retiring_; }
   /// Sum of the resources of the team's attempts.
   Resources use_of(const std::string& team) const;
@@ -82,7 +82,7 @@
 
   Table attempts_;
   std::map<MachineId, std::set<TaskKey>> by_machine_;  ///< the tasks of `attempts_`
-  std::map<MachineId, TimePoint> retiring_;            ///< since when
+  std::map<MachineId, TimePoint> retiring_;            ///< start of the retirement
   std::map<std::string, Resources> use_by_team_;       ///< sums over `attempts_`
 };
 
--- a/src/core/machines/failure_detector.hpp
+++ b/src/core/machines/failure_detector.hpp
@@ -59,7 +59,7 @@
   void agent_restarted(Machine& machine);
 
   /// Records that a peer receives heartbeats of agents: a leader that receives none is isolated.
-  void note_peer_receives_heartbeats(TimePoint now) { peer_heartbeats_at_ = now; }
+  void record_peer_receives_heartbeats(TimePoint now) { peer_heartbeats_at_ = now; }
   /// Whether no heartbeat has arrived in a time in which several are expected.
   bool no_heartbeats(TimePoint now) const;
   /// Whether no periodic heartbeat has arrived for longer than the longest regular gap between two
--- a/src/core/machines/machine_watch.cpp
+++ b/src/core/machines/machine_watch.cpp
@@ -116,7 +116,7 @@
   failure_detector_.observe_fleet(now, serving);
   count_boots(now);
   Pass pass{now, last_proven, failure_detector_.most_machines_responsive(now)};
-  out_.note_inspections(fleet_.all().size());
+  out_.count_inspections(fleet_.all().size());
   for (auto& [id, machine] : fleet_.all()) {
     if (machine.up())
       check_machine(machine, pass);
--- a/src/core/model/actions.hpp
+++ b/src/core/model/actions.hpp
@@ -141,11 +141,11 @@
 struct JobSuspected {
   JobId job;
   std::size_t machines = 0;  ///< Machines on which the job failed.
-  Seconds pause{0};          ///< Time until the next retry.
+  Seconds backoff{0};        ///< Time until the next retry.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.job, s.machines, s.pause);
+    f(s.job, s.machines, s.backoff);
   }
 };
 
--- a/src/core/model/learned_state.hpp
+++ b/src/core/model/learned_state.hpp
@@ -28,11 +28,11 @@
   std::vector<SavedRunTime> saved;
   std::vector<MachineId> failed_on;
   int failures = 0;
-  Seconds pause{0};  ///< Remaining pause after failures.
+  Seconds backoff{0};  ///< Remaining pause after failures.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.id, s.waited, s.saved, s.failed_on, s.failures, s.pause);
+    f(s.id, s.waited, s.saved, s.failed_on, s.failures, s.backoff);
   }
 };
 
--- a/src/core/model/limits.hpp
+++ b/src/core/model/limits.hpp
@@ -15,7 +15,7 @@
 /// capacity for the team's small tasks.
 inline constexpr std::chrono::seconds kMaxReservationTime{60};
 /// Time after the expiry of a reservation in which nothing is reserved.
-inline constexpr std::chrono::seconds kReservationPause{5};
+inline constexpr std::chrono::seconds kReservationBackoff{5};
 
 /// Maximum resources of the team; infinite where the team has no limit.
 inline Resources limit_of(const Team& team) {
--- a/src/core/outbox.hpp
+++ b/src/core/outbox.hpp
@@ -26,7 +26,7 @@
   bool scheduling_round_requested() const { return scheduling_round_requested_; }
 
   /// Counts machine inspections, by which tests bound the cost of an event.
-  void note_inspections(std::uint64_t machines) { inspections_ += machines; }
+  void count_inspections(std::uint64_t machines) { inspections_ += machines; }
   /// Number of machine inspections so far; a machine counts once for each inspection.
   std::uint64_t inspections() const { return inspections_; }
 
--- a/src/core/scheduling/gang_reservations.hpp
+++ b/src/core/scheduling/gang_reservations.hpp
@@ -56,7 +56,7 @@
   /// first one that is short in a domain keeps its machines, and later ones free theirs, so that no
   /// two gangs block each other with half of their machines each.
   void new_round() { short_domains_.clear(); }
-  void note_short(const std::string& domain) { short_domains_.insert(domain); }
+  void mark_short(const std::string& domain) { short_domains_.insert(domain); }
   /// Whether an earlier gang of this round is short in a domain that overlaps with this one. The
   /// empty domain overlaps with every domain.
   bool another_is_short(const std::string& domain) const;
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -27,7 +27,7 @@
   const auto& spec = job.spec();
   // A gang is not queued while an unconfirmed machine may run its tasks. So if only some of its
   // tasks wait, the others belong to an attempt that has lost a task and must end.
-  if (job.waiting.size() < job.tasks.size()) jobs_.note_broken_gang(spec.id);
+  if (job.waiting.size() < job.tasks.size()) jobs_.mark_gang_broken(spec.id);
   if (!task_starter_.within_limit(spec, job.waiting.size()))
     return reservations_.close(fleet_, spec.id);
   if (job.waiting.size() == job.tasks.size()) {
@@ -46,7 +46,7 @@
   for (const auto& entry : slots)
     for (TaskIndex started = 0; started < entry.tasks; ++started, ++index)
       if (!task_starter_.start(job, index, *entry.machine, attempt, now)) {
-        jobs_.note_broken_gang(job.spec().id);
+        jobs_.mark_gang_broken(job.spec().id);
         return false;
       }
   jobs_.before_change(job);
@@ -76,7 +76,7 @@
 void GangScheduler::reserve_machines(Job& job, const std::vector<Machine*>& schedulable,
                                      TimePoint now) {
   const auto& spec = job.spec();
-  if (pause_if_stalled(job, now)) return;
+  if (back_off_if_stalled(job, now)) return;
   leave_blocked_domain(job, now);
   auto* reservation = find_or_open_reservation(job, schedulable, now);
   if (reservation == nullptr) return;
@@ -91,14 +91,14 @@
 }
 
 // Reserved machines are unavailable to other jobs, so a reservation that stops growing must end.
-bool GangScheduler::pause_if_stalled(Job& job, TimePoint now) {
+bool GangScheduler::back_off_if_stalled(Job& job, TimePoint now) {
   const auto& id = job.spec().id;
   const auto* reservation = reservations_.find(id);
   if (reservation == nullptr || !reservation->is_short()) return false;
   if (now - reservation->last_reserved <= kMaxReservationTime) return false;
   reservations_.close(fleet_, id);
   jobs_.before_change(job);
-  job.backoff_until = now + kReservationPause;
+  job.backoff_until = now + kReservationBackoff;
   return true;
 }
 
@@ -173,7 +173,7 @@
 void GangScheduler::preempt_or_close(const Job& job, GangReservation& reservation, TimePoint now) {
   if (!reservations_.may_be_short(reservation.domain, count_zones()))
     return reservations_.close(fleet_, job.spec().id);
-  reservations_.note_short(reservation.domain);
+  reservations_.mark_short(reservation.domain);
   preemption_.preempt_for_gang(job, reservation, reservations_, now);
 }
 
--- a/src/core/scheduling/gang_scheduler.hpp
+++ b/src/core/scheduling/gang_scheduler.hpp
@@ -65,7 +65,7 @@
   void reserve_machines(Job& job, const std::vector<Machine*>& schedulable, TimePoint now);
   /// Ends the gang's reservation and delays the job if the gang lacks slots and no machine was
   /// added within `kMaxReservationTime`. Returns whether it did.
-  bool pause_if_stalled(Job& job, TimePoint now);
+  bool back_off_if_stalled(Job& job, TimePoint now);
   /// Ends a reservation that lacks slots in a domain where no machines can be requested, if an
   /// earlier gang has precedence there or if machines can be requested in another domain.
   void leave_blocked_domain(const Job& job, TimePoint now);
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -80,7 +80,7 @@
         victims.tasks.push_back({&machine, key, cost_of_stop(assignment, now)});
     }
   }
-  out_.note_inspections(fleet_.all().size());
+  out_.count_inspections(fleet_.all().size());
   std::stable_sort(victims.tasks.begin(), victims.tasks.end(), is_cheaper<Victim>);
   return victims;
 }
@@ -140,7 +140,7 @@
     if (slots > 0 && all_preemptible(machine, spec.priority))
       victims.push_back({&machine, slots, cost_of_stopping_all(machine, now)});
   }
-  out_.note_inspections(fleet_.all().size());
+  out_.count_inspections(fleet_.all().size());
   std::stable_sort(victims.begin(), victims.end(), is_cheaper<GangVictim>);
   return victims;
 }
--- a/src/core/scheduling/replica_consolidation.cpp
+++ b/src/core/scheduling/replica_consolidation.cpp
@@ -51,7 +51,7 @@
 ReplicaConsolidation::Survey ReplicaConsolidation::survey(TimePoint now) {
   Survey found;
   for (auto& [id, machine] : fleet_.all()) survey_machine(machine, found, now);
-  out_.note_inspections(fleet_.all().size());
+  out_.count_inspections(fleet_.all().size());
   for (const auto& [id, job] : jobs_)
     if (job.service()) found.moving += job.waiting.size();
   return found;
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -89,7 +89,7 @@
   const auto smallest = smallest_need(queue);
   BinPacker packer(settings_.tuning.bin_unit, now);
   const auto schedulable = schedulable_machines(queue, smallest, now);
-  note_free_slots(queue, smallest, schedulable);
+  update_slot_scarcity(queue, smallest, schedulable);
   if (scarcity_.has_gangs()) packer.preserve_empty_machines();
   for (auto* machine : schedulable) packer.add_machine(*machine);
   place_bound_groups(packer, now);
@@ -98,7 +98,7 @@
   starvation_guard_.reserve_machine(queue, now);
   if (starts_left_ > 0) uncordon_draining(queue, now);
   preemption_.preempt_for_services(queue, now);
-  out_.note_inspections(fleet_.all().size() + packer.inspections());
+  out_.count_inspections(fleet_.all().size() + packer.inspections());
   reconciler_.accrue_waiting_cost(now);
   scale_out(queue, now);
 }
@@ -143,8 +143,8 @@
 }
 
 // Counts slots instead of machines, since a large machine has capacity for many tasks.
-void Scheduler::note_free_slots(const Queue& queue, const Resources& smallest_need,
-                                const std::vector<Machine*>& schedulable) {
+void Scheduler::update_slot_scarcity(const Queue& queue, const Resources& smallest_need,
+                                     const std::vector<Machine*>& schedulable) {
   const auto waiting = waiting_tasks_without_gangs(queue);
   JobSpec smallest;
   smallest.per_task = smallest_need;
@@ -224,10 +224,10 @@
 bool Scheduler::image_wait_over(const Candidate& candidate, TimePoint now) const {
   const auto& job = *candidate.job;
   const auto fetch = max_fetch_time(job.spec());
-  const double patience =
+  const double max_wait =
       scarcity_.slots_scarce() ? kImageWaitInFetchTimesIfScarce : kImageWaitInFetchTimes;
   return candidate.starving || fetch < candidate.estimate * kMinFetchShareToWait ||
-         now - job.opened_at > to_duration(fetch * patience);
+         now - job.opened_at > to_duration(fetch * max_wait);
 }
 
 bool Scheduler::leaves_exclusive_types(const Candidate& candidate, TimePoint now) const {
@@ -278,7 +278,7 @@
         !task_starter_.start(job, index, *machine, task_starter_.next_attempt(), now))
       return false;
     choices.task_placed(*machine);
-    starvation_guard_.note_start(candidate);
+    starvation_guard_.update_prioritized_starts(candidate);
     --starts_left_;
     if (starts_left_ == 0 || rules.one_task_only) return false;
     if (rules.zone_constrained) return true;
--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -77,8 +77,8 @@
   bool has_healthy_task(const Job& job, TimePoint now) const;
   std::vector<Machine*> schedulable_machines(const Queue& queue, const Resources& smallest_need,
                                              TimePoint now);
-  void note_free_slots(const Queue& queue, const Resources& smallest_need,
-                       const std::vector<Machine*>& schedulable);
+  void update_slot_scarcity(const Queue& queue, const Resources& smallest_need,
+                            const std::vector<Machine*>& schedulable);
   bool needs_exclusive_type(const Candidate& candidate) const;
   void place_bound_groups(BinPacker& packer, TimePoint now);
   void place_queue(BinPacker& packer, const Queue& queue, const std::vector<Machine*>& schedulable,
--- a/src/core/scheduling/starvation_guard.cpp
+++ b/src/core/scheduling/starvation_guard.cpp
@@ -61,7 +61,7 @@
          forecaster_.age(job, now) > settings_.tuning.begin_within * kStarvingFromFraction;
 }
 
-void StarvationGuard::note_start(const Candidate& candidate) {
+void StarvationGuard::update_prioritized_starts(const Candidate& candidate) {
   if (candidate.starving)
     prioritized_starts_ = std::max(0.0, prioritized_starts_ - 1);
   else
@@ -101,7 +101,7 @@
   if (job.has_started || task_starter_.within_limit(job.spec(), tasks)) return;
   if (!quota_suffices_in_time(job, tasks)) return;
   auto& reservation = quota_reservations_[job.spec().team];
-  if (now - reservation.last_renewed > kReservationPause) reservation.since = now;
+  if (now - reservation.last_renewed > kReservationBackoff) reservation.since = now;
   if (now - reservation.since >= kMaxReservationTime) return;
   reservation.last_renewed = now;
   blocked_teams_.insert(job.spec().team);
@@ -133,7 +133,7 @@
   const bool valid = reservation_is_valid(now);
   if (valid && now - reserved_since_ < kMaxReservationTime) return;
   release_reservation();
-  if (valid) no_reservation_before_ = now + kReservationPause;
+  if (valid) no_reservation_before_ = now + kReservationBackoff;
 }
 
 void StarvationGuard::reserve_machine(const std::vector<Candidate>& queue, TimePoint now) {
--- a/src/core/scheduling/starvation_guard.hpp
+++ b/src/core/scheduling/starvation_guard.hpp
@@ -39,7 +39,7 @@
   }
   /// Updates the number of prioritized starts after a task of the candidate was started: a starving
   /// candidate uses one up, any other earns a fraction of one.
-  void note_start(const Candidate& candidate);
+  void update_prioritized_starts(const Candidate& candidate);
 
   /// Whether all tasks of the job come first within its priority: it is one of the largest jobs of
   /// its class, and its age exceeds the age at which jobs start to count as starving. The oldest of
--- a/src/leader/action_executor.cpp
+++ b/src/leader/action_executor.cpp
@@ -168,7 +168,7 @@
 
 void ActionExecutor::execute(const core::JobSuspected& action) {
   spdlog::warn("job {} failed on {} machines and succeeded on none: next attempt in {:.0f} s",
-               action.job, action.machines, action.pause.count());
+               action.job, action.machines, action.backoff.count());
 }
 
 void ActionExecutor::execute(const core::TaskHeld& action) {
--- a/src/leader/failover_log.cpp
+++ b/src/leader/failover_log.cpp
@@ -53,7 +53,7 @@
       "task-seconds of arrays, {:.0f} of gangs, {:.0f} of services ({:.0f} of jobs without a "
       "known task)",
       core::Seconds(now - elected_at_).count(), cost.arrays.count(), cost.gangs.count(),
-      cost.replicas.count(), cost.unseen.count());
+      cost.services.count(), cost.fully_waiting.count());
   const auto& stats = reconciler.stats();
   spdlog::info(
       "reconciliation: asked={} max_in_flight={} adopted={} ended_unstored={} stored_done={} "
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -25,7 +25,7 @@
 
 /// Limit of the connections for commands until the number of machines is known.
 std::size_t initial_command_connections(const config::Settings& settings) {
-  return core::share_sockets({settings.max_sockets, settings.nodes()}, 0).commands;
+  return core::allocate_sockets({settings.max_sockets, settings.nodes()}, 0).commands;
 }
 
 }  // namespace
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -241,7 +241,7 @@
   const core::SocketBudget budget{settings_.max_sockets, settings_.nodes()};
   const auto* leader = ready_leader();
   const auto shares = leader != nullptr ? leader->controller()->commands().shares()
-                                        : core::share_sockets(budget, budget.sockets);
+                                        : core::allocate_sockets(budget, budget.sockets);
   server_.set_limits(shares.accepted(budget.sockets), shares.heartbeats, shares.users);
 }
 
--- a/tests/core/failover/reconciliation_test.cpp
+++ b/tests/core/failover/reconciliation_test.cpp
@@ -17,7 +17,7 @@
   for (const std::size_t sockets : {100, 1000, 3494, 20'000})
     for (const std::size_t machines : {0, 50, 2112, 7000, 40'000}) {
       SCOPED_TRACE(std::to_string(sockets) + " sockets, " + std::to_string(machines));
-      const auto shares = share_sockets({sockets, 5}, machines);
+      const auto shares = allocate_sockets({sockets, 5}, machines);
       EXPECT_LE(shares.internal + shares.heartbeats + shares.commands + shares.users, sockets);
       EXPECT_GE(shares.commands, 4U);
       EXPECT_GE(shares.users, 4U);
@@ -26,7 +26,7 @@
     }
   // With half as many machines again as the largest expected fleet, a tenth of the sockets is
   // unused.
-  const auto shares = share_sockets({3494, 5}, 2112);
+  const auto shares = allocate_sockets({3494, 5}, 2112);
   EXPECT_GE(shares.heartbeats, 2112U);
   EXPECT_LT(shares.internal + 2112 + shares.commands + shares.users, 3494U * 9 / 10);
 }
--- a/tests/core/machines/ended_attempts_test.cpp
+++ b/tests/core/machines/ended_attempts_test.cpp
@@ -268,14 +268,15 @@
   elect_leader(2, 0);
   run_for(Seconds(2));
   start_without_responses(job_record("req-1", 4));
-  const auto settled = machine_of({"req-1", 0})->first;
-  end_task(agents_[settled], {"req-1", 0}, true);
+  const auto retiring_machine = machine_of({"req-1", 0})->first;
+  end_task(agents_[retiring_machine], {"req-1", 0}, true);
   run_for(Seconds(4));
   starts_sent_.clear();
   controller_->job_opened(job_record("req-2", 8), now_);
   run_for(Seconds(8));
-  ASSERT_FALSE(returned_machines_.contains(settled)) << "its other tasks have some time left";
-  EXPECT_EQ(starts_sent_[settled], 0);
+  ASSERT_FALSE(returned_machines_.contains(retiring_machine))
+      << "its other tasks have some time left";
+  EXPECT_EQ(starts_sent_[retiring_machine], 0);
   EXPECT_GT(running_tasks(), 3U) << "the other machine is used";
 }
 
--- a/tests/core/machines/failure_detector_test.cpp
+++ b/tests/core/machines/failure_detector_test.cpp
@@ -248,7 +248,7 @@
   for (auto& [id, agent] : agents_) agent.sends_heartbeats = agent.receives_commands = false;
   run_for(Seconds(4));
   EXPECT_FALSE(first_resignation_);
-  controller_->note_peer_receives_heartbeats(now_);
+  controller_->record_peer_receives_heartbeats(now_);
   run_for(Seconds(1));
   ASSERT_TRUE(first_resignation_);
   EXPECT_EQ(first_resignation_->second, "no machine is heard from");
@@ -436,7 +436,7 @@
   const auto partitioned_at = now_;
   while (!first_resignation_ && now_ - partitioned_at < to_duration(agent_times_.lease)) {
     run_for(Seconds(1));
-    if (controller_->possibly_isolated(now_)) controller_->note_peer_receives_heartbeats(now_);
+    if (controller_->possibly_isolated(now_)) controller_->record_peer_receives_heartbeats(now_);
   }
   ASSERT_TRUE(first_resignation_);
   EXPECT_EQ(first_resignation_->second, "its machines answer, and report to other controllers");
--- a/tests/core/scheduling/gangs_and_services_test.cpp
+++ b/tests/core/scheduling/gangs_and_services_test.cpp
@@ -227,7 +227,7 @@
 TEST(Gang, FirstGangThatIsShortHasPrecedenceInItsDomain) {
   GangReservations reservations;
   reservations.new_round();
-  reservations.note_short("a");
+  reservations.mark_short("a");
   EXPECT_TRUE(reservations.another_is_short("a"));
   EXPECT_TRUE(reservations.another_is_short(""));  // the empty domain overlaps with every zone
   EXPECT_FALSE(reservations.another_is_short("b"));
@@ -235,7 +235,7 @@
   // start in the rest.
   EXPECT_FALSE(reservations.may_be_short("a", 4));
   EXPECT_TRUE(reservations.may_be_short("b", 4));
-  reservations.note_short("b");
+  reservations.mark_short("b");
   EXPECT_FALSE(reservations.may_be_short("c", 4));
   reservations.new_round();
   EXPECT_FALSE(reservations.another_is_short("a"));
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -276,7 +276,7 @@
   EXPECT_EQ(job.saved, saved);
   EXPECT_EQ(job.failed_on, std::vector<core::MachineId>{"m-1"});
   EXPECT_EQ(job.failures, 2);
-  EXPECT_EQ(job.pause, Seconds(8));
+  EXPECT_EQ(job.backoff, Seconds(8));
   ASSERT_EQ(state.machines.size(), 1U);
   EXPECT_EQ(state.machines[0].id, "m-1");
   EXPECT_EQ(state.machines[0].errors, 2);
