--- a/src/core/autoscaling/consolidation.cpp
+++ b/src/core/autoscaling/consolidation.cpp
@@ -39,7 +39,7 @@
 
 // A machine in an outbound partition is idle only because no task is started there; the failure
 // detector decides when it is returned. A machine that tasks are bound to must not be drained: it
-// would take none of these tasks, and they would wait for ever.
+// would take none of these tasks, and they would wait indefinitely.
 bool Consolidation::is_exempt(const Machine& machine) const {
   return !machine.reserved_for.empty() || machine.outbound_partition_since ||
          bindings_.has_group(machine.id);
--- a/src/core/autoscaling/scale_out_planner.cpp
+++ b/src/core/autoscaling/scale_out_planner.cpp
@@ -133,7 +133,7 @@
 }
 
 // The rate limit permits few requests per second. The least recently requested offering is first,
-// so that an offering that fills every request does not keep the others waiting for ever.
+// so that an offering that fills every request does not keep the others waiting indefinitely.
 void ScaleOutPlanner::send_plan(ScaleOutPlan& plan, TimePoint now) {
   std::vector<OfferingKey> order;
   for (const auto& [offering, groups] : plan) order.push_back(offering);
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// The decisions of the leader: takes events with their time and returns actions. The controller
 /// performs no input or output, reads no clock, and is created anew at every election. It passes
-/// events to its parts; each part owns its state, and its header says what it decides.
+/// events to its parts; each part owns its state, and its header documents its decisions.
 #pragma once
 
 #include "core/autoscaling/consolidation.hpp"
@@ -63,7 +63,7 @@
   void record_peer_receives_heartbeats(TimePoint now) {
     failure_detector_.record_peer_receives_heartbeats(now);
   }
-  /// Whether this leader may be isolated. Only then it matters whether peers receive heartbeats.
+  /// Whether this leader may be isolated. It only matters then whether peers receive heartbeats.
   bool possibly_isolated(TimePoint now) const {
     return failure_detector_.no_heartbeats(now) || failure_detector_.no_lease_renewals(now);
   }
--- a/src/core/failover/doubt_resolver.cpp
+++ b/src/core/failover/doubt_resolver.cpp
@@ -11,7 +11,7 @@
 
 /// Maximum number of in-doubt attempts that one agent may remember. Each takes about 100 bytes of
 /// every heartbeat, whose size is limited to 64 KiB (PROTOCOL).
-constexpr std::size_t kMaxAttemptsInDoubt = 200;
+constexpr std::size_t kMaxInDoubtAttempts = 200;
 /// Maximum number of machines that are retired for team limits at the same time: the larger of
 /// `kMinRetiringLimit` and this share of the fleet.
 constexpr std::size_t kMinRetiringLimit = 2;
@@ -48,7 +48,7 @@
 
 void DoubtResolver::retire_for_heartbeat_size(TimePoint now) {
   for (const auto& [id, machine] : fleet_.all())
-    if (machine.in_doubt_attempts.size() > kMaxAttemptsInDoubt) ended_attempts_.retire(id, now);
+    if (machine.in_doubt_attempts.size() > kMaxInDoubtAttempts) ended_attempts_.retire(id, now);
 }
 
 void DoubtResolver::retire_for_zones(TimePoint now) {
--- a/src/core/failover/heartbeat_handler.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -42,7 +42,7 @@
   update_identity(machine, heartbeat, now);
   if (heartbeat.token == token_ && !machine.confirmed) confirm(machine, now);
   // A machine that is neither recorded as unconfirmed nor confirmed may be known only from a
-  // delayed copy of a heartbeat that was sent before an older leader returned the machine. Until
+  // delayed copy of a heartbeat that was sent before a former leader returned the machine. Until
   // the machine answers, no task starts there, it is not registered (the next leader would wait for
   // it), and only the exits in its task list are applied.
   const bool is_list_trusted = machine.confirmed || recovery_.is_unconfirmed(machine.id);
--- a/src/core/failover/heartbeat_handler.hpp
+++ b/src/core/failover/heartbeat_handler.hpp
@@ -57,7 +57,7 @@
   /// Stores endpoint, type, zone and spot, and marks the machine as up at its first heartbeat.
   void update_identity(Machine& machine, const Heartbeat& heartbeat, TimePoint now);
   /// Marks the machine as confirmed: its agent has answered under our fencing token, so the agent
-  /// refuses commands of older leaders and its task list is complete.
+  /// refuses commands of former leaders and its task list is complete.
   void confirm(Machine& machine, TimePoint now);
   /// Stops the tasks that would still run when the cloud reclaims the machine after `notice`.
   void accept_reclaim_notice(Machine& machine, Seconds notice, TimePoint now);
@@ -70,7 +70,7 @@
   /// Handles a listed attempt without an assignment: adopts the task, records it as done, or counts
   /// the difference and leaves the attempt to a stop command.
   void reconcile_unassigned_task(Machine& machine, const TaskStatus& status, TimePoint now);
-  /// Creates the assignment of a task that an older leader started on this machine.
+  /// Creates the assignment of a task that a former leader started on this machine.
   void adopt_task(Machine& machine, Job& job, const TaskStatus& status, TimePoint now);
 
   void handle_missed_response(Machine& machine, TimePoint now);
--- a/src/core/failover/leadership.hpp
+++ b/src/core/failover/leadership.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// What a node may conclude about its own leadership. Does no input or output: the store client
-/// reports its requests and their results. Owns two points in time: until when this node is proven
-/// to have led, and until when it knows every cancellation confirmed by any node (docs/safety.md,
+/// Tracks until when a node may act as leader. Does no input or output: the store client reports
+/// its requests and their results. Owns two points in time: until when this node is proven to have
+/// led, and until when it knows every cancellation confirmed by any node (docs/safety.md,
 /// "Leadership does not imply fresh data"). Both are the send time of a request, not the arrival
 /// time of its response.
 #pragma once
@@ -80,7 +80,7 @@
     return leading() && fresh_until_ && now - *fresh_until_ < to_duration(serving_time()) &&
            now - last_proven_ < to_duration(serving_time());
   }
-  /// Earliest time at which every lease that an older leader may have renewed has expired.
+  /// Earliest time at which every lease that a former leader may have renewed has expired.
   TimePoint former_leases_end(TimePoint elected_at) const {
     return elected_at + to_duration(serving_time() + times_.lease + 2 * margin_);
   }
--- a/src/core/failover/recovery.cpp
+++ b/src/core/failover/recovery.cpp
@@ -14,7 +14,7 @@
 void Recovery::check(TimePoint last_proven) {
   if (!recovering_) return;
   // Answering a heartbeat renews the lease even if the machine stays unconfirmed: the heartbeat may
-  // have been answered before it was processed, or a command of an older leader may have arrived
+  // have been answered before it was processed, or a command of a former leader may have arrived
   // after the heartbeat. So the lease counts from the last heartbeat of the machine.
   if (last_proven >= former_leases_end_)
     std::erase_if(unconfirmed_, [&](const MachineId& id) {
--- a/src/core/failover/recovery.hpp
+++ b/src/core/failover/recovery.hpp
@@ -18,13 +18,13 @@
 /// Tracks the unconfirmed machines from the election until all of them have answered or are gone.
 class Recovery {
  public:
-  /// `former_leases_end`: when the last lease that an older leader may have renewed expires.
+  /// `former_leases_end`: when the last lease that a former leader may have renewed expires.
   /// `lease`: lease time of an agent.
   Recovery(Outbox& out, Fleet& fleet, TimePoint former_leases_end, Seconds lease)
       : out_(out), fleet_(fleet), former_leases_end_(former_leases_end), lease_(lease) {}
 
-  /// Records that no older leader answers heartbeats any more: every other controller has seen our
-  /// leader key and reported that it does not lead. So the last lease that an older leader may have
+  /// Records that no former leader answers heartbeats any more: every other controller has seen our
+  /// leader key and reported that it does not lead. So the last lease that a former leader may have
   /// renewed expires at the latest one full lease after `now`.
   void former_leaders_gone(TimePoint now);
 
@@ -32,7 +32,7 @@
   /// the travel time of the last answer.
   Seconds full_lease() const { return lease_ * kClockDriftFactor + kAnswerTravelTime; }
 
-  /// Adds a machine on which an older leader may have started tasks.
+  /// Adds a machine on which a former leader may have started tasks.
   void add_unconfirmed(const Machine& machine) {
     unconfirmed_.insert(machine.id);
     unconfirmed_offerings_.insert({machine.type, machine.zone, machine.spot});
@@ -59,7 +59,7 @@
   /// Records whether the machine lists running tasks without an assignment.
   void update_unknown_tasks(Machine& machine, TimePoint now);
   /// Since when the machine has listed running tasks of jobs that are unknown here (ended, or
-  /// cancelled under an older leader); none if it lists no such task.
+  /// cancelled under a former leader); none if it lists no such task.
   std::optional<TimePoint> unknown_tasks_since(const MachineId& id) const {
     const auto found = unknown_tasks_since_.find(id);
     return found == unknown_tasks_since_.end() ? std::nullopt : std::optional(found->second);
--- a/src/core/failover/task_exit_handler.cpp
+++ b/src/core/failover/task_exit_handler.cpp
@@ -103,8 +103,8 @@
     machine.quarantined = true;
 }
 
-// The pause doubles with each retry. A suspected job retries with a single task, as a retry of all
-// tasks would cost as much as the first start.
+// The backoff doubles with each retry. A suspected job retries with a single task, as a retry of
+// all tasks would cost as much as the first start.
 void TaskExitHandler::suspect_job(Job& job, TimePoint now) {
   const auto backoff = std::clamp(job.failure_backoff * 2, kInitialJobBackoff, kMaxFailureBackoff);
   if (backoff > job.failure_backoff)
--- a/src/core/failover/task_exit_handler.hpp
+++ b/src/core/failover/task_exit_handler.hpp
@@ -34,7 +34,8 @@
   /// it was recorded.
   bool keep_if_in_doubt(const Machine& machine, const TaskStatus& status,
                         const Assignment& assignment, EndedTask task, TimePoint now);
-  /// Makes the task wait for another start, or holds it if its ended attempt is in doubt.
+  /// Makes the task wait for another start, or holds it if a delayed start may run its ended
+  /// attempt again.
   void requeue(Machine& machine, const TaskStatus& status, const Assignment& assignment, Job& job,
                TimePoint now);
   void handle_completion(Machine& machine, const Assignment& assignment, Job& job, TaskIndex index,
@@ -43,7 +44,7 @@
   /// Attributes a failure to the job or to the machine, and backs off or quarantines accordingly.
   void handle_failure(Machine& machine, Job& job, TimePoint now);
   /// Marks the job, whose tasks have all failed on several machines, as suspected: it is retried
-  /// after growing pauses.
+  /// with an increasing backoff.
   void suspect_job(Job& job, TimePoint now);
 
   const ControllerSettings& settings_;
--- a/src/core/machines/machine_watch.cpp
+++ b/src/core/machines/machine_watch.cpp
@@ -15,8 +15,8 @@
 constexpr std::size_t kMassLateBootCount = 3;
 // Multiple of the usual boot timeout that applies in that case.
 constexpr double kMaxBootTimeoutFactor = 2.5;
-// Records that change only in their images are written slowly: they only spare fetches after a
-// failover.
+// Records that change only in their images are written slowly: they only avoid image fetches after
+// a failover.
 constexpr int kMaxImageSavesPerPass = 20;
 constexpr Seconds kDefaultBootTime{60};  // of a machine type that is not in the catalog
 // Time from the end of a leader to the first check of the next one: the lease of the leader key,
@@ -71,7 +71,7 @@
 
 // Whether a cancelled task was told to stop long ago and its end is not proven: its machine hangs,
 // or a delayed start command may still run the task. The task must end within `cancel_s`, however
-// many machines are silent, and a lost start would otherwise keep its resources for ever
+// many machines are silent, and a lost start would otherwise keep its resources indefinitely
 // (docs/combined-failures.md). The cancellation may have been confirmed to the user up to
 // `cancel_s` - `lease_s` before this leader learned of it. So a machine that answers and does not
 // list the task is given half a lease: a whole lease could exceed `cancel_s`. A machine that does
--- a/src/core/model/actions.hpp
+++ b/src/core/model/actions.hpp
@@ -27,8 +27,8 @@
 /// Writes a machine's record.
 struct SaveMachine {
   MachineRecord record;
-  bool only_images_changed = false;  ///< The machine is registered already: the record only spares
-                                     ///< fetches after a failover.
+  bool only_images_changed = false;  ///< The machine is registered already: the record only avoids
+                                     ///< image fetches after a failover.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
@@ -137,7 +137,7 @@
 };
 
 /// Logs that all tasks of a job fail, so that users and operators look for the cause. Emitted each
-/// time the pause before the next retry grows.
+/// time the backoff before the next retry grows.
 struct JobSuspected {
   JobId job;
   std::size_t machines = 0;  ///< Machines on which the job failed.
--- a/src/core/model/learned_state.hpp
+++ b/src/core/model/learned_state.hpp
@@ -28,7 +28,7 @@
   std::vector<SavedRunTime> saved;
   std::vector<MachineId> failed_on;
   int failures = 0;
-  Seconds backoff{0};  ///< Remaining pause after failures.
+  Seconds backoff{0};  ///< Remaining backoff after failures.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
--- a/src/core/scheduling/gang_reservations.hpp
+++ b/src/core/scheduling/gang_reservations.hpp
@@ -52,9 +52,9 @@
   /// Removes a machine from the reservation that it belongs to.
   void release(Fleet& fleet, Machine& machine);
 
-  /// Forgets the gangs that were short in the last round. Gangs are processed in queue order: the
-  /// first one that is short in a domain keeps its machines, and later ones free theirs, so that no
-  /// two gangs block each other with half of their machines each.
+  /// Clears the domains in which gangs were short in the last round. Gangs are processed in queue
+  /// order: the first one that is short in a domain keeps its machines, and later ones free theirs,
+  /// so that no two gangs block each other with half of their machines each.
   void new_round() { short_domains_.clear(); }
   void mark_short(const std::string& domain) { short_domains_.insert(domain); }
   /// Whether an earlier gang of this round is short in a domain that overlaps with this one. The
--- a/src/core/scheduling/replica_consolidation.cpp
+++ b/src/core/scheduling/replica_consolidation.cpp
@@ -36,43 +36,43 @@
 void ReplicaConsolidation::consolidate(TimePoint now) {
   if (now - last_pass_ < kPassInterval) return;
   last_pass_ = now;
-  auto found = survey(now);
-  const auto max_moving = std::max<std::size_t>(1, found.running / kReplicasPerConcurrentMove);
-  std::stable_sort(found.sparse.begin(), found.sparse.end(), drained_before);
-  for (auto* machine : found.sparse) {
-    if (found.moving >= max_moving) return;
-    const bool movable = can_move_all(*machine, found.targets);
+  auto state = scan_fleet(now);
+  const auto max_moving = std::max<std::size_t>(1, state.running / kReplicasPerConcurrentMove);
+  std::stable_sort(state.sparse.begin(), state.sparse.end(), drained_before);
+  for (auto* machine : state.sparse) {
+    if (state.moving >= max_moving) return;
+    const bool movable = can_move_all(*machine, state.targets);
     // If any replica cannot move, the machine is not drained and may take new tasks.
     fleet_.set(*machine, &Machine::draining, movable);
-    if (movable) move_replicas(*machine, found.moving, max_moving, now);
+    if (movable) move_replicas(*machine, state.moving, max_moving, now);
   }
 }
 
-ReplicaConsolidation::Survey ReplicaConsolidation::survey(TimePoint now) {
-  Survey found;
-  for (auto& [id, machine] : fleet_.all()) survey_machine(machine, found, now);
+ReplicaConsolidation::FleetState ReplicaConsolidation::scan_fleet(TimePoint now) {
+  FleetState state;
+  for (auto& [id, machine] : fleet_.all()) scan_machine(machine, state, now);
   out_.count_inspections(fleet_.all().size());
   for (const auto& [id, job] : jobs_)
-    if (job.service()) found.moving += job.waiting.size();
-  return found;
+    if (job.service()) state.moving += job.waiting.size();
+  return state;
 }
 
-void ReplicaConsolidation::survey_machine(Machine& machine, Survey& found, TimePoint now) {
+void ReplicaConsolidation::scan_machine(Machine& machine, FleetState& state, TimePoint now) {
   for (const auto& [key, task] : machine.tasks)
     if (task.shape == Shape::service)
-      ++(task.running_since && !task.stop ? found.running : found.moving);
+      ++(task.running_since && !task.stop ? state.running : state.moving);
   if (!runs_only_replicas(machine) || !machine.reserved_for.empty() ||
       bindings_.has_group(machine.id)) {
     fleet_.set(machine, &Machine::sparse_since, {});
     return;
   }
-  if (task_starter_.accepts_new_tasks(machine, now)) found.targets.push_back(&machine);
+  if (task_starter_.accepts_new_tasks(machine, now)) state.targets.push_back(&machine);
   if (!underused(machine, settings_.tuning.consolidation_threshold + kThresholdSlack)) {
     fleet_.set(machine, &Machine::sparse_since, {});
     return;
   }
   if (!machine.sparse_since) fleet_.set(machine, &Machine::sparse_since, {now});
-  if (is_drainable(machine, now)) found.sparse.push_back(&machine);
+  if (is_drainable(machine, now)) state.sparse.push_back(&machine);
 }
 
 bool ReplicaConsolidation::is_drainable(const Machine& machine, TimePoint now) const {
--- a/src/core/scheduling/replica_consolidation.hpp
+++ b/src/core/scheduling/replica_consolidation.hpp
@@ -35,7 +35,7 @@
 
  private:
   /// The state of the fleet in one pass.
-  struct Survey {
+  struct FleetState {
     std::size_t running = 0;        // running replicas
     std::size_t moving = 0;         // replicas that are starting, stopping or waiting
     std::vector<Machine*> targets;  // machines with replicas only that may take more
@@ -43,8 +43,8 @@
   };
   using PlannedUse = std::map<MachineId, Resources>;
 
-  Survey survey(TimePoint now);
-  void survey_machine(Machine& machine, Survey& found, TimePoint now);
+  FleetState scan_fleet(TimePoint now);
+  void scan_machine(Machine& machine, FleetState& state, TimePoint now);
   bool is_drainable(const Machine& machine, TimePoint now) const;
   bool can_move_all(const Machine& machine, const std::vector<Machine*>& targets) const;
   /// Stops the machine's replicas until `moving` has reached `max_moving`.
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -216,7 +216,7 @@
                                    forecaster_.age(job, now) < settings_.tuning.on_demand_wait;
   if (pass == ImagePass::holders_only && !image_wait_over(candidate, now))
     rules.min_image_rank = ImageRank::fetching;
-  if (leaves_exclusive_types(candidate, now))
+  if (avoids_exclusive_types(candidate, now))
     rules.excluded_types = scarcity_.types_reserved_for_others(spec);
   return rules;
 }
@@ -224,13 +224,13 @@
 bool Scheduler::image_wait_over(const Candidate& candidate, TimePoint now) const {
   const auto& job = *candidate.job;
   const auto fetch = max_fetch_time(job.spec());
-  const double max_wait =
+  const double wait_in_fetch_times =
       scarcity_.slots_scarce() ? kImageWaitInFetchTimesIfScarce : kImageWaitInFetchTimes;
   return candidate.starving || fetch < candidate.estimate * kMinFetchShareToWait ||
-         now - job.opened_at > to_duration(fetch * max_wait);
+         now - job.opened_at > to_duration(fetch * wait_in_fetch_times);
 }
 
-bool Scheduler::leaves_exclusive_types(const Candidate& candidate, TimePoint now) const {
+bool Scheduler::avoids_exclusive_types(const Candidate& candidate, TimePoint now) const {
   const auto& job = *candidate.job;
   return !candidate.starving && forecaster_.age(job, now) < kMaxHoldBackTime &&
          (scarcity_.exclusive_demand_waiting() || now - job.opened_at < kExclusiveTypeDelay);
--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -90,7 +90,7 @@
   /// is short compared with the run time, or the job has waited for long enough.
   bool image_wait_over(const Candidate& candidate, TimePoint now) const;
   /// Whether the job must not use exclusive types, which are reserved for tasks that need them.
-  bool leaves_exclusive_types(const Candidate& candidate, TimePoint now) const;
+  bool avoids_exclusive_types(const Candidate& candidate, TimePoint now) const;
   bool may_use(const Machine& machine, const Job& job, const PlacementRules& rules,
                const ZoneUse& zones, TimePoint now) const;
   /// Starts tasks of the job until none fits or a limit is reached. Returns true if it must be
--- a/src/core/scheduling/starvation_guard.cpp
+++ b/src/core/scheduling/starvation_guard.cpp
@@ -84,7 +84,7 @@
 }
 
 // Counts the quota that the team's running replicas leave. Without this check a gang as large as
-// its team's quota blocked the team for ever, because replicas of the same team kept running.
+// its team's quota blocked the team indefinitely, because replicas of the same team kept running.
 bool StarvationGuard::quota_suffices_in_time(const Job& job, std::size_t tasks) const {
   const auto& spec = job.spec();
   auto available = task_starter_.remaining_quota(spec.team);
--- a/src/core/scheduling/starvation_guard.hpp
+++ b/src/core/scheduling/starvation_guard.hpp
@@ -1,9 +1,10 @@
 /// @file
 /// Prevents starvation of large jobs: the order of the queue favours small jobs, so a steady flow
-/// of these would keep a large job waiting for ever (PROTOCOL, "How aims are counted": the largest
-/// jobs of a class are judged separately; docs/design.md, "Large jobs begin"). Decides which jobs
-/// start their first task before all others, and reserves one machine and teams' quotas for
-/// starving jobs. Owns these reservations and the number of prioritized starts that are allowed.
+/// of these would keep a large job waiting indefinitely (PROTOCOL, "How aims are counted": the
+/// largest jobs of a class are judged separately; docs/design.md, "Large jobs begin"). Decides
+/// which jobs start their first task before all others, and reserves one machine and teams' quotas
+/// for starving jobs. Owns these reservations and the number of prioritized starts that are
+/// allowed.
 #pragma once
 
 #include <map>
--- a/tests/core/failover/reconciliation_test.cpp
+++ b/tests/core/failover/reconciliation_test.cpp
@@ -405,7 +405,7 @@
 }
 
 // The answer to a heartbeat under an older token renews the lease of the machine, and a delayed
-// command of an older leader may have arrived after that heartbeat. So the machine's tasks may run
+// command of a former leader may have arrived after that heartbeat. So the machine's tasks may run
 // until that lease has expired.
 TEST_F(Reconciliation, AMachineThatWasAnsweredIsWaitedForUntilItsLeaseHasRunOut) {
   start_leader({"m1", "m2"}, {job("req-1", 1), job("req-2", 3)});
@@ -427,7 +427,7 @@
 }
 
 // The answer to a machine's first heartbeat renews its lease. If the stop of a task that was
-// cancelled under an older leader does not come with that answer and the machine is then
+// cancelled under a former leader does not come with that answer and the machine is then
 // partitioned, the task outlives the cancel time.
 TEST_F(Reconciliation, TheAnswerThatRenewsALeaseStopsTasksOfEndedJobs) {
   start_leader({"m1"}, {job("req-1", 1)});
@@ -437,8 +437,8 @@
   EXPECT_EQ(commands_[0].task.job, "req-9");
 }
 
-// A job that was cancelled under the older leader has no record any more, so its task may be on any
-// silent machine. A machine that hangs does not end its tasks when its lease expires.
+// A job that was cancelled under the former leader has no record any more, so its task may be on
+// any silent machine. A machine that hangs does not end its tasks when its lease expires.
 TEST_F(Reconciliation, AMachineThatMayRunCancelledTasksIsReturnedInTimeHoweverManyAreSilent) {
   const std::vector<MachineId> all{"m1", "m2", "m3", "m4", "m5", "m6"};
   start_leader(all, {job("req-2", 3)});
@@ -453,7 +453,7 @@
   };
   wait(12, 2);
   EXPECT_TRUE(returned_.empty())
-      << "most machines are silent: this leader may be cut off from them";
+      << "most machines are silent: this leader may be partitioned from them";
   wait(5, 2);
   EXPECT_EQ(std::set<MachineId>(returned_.begin(), returned_.end()),
             std::set<MachineId>(all.begin() + 2, all.end()));
@@ -481,7 +481,7 @@
   EXPECT_EQ(std::set<MachineId>(returned_.begin(), returned_.end()), (std::set<MachineId>{"m1"}));
 }
 
-// Once every other controller has reported that it does not lead, no lease is renewed by an older
+// Once every other controller has reported that it does not lead, no lease is renewed by a former
 // leader any more.
 TEST_F(Reconciliation, FormerLeadersThatAreKnownToBeGoneShortenTheWait) {
   for (const bool leaders_gone : {false, true}) {
--- a/tests/core/machines/ended_attempts_test.cpp
+++ b/tests/core/machines/ended_attempts_test.cpp
@@ -294,8 +294,8 @@
   EXPECT_TRUE(returned_machines_.contains(first)) << scale_in_causes_;
 }
 
-// Agents remember each attempt in doubt and list it in every heartbeat, so its number is bounded.
-TEST_F(EndedAttemptsTest, AMachineWithTooManyAttemptsInDoubtIsReturned) {
+// Agents remember each in-doubt attempt and list it in every heartbeat, so their number is bounded.
+TEST_F(EndedAttemptsTest, AMachineWithTooManyInDoubtAttemptsIsReturned) {
   elect_leader(1, 0);
   run_for(Seconds(2));
   auto small = job_record("req-1", 240);
--- a/tests/core/machines/failure_detector_test.cpp
+++ b/tests/core/machines/failure_detector_test.cpp
@@ -354,7 +354,7 @@
 
 // Agents that cannot connect to any controller but receive commands and answer them. Their leases
 // end, since a response to commands renews no lease. If the response counted as a periodic
-// heartbeat, such a machine would count as healthy for ever and get new tasks after each lease.
+// heartbeat, such a machine would count as healthy indefinitely and get new tasks after each lease.
 class OutboundPartition : public FailureDetectorTest {
  protected:
   void set_outbound_partitioned(int first, int last, bool partitioned = true) {
@@ -473,7 +473,7 @@
   run_for(Seconds(400));
   EXPECT_LT(task_failures_, 40) << "a dozen retries of all eight tasks would fail 96 times";
   EXPECT_GT(task_failures_, 12) << "the job is still retried";
-  EXPECT_GE(suspicions_, 3U) << "the job is logged as suspected once for each longer pause";
+  EXPECT_GE(suspicions_, 3U) << "the job is logged as suspected once for each longer backoff";
   EXPECT_LE(suspicions_, 7U);
   EXPECT_EQ(scale_in_causes_.find("sick"), std::string::npos) << scale_in_causes_;
   EXPECT_EQ(scale_out_requests_, 0U);
@@ -493,9 +493,9 @@
   EXPECT_EQ(suspicions_, 0U);
 }
 
-// Guards against a service that has failed on faulty machines and stays suspected for ever because
-// a replica never ends, so that its other replicas never start. In the same way, an array would
-// wait for as long as its first task runs (docs/incidents/seed-3917.md).
+// Guards against a service that has failed on faulty machines and stays suspected indefinitely
+// because a replica never ends, so that its other replicas never start. In the same way, an array
+// would wait for as long as its first task runs (docs/incidents/seed-3917.md).
 TEST_F(FaultyJobs, ASuspectedJobStartsItsOtherTasksWhileItsFirstTaskKeepsRunning) {
   for (const auto shape : {Shape::service, Shape::array}) {
     elect_leader(8, 0);
@@ -509,7 +509,7 @@
     run_for(Seconds(20));
     ASSERT_GT(suspicions_, 0U);
     faulty_jobs_.clear();
-    run_for(kMaxFailureBackoff);  // the longest pause before a retry
+    run_for(kMaxFailureBackoff);  // the longest backoff before a retry
     const auto first = running_tasks();
     ASSERT_GT(first, 0U);
     run_for(Seconds(90));
--- a/tests/core/scheduling/gangs_and_services_test.cpp
+++ b/tests/core/scheduling/gangs_and_services_test.cpp
@@ -196,7 +196,7 @@
 
 // Guards against lost tasks that go undetected: the tasks of a gang share one attempt, and a task
 // that was missing from its machine's heartbeats was not noticed while another task of the gang was
-// listed there. The gang was never stopped, and the task counted as running for ever.
+// listed there. The gang was never stopped, and the task counted as running indefinitely.
 TEST(Gang, TaskMissingFromHeartbeatsIsDetectedBesideAnotherTaskOfTheGang) {
   TestCluster cluster({"a"});
   cluster.submit(TestCluster::spec(Shape::gang, 2, kQuarterMachine));
@@ -380,8 +380,8 @@
   }
 }
 
-// Guards against a task that runs twice: a leader that is cut off may have a successor, which may
-// renew the lease of a machine that is silent only to the old leader.
+// Guards against a task that runs twice: a partitioned leader may have a successor, which may renew
+// the lease of a machine that is silent only to the old leader.
 TEST(Leases, ExpireOnlyIfNoSuccessorMayRenewThem) {
   for (const bool cut_off : {false, true}) {
     TestCluster cluster({"a"});
--- a/tests/core/scheduling/starvation_guard_test.cpp
+++ b/tests/core/scheduling/starvation_guard_test.cpp
@@ -94,8 +94,8 @@
   expect_started_in_time();
 }
 
-// Guards against a team that is blocked for ever: replicas of the team, which do not end, leave too
-// little quota for the gang, so no quota may be reserved for it.
+// Guards against a team that is blocked indefinitely: replicas of the team, which do not end, leave
+// too little quota for the gang, so no quota may be reserved for it.
 TEST_F(LargestJobs, GangThatExceedsTheQuotaLeftByReplicasDoesNotBlockItsTeam) {
   elect_leader(2, 0);
   auto service = job_record("req-2", 2);
@@ -206,8 +206,8 @@
   EXPECT_TRUE(first_start_times_.contains("req-2"));
 }
 
-// Guards against a job that avoids all suitable machines for ever because its tasks have failed on
-// each of them.
+// Guards against a job that avoids all suitable machines indefinitely because its tasks have failed
+// on each of them.
 TEST_F(HoldBackLimit, JobUsesMachinesAgainAfterItsFailuresExpire) {
   elect_leader(2, 0);
   for (int i = 0; i < 2; ++i) agents_[machine_id(i)].faulty = true;
@@ -222,8 +222,8 @@
   EXPECT_TRUE(finished_jobs_.contains("req-1"));
 }
 
-// Guards against bound tasks that wait for ever: a machine whose registration was not committed yet
-// was drained as underused while a task was bound to it.
+// Guards against bound tasks that wait indefinitely: a machine whose registration was not committed
+// yet was drained as underused while a task was bound to it.
 TEST_F(HoldBackLimit, MachineWithBoundTasksIsNotDrained) {
   elect_leader(1, 0);
   run_for(Seconds(2));
