--- a/src/core/dispatch/socket_budget.hpp
+++ b/src/core/dispatch/socket_budget.hpp
@@ -38,10 +38,10 @@
 /// Divides the budget for `machines` that are up or booting.
 ///
 /// Heartbeats have priority, since they renew the leases: while the sockets suffice, each machine
-/// keeps its connection, and a tenth more is spare for machines that boot and for connections that
-/// their agents have abandoned. Commands and users share the remainder equally. If the sockets do
-/// not suffice, the excess machines open a new connection for each heartbeat, and commands and
-/// users keep a minimum share, so that every use makes progress.
+/// keeps its connection, and a tenth more connections are allowed for machines that boot and for
+/// connections that agents have abandoned. Commands and users share the remainder equally. If the
+/// sockets do not suffice, the excess machines open a new connection for each heartbeat, and
+/// commands and users keep a minimum share, so that every use makes progress.
 inline SocketShares allocate_sockets(const SocketBudget& budget, std::size_t machines) {
   constexpr std::size_t kMinInternal = 40;
   constexpr std::size_t kInternalPerNode = 4;
--- a/src/core/dispatch/task_starter.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -94,7 +94,7 @@
 Assignment TaskStarter::make_assignment(Job& job, TaskIndex index, const Machine& machine,
                                         Attempt attempt, TimePoint now) {
   const auto& spec = job.spec();
-  auto assignment = assignment_of(spec, attempt, forecaster_.estimate_left(job, index), now);
+  auto assignment = assignment_of(spec, attempt, forecaster_.remaining_estimate(job, index), now);
   assignment.saved = job.checkpointed_run_time(index);
   if (image_rank(machine, spec.image) < ImageRank::present)
     assignment.fetch = fetch_time(spec, machine.fetch_gb_per_s);
--- a/src/core/failover/heartbeat_handler.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -198,7 +198,7 @@
 void HeartbeatHandler::adopt_task(Machine& machine, Job& job, const TaskStatus& status,
                                   TimePoint now) {
   auto assignment = assignment_of(job.spec(), status.attempt,
-                                  forecaster_.estimate_left(job, status.task.index), now);
+                                  forecaster_.remaining_estimate(job, status.task.index), now);
   assignment.state = status.state;
   assignment.reported = true;
   if (status.state == TaskState::running) {
--- a/src/core/jobs/deadline_forecaster.cpp
+++ b/src/core/jobs/deadline_forecaster.cpp
@@ -8,7 +8,7 @@
 
 namespace violetpulley::core {
 
-Seconds DeadlineForecaster::estimate_left(const Job& job, TaskIndex index) const {
+Seconds DeadlineForecaster::remaining_estimate(const Job& job, TaskIndex index) const {
   return remaining_run_time(estimate(job.spec()), job.checkpointed_run_time(index));
 }
 
--- a/src/core/jobs/deadline_forecaster.hpp
+++ b/src/core/jobs/deadline_forecaster.hpp
@@ -27,7 +27,7 @@
   /// Expected run time of a whole task of the job.
   Seconds estimate(const JobSpec& spec) const { return estimator_.estimate(spec); }
   /// Expected run time of the task from its last checkpoint on.
-  Seconds estimate_left(const Job& job, TaskIndex index) const;
+  Seconds remaining_estimate(const Job& job, TaskIndex index) const;
   /// Time since the job was submitted.
   Seconds age(const Job& job, TimePoint now) const;
   /// Time until the job's deadline or the next objective of its class that the job can still meet;
--- a/src/core/machines/failure_detector.hpp
+++ b/src/core/machines/failure_detector.hpp
@@ -74,10 +74,10 @@
   /// Time since the last heartbeat of the machine, without time in which this leader could not have
   /// received one.
   Seconds silence(const Machine& machine, TimePoint now) const;
-  /// Whether a silent machine is likely dead. If more than half of the fleet is silent, or no
-  /// heartbeat arrives in a time in which several are expected, this leader is more likely
-  /// isolated: in the first seconds of a network partition the machines appear dead one by one,
-  /// those with the oldest heartbeats first (docs/incidents/inc-c2d3.md).
+  /// Whether most machines are responsive, so that a silent machine is likely dead. If more than
+  /// half of the fleet is silent, or no heartbeat arrives in a time in which several are expected,
+  /// this leader is more likely isolated: in the first seconds of a network partition the machines
+  /// appear dead one by one, those with the oldest heartbeats first (docs/incidents/inc-c2d3.md).
   bool most_machines_responsive(TimePoint now) const;
   /// Whether a machine that sends heartbeats but acknowledges nothing is to be returned. True after
   /// `lost_after` if no running task can end within the lease and either a start or stop is pending
--- a/src/core/scheduling/candidate_queue.cpp
+++ b/src/core/scheduling/candidate_queue.cpp
@@ -62,7 +62,7 @@
 
   Candidate candidate;
   candidate.job = &job;
-  candidate.estimate = forecaster_.estimate_left(job, *job.waiting.begin());
+  candidate.estimate = forecaster_.remaining_estimate(job, *job.waiting.begin());
   candidate.guaranteed = team != catalog_.teams().end() && covers(team->second, team_demand);
   candidate.forecast = forecaster_.forecast(job, now);
   candidate.work = candidate.estimate.count() * size;
--- a/src/core/scheduling/gang_reservations.cpp
+++ b/src/core/scheduling/gang_reservations.cpp
@@ -54,16 +54,17 @@
   fleet.set(machine, &Machine::reserved_for, JobId{});
 }
 
-bool GangReservations::another_is_short(const std::string& domain) const {
+bool GangReservations::earlier_gang_is_short(const std::string& domain) const {
   return std::any_of(short_domains_.begin(), short_domains_.end(),
                      [&](const std::string& short_domain) {
                        return short_domain.empty() || domain.empty() || short_domain == domain;
                      });
 }
 
-bool GangReservations::may_be_short(const std::string& domain, std::size_t zones) const {
+bool GangReservations::allows_incomplete_reservation(const std::string& domain,
+                                                     std::size_t zones) const {
   const auto max_short_domains = std::max<std::size_t>(1, zones / 2);
-  return !another_is_short(domain) && short_domains_.size() < max_short_domains;
+  return !earlier_gang_is_short(domain) && short_domains_.size() < max_short_domains;
 }
 
 }  // namespace violetpulley::core
--- a/src/core/scheduling/gang_reservations.hpp
+++ b/src/core/scheduling/gang_reservations.hpp
@@ -56,13 +56,14 @@
   /// order: the first one that is short in a domain keeps its machines, and later ones free theirs,
   /// so that no two gangs block each other with half of their machines each.
   void new_round() { short_domains_.clear(); }
+  /// Records that a gang of this round is short in the domain.
   void mark_short(const std::string& domain) { short_domains_.insert(domain); }
   /// Whether an earlier gang of this round is short in a domain that overlaps with this one. The
   /// empty domain overlaps with every domain.
-  bool another_is_short(const std::string& domain) const;
+  bool earlier_gang_is_short(const std::string& domain) const;
   /// Whether one more gang may hold an incomplete reservation in the domain. Incomplete
   /// reservations may cover half of the zones; the other zones remain for gangs that fit at once.
-  bool may_be_short(const std::string& domain, std::size_t zones) const;
+  bool allows_incomplete_reservation(const std::string& domain, std::size_t zones) const;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -109,7 +109,7 @@
   const auto& domain = reservation->domain;
   if (offerings_.can_scale_out(spec, domain, now)) return;
   const bool may_move = now - reservation->since > kDomainChangeDelay;
-  if (reservations_.another_is_short(domain) ||
+  if (reservations_.earlier_gang_is_short(domain) ||
       (may_move && can_scale_out_in_other_domain(spec, domain, now)))
     reservations_.close(fleet_, spec.id);
 }
@@ -171,7 +171,7 @@
 }
 
 void GangScheduler::preempt_or_close(const Job& job, GangReservation& reservation, TimePoint now) {
-  if (!reservations_.may_be_short(reservation.domain, count_zones()))
+  if (!reservations_.allows_incomplete_reservation(reservation.domain, count_zones()))
     return reservations_.close(fleet_, job.spec().id);
   reservations_.mark_short(reservation.domain);
   preemption_.preempt_for_gang(job, reservation, reservations_, now);
--- a/src/core/scheduling/gang_slots.cpp
+++ b/src/core/scheduling/gang_slots.cpp
@@ -131,7 +131,8 @@
     score.free_slots = total_slots(free_slots(job, domain, schedulable, now));
     score.fits_now = score.free_slots >= spec.tasks;
     score.can_scale_out = offerings_.can_scale_out(spec, domain, now);
-    if (!score.can_scale_out && !score.fits_now && reservations.another_is_short(domain)) continue;
+    if (!score.can_scale_out && !score.fits_now && reservations.earlier_gang_is_short(domain))
+      continue;
     if (best && score <= best_score) continue;
     best = domain;
     best_score = score;
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -29,8 +29,8 @@
 constexpr double kImageWaitInFetchTimesIfScarce = 5;
 
 /// If the fetch takes less than this fraction of a task's run time, a job does not wait for
-/// machines that hold the image. A much larger fraction also made arrays of long tasks fetch
-/// instead of waiting, and gave worse measured results.
+/// machines that hold the image. With a much larger fraction, arrays of long tasks also fetch the
+/// image instead of waiting.
 constexpr double kMinFetchShareToWait = 0.05;
 
 /// Once a task of a job that is suspected to be faulty has run for this long, the suspicion ends.
@@ -176,7 +176,7 @@
   starts_left_ = std::max(kMinStarts, kStartsPerCommandBatch * commands_.window().size());
   for (const auto pass : {ImagePass::holders_only, ImagePass::all_machines})
     for (const auto& candidate : queue) {
-      if (starvation_guard_.must_leave_quota(candidate)) continue;
+      if (starvation_guard_.blocked_by_quota_reservation(candidate)) continue;
       if (candidate.job->gang() && pass == ImagePass::holders_only)
         gang_scheduler_.place(candidate, schedulable, now);
       if (!packer.empty()) place_job(packer, candidate, pass, now);
--- a/src/core/scheduling/starvation_guard.cpp
+++ b/src/core/scheduling/starvation_guard.cpp
@@ -128,7 +128,7 @@
   reserved_for_job_.clear();
 }
 
-void StarvationGuard::review_reservation(TimePoint now) {
+void StarvationGuard::expire_reservation(TimePoint now) {
   if (reserved_machine_.empty()) return;
   const bool valid = reservation_is_valid(now);
   if (valid && now - reserved_since_ < kMaxReservationTime) return;
@@ -137,7 +137,7 @@
 }
 
 void StarvationGuard::reserve_machine(const std::vector<Candidate>& queue, TimePoint now) {
-  review_reservation(now);
+  expire_reservation(now);
   if (!reserved_machine_.empty() || now < no_reservation_before_) return;
   const auto first = std::find_if(queue.begin(), queue.end(), [&](const Candidate& candidate) {
     return candidate.starving && needs_machine(*candidate.job, now);
--- a/src/core/scheduling/starvation_guard.hpp
+++ b/src/core/scheduling/starvation_guard.hpp
@@ -54,7 +54,7 @@
   void reserve_quota_if_blocked(const Job& job, TimePoint now);
   /// Whether the candidate may not start in this round because its team's quota is reserved for a
   /// starving job.
-  bool must_leave_quota(const Candidate& candidate) const {
+  bool blocked_by_quota_reservation(const Candidate& candidate) const {
     return !candidate.starving && blocked_teams_.contains(candidate.job->spec().team);
   }
   /// Called at the end of a round: reserves a machine for the first starving job that did not fit,
@@ -90,7 +90,7 @@
   bool reservation_is_valid(TimePoint now) const;
   void release_reservation();
   /// Ends the reservation if it is no longer valid or has lasted for `kMaxReservationTime`.
-  void review_reservation(TimePoint now);
+  void expire_reservation(TimePoint now);
   bool may_reserve(const Machine& machine, const Job& job, const ZoneUse& zones,
                    TimePoint now) const;
   /// The machine that is expected to have capacity for one of the job's tasks first, or null.
--- a/tests/core/failover/reconciliation_test.cpp
+++ b/tests/core/failover/reconciliation_test.cpp
@@ -453,7 +453,7 @@
   };
   wait(12, 2);
   EXPECT_TRUE(returned_.empty())
-      << "most machines are silent: this leader may be partitioned from them";
+      << "most machines are silent: this leader may be cut off from them";
   wait(5, 2);
   EXPECT_EQ(std::set<MachineId>(returned_.begin(), returned_.end()),
             std::set<MachineId>(all.begin() + 2, all.end()));
--- a/tests/core/machines/failure_detector_test.cpp
+++ b/tests/core/machines/failure_detector_test.cpp
@@ -473,7 +473,7 @@
   run_for(Seconds(400));
   EXPECT_LT(task_failures_, 40) << "a dozen retries of all eight tasks would fail 96 times";
   EXPECT_GT(task_failures_, 12) << "the job is still retried";
-  EXPECT_GE(suspicions_, 3U) << "the job is logged as suspected once for each longer backoff";
+  EXPECT_GE(suspicions_, 3U) << "the job is logged as suspected once for each longer pause";
   EXPECT_LE(suspicions_, 7U);
   EXPECT_EQ(scale_in_causes_.find("sick"), std::string::npos) << scale_in_causes_;
   EXPECT_EQ(scale_out_requests_, 0U);
--- a/tests/core/scheduling/gangs_and_services_test.cpp
+++ b/tests/core/scheduling/gangs_and_services_test.cpp
@@ -228,17 +228,17 @@
   GangReservations reservations;
   reservations.new_round();
   reservations.mark_short("a");
-  EXPECT_TRUE(reservations.another_is_short("a"));
-  EXPECT_TRUE(reservations.another_is_short(""));  // the empty domain overlaps with every zone
-  EXPECT_FALSE(reservations.another_is_short("b"));
+  EXPECT_TRUE(reservations.earlier_gang_is_short("a"));
+  EXPECT_TRUE(reservations.earlier_gang_is_short(""));  // the empty domain overlaps with every zone
+  EXPECT_FALSE(reservations.earlier_gang_is_short("b"));
   // Gangs that are short reserve machines in at most half of the zones, so that other gangs can
   // start in the rest.
-  EXPECT_FALSE(reservations.may_be_short("a", 4));
-  EXPECT_TRUE(reservations.may_be_short("b", 4));
+  EXPECT_FALSE(reservations.allows_incomplete_reservation("a", 4));
+  EXPECT_TRUE(reservations.allows_incomplete_reservation("b", 4));
   reservations.mark_short("b");
-  EXPECT_FALSE(reservations.may_be_short("c", 4));
+  EXPECT_FALSE(reservations.allows_incomplete_reservation("c", 4));
   reservations.new_round();
-  EXPECT_FALSE(reservations.another_is_short("a"));
+  EXPECT_FALSE(reservations.earlier_gang_is_short("a"));
 }
 
 TEST(Service, ScaleOutSpreadsMachinesOverZones) {
