--- a/src/core/dispatch/task_starter.cpp
+++ b/src/core/dispatch/task_starter.cpp
@@ -95,7 +95,7 @@
                                         Attempt attempt, TimePoint now) {
   const auto& spec = job.spec();
   auto assignment = assignment_of(spec, attempt, forecaster_.remaining_estimate(job, index), now);
-  assignment.saved = job.checkpointed_run_time(index);
+  assignment.checkpointed = job.checkpointed_run_time(index);
   if (image_rank(machine, spec.image) < ImageRank::present)
     assignment.fetch = fetch_time(spec, machine.fetch_gb_per_s);
   if (settings_.tuning.commit_starts && job.records_starts())
--- a/src/core/failover/assignments.cpp
+++ b/src/core/failover/assignments.cpp
@@ -43,7 +43,7 @@
   // The tasks of a gang save their checkpoints together, recorded with task 0.
   auto& checkpointed = job.tasks[job.gang() ? 0 : key.index].checkpointed;
   const auto until = assignment.stop_since.value_or(now);
-  const Seconds run_time = assignment.saved + Seconds(until - *assignment.running_since);
+  const Seconds run_time = assignment.checkpointed + Seconds(until - *assignment.running_since);
   const auto checkpoint_every = job.spec().checkpoint_every;
   if (checkpoint_saved)
     checkpointed = std::max(checkpointed, run_time);
--- a/src/core/failover/task_exit_handler.cpp
+++ b/src/core/failover/task_exit_handler.cpp
@@ -20,13 +20,13 @@
   const auto found = jobs_.find(status.task.job);
   if (found == jobs_.end()) {
     const auto task = assignment.orphaned ? EndedTask::cancelled : EndedTask::done;
-    keep_if_in_doubt(machine, status, assignment, task, now);
+    record_if_in_doubt(machine, status, assignment, task, now);
     return;
   }
   auto& job = found->second;
   jobs_.before_change(job);
   if (status.cause == ExitCause::done && !job.service()) {
-    keep_if_in_doubt(machine, status, assignment, EndedTask::done, now);
+    record_if_in_doubt(machine, status, assignment, EndedTask::done, now);
     return handle_completion(machine, assignment, job, status.task.index, now);
   }
   requeue(machine, status, assignment, job, now);
@@ -43,9 +43,9 @@
     delay_restart(job, now);
 }
 
-bool TaskExitHandler::keep_if_in_doubt(const Machine& machine, const TaskStatus& status,
-                                       const Assignment& assignment, EndedTask task,
-                                       TimePoint now) {
+bool TaskExitHandler::record_if_in_doubt(const Machine& machine, const TaskStatus& status,
+                                         const Assignment& assignment, EndedTask task,
+                                         TimePoint now) {
   if (!machine.in_doubt_attempts.contains(status.attempt)) return false;
   ended_attempts_.add(
       status.task, {machine.id, status.attempt, assignment.team, assignment.resources, task}, now);
@@ -55,7 +55,7 @@
 void TaskExitHandler::requeue(Machine& machine, const TaskStatus& status,
                               const Assignment& assignment, Job& job, TimePoint now) {
   // The task stays assigned to its machine until a delayed start is ruled out.
-  if (keep_if_in_doubt(machine, status, assignment, EndedTask::held, now))
+  if (record_if_in_doubt(machine, status, assignment, EndedTask::held, now))
     out_.push_back(
         TaskHeld{status.task, machine.id, status.attempt, max_retiring_time(settings_.workers)});
   else
@@ -66,7 +66,7 @@
                                         TaskIndex index, TimePoint now) {
   if (assignment.running_since && !assignment.stop)
     estimator_.record_run_time(job.spec(),
-                               assignment.saved + Seconds(now - *assignment.running_since));
+                               assignment.checkpointed + Seconds(now - *assignment.running_since));
   fleet_.touch_image(machine, assignment.image, job.spec().image_gb, true);
   machine.errors = 0;
   machine.error_jobs.clear();
--- a/src/core/failover/task_exit_handler.hpp
+++ b/src/core/failover/task_exit_handler.hpp
@@ -32,8 +32,8 @@
  private:
   /// Records the ended attempt if a delayed start may run it again on its machine; returns whether
   /// it was recorded.
-  bool keep_if_in_doubt(const Machine& machine, const TaskStatus& status,
-                        const Assignment& assignment, EndedTask task, TimePoint now);
+  bool record_if_in_doubt(const Machine& machine, const TaskStatus& status,
+                          const Assignment& assignment, EndedTask task, TimePoint now);
   /// Makes the task wait for another start, or holds it if a delayed start may run its ended
   /// attempt again.
   void requeue(Machine& machine, const TaskStatus& status, const Assignment& assignment, Job& job,
--- a/src/core/jobs/deadline_forecaster.cpp
+++ b/src/core/jobs/deadline_forecaster.cpp
@@ -20,7 +20,7 @@
   return std::max(Seconds(now - job.opened_at), age_at_election + Seconds(now - elected_at_));
 }
 
-Seconds DeadlineForecaster::time_left(const Job& job, TimePoint now) const {
+Seconds DeadlineForecaster::time_until_objective(const Job& job, TimePoint now) const {
   const auto& spec = job.spec();
   const auto current_age = age(job, now);
   const auto needed = estimate(spec);
@@ -45,7 +45,8 @@
 }
 
 DeadlineForecast DeadlineForecaster::forecast(const Job& job, TimePoint now) const {
-  if (job.service() || std::isfinite(time_left(job, now).count())) return DeadlineForecast::in_time;
+  if (job.service() || std::isfinite(time_until_objective(job, now).count()))
+    return DeadlineForecast::in_time;
   const auto age_at_end = age(job, now) + estimate(job.spec());
   return meets_tardiness_objective(job.spec(), age_at_end) ? DeadlineForecast::late
                                                            : DeadlineForecast::missed;
--- a/src/core/jobs/deadline_forecaster.hpp
+++ b/src/core/jobs/deadline_forecaster.hpp
@@ -32,7 +32,7 @@
   Seconds age(const Job& job, TimePoint now) const;
   /// Time until the job's deadline or the next objective of its class that the job can still meet;
   /// infinite if there is none.
-  Seconds time_left(const Job& job, TimePoint now) const;
+  Seconds time_until_objective(const Job& job, TimePoint now) const;
   /// Always `in_time` for services, which have neither a deadline nor a completion objective.
   DeadlineForecast forecast(const Job& job, TimePoint now) const;
 
--- a/src/core/learned_state_handover.cpp
+++ b/src/core/learned_state_handover.cpp
@@ -17,7 +17,7 @@
   for (TaskIndex index = 0; index < job.tasks.size(); ++index) {
     const auto& task = job.tasks[index];
     if (task.checkpointed > Seconds(0) && task.phase != Phase::done)
-      learned.saved.push_back({index, task.checkpointed});
+      learned.checkpointed.push_back({index, task.checkpointed});
   }
   learned.failed_on.assign(job.failed_on.begin(), job.failed_on.end());
   learned.failures = job.failures;
@@ -82,8 +82,9 @@
       std::max(Seconds(0), Seconds(settings_.wall_at_start - job.record.submitted));
   const auto age = std::clamp(learned.waited + elapsed, Seconds(0), max_age);
   job.opened_at = now - to_duration(age);
-  for (const auto& [index, saved] : learned.saved)
-    if (index < job.tasks.size() && saved > Seconds(0)) job.tasks[index].checkpointed = saved;
+  for (const auto& [index, checkpointed] : learned.checkpointed)
+    if (index < job.tasks.size() && checkpointed > Seconds(0))
+      job.tasks[index].checkpointed = checkpointed;
   job.failed_on.insert(learned.failed_on.begin(), learned.failed_on.end());
   job.failures = learned.failures;
   if (!learned.failed_on.empty()) job.last_failure = now;
--- a/src/core/machines/fleet.cpp
+++ b/src/core/machines/fleet.cpp
@@ -29,7 +29,7 @@
 
 Seconds unsaved_run_time(const Assignment& assignment, TimePoint now) {
   if (!assignment.running_since) return Seconds(0);
-  const Seconds run_time = assignment.saved + Seconds(now - *assignment.running_since);
+  const Seconds run_time = assignment.checkpointed + Seconds(now - *assignment.running_since);
   if (assignment.checkpoint_every <= Seconds(0)) return run_time;
   return Seconds(std::fmod(run_time.count(), assignment.checkpoint_every.count()));
 }
--- a/src/core/machines/fleet.hpp
+++ b/src/core/machines/fleet.hpp
@@ -23,8 +23,8 @@
   std::string job_class;  ///< groups jobs with similar run times
   std::string image;      ///< empty: none
   Shape shape = Shape::array;
-  Seconds estimate{0};          ///< expected run time without the part that `saved` covers
-  Seconds saved{0};             ///< run time that checkpoints of earlier attempts cover
+  Seconds estimate{0};          ///< expected run time without the part that `checkpointed` covers
+  Seconds checkpointed{0};      ///< run time that checkpoints of earlier attempts cover
   Seconds fetch{0};             ///< time of the image fetch, as expected at the placement
   Seconds checkpoint_every{0};  ///< interval of checkpoints; 0: the task makes none
   Seconds checkpoint_time{0};   ///< time to write a checkpoint
@@ -47,9 +47,9 @@
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.attempt, s.resources, s.team, s.job_class, s.image, s.shape, s.estimate, s.saved, s.fetch,
-      s.checkpoint_every, s.checkpoint_time, s.placed, s.running_since, s.state, s.reported, s.stop,
-      s.orphaned, s.preempted, s.grace, s.stop_since, s.placement_version);
+    f(s.attempt, s.resources, s.team, s.job_class, s.image, s.shape, s.estimate, s.checkpointed,
+      s.fetch, s.checkpoint_every, s.checkpoint_time, s.placed, s.running_since, s.state,
+      s.reported, s.stop, s.orphaned, s.preempted, s.grace, s.stop_since, s.placement_version);
   }
 };
 
--- a/src/core/model/learned_state.hpp
+++ b/src/core/model/learned_state.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// What a leader has learned and hands over to the next leader: estimates, saved run time, faulty
-/// machines, refused offerings, waiting times of jobs. These are hints: none of them states which
-/// tasks a machine runs, and a wrong or missing hint costs time but violates no safety property
-/// (docs/safety.md, "Learned state").
+/// What a leader has learned and hands over to the next leader: estimates, checkpointed run time,
+/// faulty machines, refused offerings, waiting times of jobs. These are hints: none of them states
+/// which tasks a machine runs, and a wrong or missing hint costs time but violates no safety
+/// property (docs/safety.md, "Learned state").
 #pragma once
 
 #include "core/jobs/run_time_estimator.hpp"
@@ -10,14 +10,14 @@
 namespace violetpulley::core {
 
 /// Run time of a task that is covered by a checkpoint, so that a restart does not repeat it.
-struct SavedRunTime {
+struct CheckpointedRunTime {
   TaskIndex task = 0;
-  Seconds saved{0};
-  friend bool operator==(const SavedRunTime&, const SavedRunTime&) = default;
+  Seconds checkpointed{0};
+  friend bool operator==(const CheckpointedRunTime&, const CheckpointedRunTime&) = default;
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.task, s.saved);
+    f(s.task, s.checkpointed);
   }
 };
 
@@ -25,14 +25,14 @@
 struct LearnedJob {
   JobId id;
   Seconds waited{0};  ///< Since a leader first saw the job.
-  std::vector<SavedRunTime> saved;
+  std::vector<CheckpointedRunTime> checkpointed;
   std::vector<MachineId> failed_on;
   int failures = 0;
   Seconds backoff{0};  ///< Remaining backoff after failures.
 
   template <class S, class F>
   static void fields(S& s, F&& f) {
-    f(s.id, s.waited, s.saved, s.failed_on, s.failures, s.backoff);
+    f(s.id, s.waited, s.checkpointed, s.failed_on, s.failures, s.backoff);
   }
 };
 
--- a/src/store/learned_state_codec.cpp
+++ b/src/store/learned_state_codec.cpp
@@ -68,7 +68,7 @@
 // substitute for it. If there are none, drops the second half of the jobs.
 void drop_least_useful_jobs(core::LearnedState& learned_state) {
   const auto has_only_wait_time = [](const core::LearnedJob& job) {
-    return job.saved.empty() && job.failed_on.empty() && job.failures == 0;
+    return job.checkpointed.empty() && job.failed_on.empty() && job.failures == 0;
   };
   auto& jobs = learned_state.jobs;
   const auto first_left_out = std::stable_partition(
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -272,8 +272,8 @@
   const auto& job = state.jobs.back();
   EXPECT_EQ(job.id, "req-9");
   EXPECT_EQ(job.waited, Seconds(40));
-  const std::vector<core::SavedRunTime> saved{{1, Seconds(7)}, {3, Seconds(0.5)}};
-  EXPECT_EQ(job.saved, saved);
+  const std::vector<core::CheckpointedRunTime> saved{{1, Seconds(7)}, {3, Seconds(0.5)}};
+  EXPECT_EQ(job.checkpointed, saved);
   EXPECT_EQ(job.failed_on, std::vector<core::MachineId>{"m-1"});
   EXPECT_EQ(job.failures, 2);
   EXPECT_EQ(job.backoff, Seconds(8));
