--- a/src/core/failover/heartbeat_handler.cpp
+++ b/src/core/failover/heartbeat_handler.cpp
@@ -42,7 +42,7 @@
   update_identity(machine, heartbeat, now);
   if (heartbeat.token == token_ && !machine.confirmed) confirm(machine, now);
   // A machine that is neither recorded as unconfirmed nor confirmed may be known only from a
-  // delayed copy of a heartbeat that was sent before an older leader returned the machine. Until
+  // delayed copy of a heartbeat that was sent before a former leader returned the machine. Until
   // the machine answers, no task starts there, it is not registered (the next leader would wait for
   // it), and only the exits in its task list are applied.
   const bool is_list_trusted = machine.confirmed || recovery_.is_unconfirmed(machine.id);
@@ -144,7 +144,7 @@
   // A delayed start command may still reach the machine that has lost this task and run it again.
   // So the same attempt is started there again, after which the delayed command has no effect.
   if (machine.in_doubt_attempts.contains(machine.tasks.at(key).attempt)) {
-    assignments_.reset_to_unseen(machine, key, now);
+    assignments_.reset_to_unreported(machine, key, now);
     return;
   }
   const bool orphaned = machine.tasks.at(key).orphaned;
@@ -198,7 +198,7 @@
 void HeartbeatHandler::adopt_task(Machine& machine, Job& job, const TaskStatus& status,
                                   TimePoint now) {
   auto assignment = assignment_of(job.spec(), status.attempt,
-                                  forecaster_.estimate_left(job, status.task.index), now);
+                                  forecaster_.remaining_estimate(job, status.task.index), now);
   assignment.state = status.state;
   assignment.reported = true;
   if (status.state == TaskState::running) {
@@ -210,13 +210,13 @@
   if (!job.gang()) return;
   if (job.attempt != 0 && job.attempt != status.attempt) {
     // Machines list two attempts of the gang: both are stopped, then the gang is started again.
-    jobs_.note_broken_gang(status.task.job);
+    jobs_.mark_gang_broken(status.task.job);
     job.attempt = std::max(job.attempt, status.attempt);
     return;
   }
   job.attempt = status.attempt;
   // After the recovery, tasks that no machine has listed count as ended: the gang is incomplete.
-  if (!recovery_.recovering()) jobs_.note_broken_gang(status.task.job);
+  if (!recovery_.recovering()) jobs_.mark_gang_broken(status.task.job);
 }
 
 void HeartbeatHandler::commands_answered(const MachineId& id, const Heartbeat* response,
--- a/src/core/failover/task_exit_handler.cpp
+++ b/src/core/failover/task_exit_handler.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr std::chrono::seconds kRestartDelay{1};       // of a task that ended without a failure
-constexpr Seconds kInitialJobPause{2};                 // of a suspected job
+constexpr Seconds kInitialJobBackoff{2};               // of a suspected job
 constexpr std::size_t kFaultyJobMachineThreshold = 3;  // failures on this many: job at fault
 constexpr int kMaxBackoffDoublings = 6;                // of a backoff of 1 s
 }  // namespace
@@ -20,13 +20,13 @@
   const auto found = jobs_.find(status.task.job);
   if (found == jobs_.end()) {
     const auto task = assignment.orphaned ? EndedTask::cancelled : EndedTask::done;
-    keep_if_in_doubt(machine, status, assignment, task, now);
+    record_if_in_doubt(machine, status, assignment, task, now);
     return;
   }
   auto& job = found->second;
   jobs_.before_change(job);
   if (status.cause == ExitCause::done && !job.service()) {
-    keep_if_in_doubt(machine, status, assignment, EndedTask::done, now);
+    record_if_in_doubt(machine, status, assignment, EndedTask::done, now);
     return handle_completion(machine, assignment, job, status.task.index, now);
   }
   requeue(machine, status, assignment, job, now);
@@ -36,16 +36,16 @@
     delay_restart(job, now);
     return;
   }
-  if (job.gang()) jobs_.note_broken_gang(status.task.job);
+  if (job.gang()) jobs_.mark_gang_broken(status.task.job);
   if (status.cause == ExitCause::error) handle_failure(machine, job, now);
   if (status.cause == ExitCause::unknown || status.cause == ExitCause::no_capacity ||
       status.cause == ExitCause::busy)
     delay_restart(job, now);
 }
 
-bool TaskExitHandler::keep_if_in_doubt(const Machine& machine, const TaskStatus& status,
-                                       const Assignment& assignment, EndedTask task,
-                                       TimePoint now) {
+bool TaskExitHandler::record_if_in_doubt(const Machine& machine, const TaskStatus& status,
+                                         const Assignment& assignment, EndedTask task,
+                                         TimePoint now) {
   if (!machine.in_doubt_attempts.contains(status.attempt)) return false;
   ended_attempts_.add(
       status.task, {machine.id, status.attempt, assignment.team, assignment.resources, task}, now);
@@ -55,7 +55,7 @@
 void TaskExitHandler::requeue(Machine& machine, const TaskStatus& status,
                               const Assignment& assignment, Job& job, TimePoint now) {
   // The task stays assigned to its machine until a delayed start is ruled out.
-  if (keep_if_in_doubt(machine, status, assignment, EndedTask::held, now))
+  if (record_if_in_doubt(machine, status, assignment, EndedTask::held, now))
     out_.push_back(
         TaskHeld{status.task, machine.id, status.attempt, max_retiring_time(settings_.workers)});
   else
@@ -66,7 +66,7 @@
                                         TaskIndex index, TimePoint now) {
   if (assignment.running_since && !assignment.stop)
     estimator_.record_run_time(job.spec(),
-                               assignment.saved + Seconds(now - *assignment.running_since));
+                               assignment.checkpointed + Seconds(now - *assignment.running_since));
   fleet_.touch_image(machine, assignment.image, job.spec().image_gb, true);
   machine.errors = 0;
   machine.error_jobs.clear();
@@ -103,15 +103,15 @@
     machine.quarantined = true;
 }
 
-// The pause doubles with each retry. A suspected job retries with a single task, as a retry of all
-// tasks would cost as much as the first start.
+// The backoff doubles with each retry. A suspected job retries with a single task, as a retry of
+// all tasks would cost as much as the first start.
 void TaskExitHandler::suspect_job(Job& job, TimePoint now) {
-  const auto pause = std::clamp(job.failure_backoff * 2, kInitialJobPause, kMaxFailureBackoff);
-  if (pause > job.failure_backoff)
-    out_.push_back(JobSuspected{job.spec().id, job.failed_on.size(), pause});
+  const auto backoff = std::clamp(job.failure_backoff * 2, kInitialJobBackoff, kMaxFailureBackoff);
+  if (backoff > job.failure_backoff)
+    out_.push_back(JobSuspected{job.spec().id, job.failed_on.size(), backoff});
   job.suspected_faulty = true;
-  job.failure_backoff = pause;
-  job.backoff_until = now + to_duration(pause);
+  job.failure_backoff = backoff;
+  job.backoff_until = now + to_duration(backoff);
 }
 
 }  // namespace violetpulley::core
--- a/src/core/jobs/deadline_forecaster.hpp
+++ b/src/core/jobs/deadline_forecaster.hpp
@@ -27,12 +27,12 @@
   /// Expected run time of a whole task of the job.
   Seconds estimate(const JobSpec& spec) const { return estimator_.estimate(spec); }
   /// Expected run time of the task from its last checkpoint on.
-  Seconds estimate_left(const Job& job, TaskIndex index) const;
+  Seconds remaining_estimate(const Job& job, TaskIndex index) const;
   /// Time since the job was submitted.
   Seconds age(const Job& job, TimePoint now) const;
   /// Time until the job's deadline or the next objective of its class that the job can still meet;
   /// infinite if there is none.
-  Seconds time_left(const Job& job, TimePoint now) const;
+  Seconds time_until_objective(const Job& job, TimePoint now) const;
   /// Always `in_time` for services, which have neither a deadline nor a completion objective.
   DeadlineForecast forecast(const Job& job, TimePoint now) const;
 
--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -77,8 +77,8 @@
   bool has_healthy_task(const Job& job, TimePoint now) const;
   std::vector<Machine*> schedulable_machines(const Queue& queue, const Resources& smallest_need,
                                              TimePoint now);
-  void note_free_slots(const Queue& queue, const Resources& smallest_need,
-                       const std::vector<Machine*>& schedulable);
+  void update_slot_scarcity(const Queue& queue, const Resources& smallest_need,
+                            const std::vector<Machine*>& schedulable);
   bool needs_exclusive_type(const Candidate& candidate) const;
   void place_bound_groups(BinPacker& packer, TimePoint now);
   void place_queue(BinPacker& packer, const Queue& queue, const std::vector<Machine*>& schedulable,
@@ -90,7 +90,7 @@
   /// is short compared with the run time, or the job has waited for long enough.
   bool image_wait_over(const Candidate& candidate, TimePoint now) const;
   /// Whether the job must not use exclusive types, which are reserved for tasks that need them.
-  bool leaves_exclusive_types(const Candidate& candidate, TimePoint now) const;
+  bool avoids_exclusive_types(const Candidate& candidate, TimePoint now) const;
   bool may_use(const Machine& machine, const Job& job, const PlacementRules& rules,
                const ZoneUse& zones, TimePoint now) const;
   /// Starts tasks of the job until none fits or a limit is reached. Returns true if it must be
--- a/src/core/scheduling/starvation_guard.hpp
+++ b/src/core/scheduling/starvation_guard.hpp
@@ -1,9 +1,10 @@
 /// @file
 /// Prevents starvation of large jobs: the order of the queue favours small jobs, so a steady flow
-/// of these would keep a large job waiting for ever (PROTOCOL, "How aims are counted": the largest
-/// jobs of a class are judged separately; docs/design.md, "Large jobs begin"). Decides which jobs
-/// start their first task before all others, and reserves one machine and teams' quotas for
-/// starving jobs. Owns these reservations and the number of prioritized starts that are allowed.
+/// of these would keep a large job waiting indefinitely (PROTOCOL, "How aims are counted": the
+/// largest jobs of a class are judged separately; docs/design.md, "Large jobs begin"). Decides
+/// which jobs start their first task before all others, and reserves one machine and teams' quotas
+/// for starving jobs. Owns these reservations and the number of prioritized starts that are
+/// allowed.
 #pragma once
 
 #include <map>
@@ -39,7 +40,7 @@
   }
   /// Updates the number of prioritized starts after a task of the candidate was started: a starving
   /// candidate uses one up, any other earns a fraction of one.
-  void note_start(const Candidate& candidate);
+  void update_prioritized_starts(const Candidate& candidate);
 
   /// Whether all tasks of the job come first within its priority: it is one of the largest jobs of
   /// its class, and its age exceeds the age at which jobs start to count as starving. The oldest of
@@ -53,7 +54,7 @@
   void reserve_quota_if_blocked(const Job& job, TimePoint now);
   /// Whether the candidate may not start in this round because its team's quota is reserved for a
   /// starving job.
-  bool must_leave_quota(const Candidate& candidate) const {
+  bool blocked_by_quota_reservation(const Candidate& candidate) const {
     return !candidate.starving && blocked_teams_.contains(candidate.job->spec().team);
   }
   /// Called at the end of a round: reserves a machine for the first starving job that did not fit,
@@ -89,7 +90,7 @@
   bool reservation_is_valid(TimePoint now) const;
   void release_reservation();
   /// Ends the reservation if it is no longer valid or has lasted for `kMaxReservationTime`.
-  void review_reservation(TimePoint now);
+  void expire_reservation(TimePoint now);
   bool may_reserve(const Machine& machine, const Job& job, const ZoneUse& zones,
                    TimePoint now) const;
   /// The machine that is expected to have capacity for one of the job's tasks first, or null.
--- a/tests/core/machines/failure_detector_test.cpp
+++ b/tests/core/machines/failure_detector_test.cpp
@@ -248,7 +248,7 @@
   for (auto& [id, agent] : agents_) agent.sends_heartbeats = agent.receives_commands = false;
   run_for(Seconds(4));
   EXPECT_FALSE(first_resignation_);
-  controller_->note_peer_receives_heartbeats(now_);
+  controller_->record_peer_receives_heartbeats(now_);
   run_for(Seconds(1));
   ASSERT_TRUE(first_resignation_);
   EXPECT_EQ(first_resignation_->second, "no machine is heard from");
@@ -354,7 +354,7 @@
 
 // Agents that cannot connect to any controller but receive commands and answer them. Their leases
 // end, since a response to commands renews no lease. If the response counted as a periodic
-// heartbeat, such a machine would count as healthy for ever and get new tasks after each lease.
+// heartbeat, such a machine would count as healthy indefinitely and get new tasks after each lease.
 class OutboundPartition : public FailureDetectorTest {
  protected:
   void set_outbound_partitioned(int first, int last, bool partitioned = true) {
@@ -436,7 +436,7 @@
   const auto partitioned_at = now_;
   while (!first_resignation_ && now_ - partitioned_at < to_duration(agent_times_.lease)) {
     run_for(Seconds(1));
-    if (controller_->possibly_isolated(now_)) controller_->note_peer_receives_heartbeats(now_);
+    if (controller_->possibly_isolated(now_)) controller_->record_peer_receives_heartbeats(now_);
   }
   ASSERT_TRUE(first_resignation_);
   EXPECT_EQ(first_resignation_->second, "its machines answer, and report to other controllers");
@@ -493,9 +493,9 @@
   EXPECT_EQ(suspicions_, 0U);
 }
 
-// Guards against a service that has failed on faulty machines and stays suspected for ever because
-// a replica never ends, so that its other replicas never start. In the same way, an array would
-// wait for as long as its first task runs (docs/incidents/seed-3917.md).
+// Guards against a service that has failed on faulty machines and stays suspected indefinitely
+// because a replica never ends, so that its other replicas never start. In the same way, an array
+// would wait for as long as its first task runs (docs/incidents/seed-3917.md).
 TEST_F(FaultyJobs, ASuspectedJobStartsItsOtherTasksWhileItsFirstTaskKeepsRunning) {
   for (const auto shape : {Shape::service, Shape::array}) {
     elect_leader(8, 0);
@@ -509,7 +509,7 @@
     run_for(Seconds(20));
     ASSERT_GT(suspicions_, 0U);
     faulty_jobs_.clear();
-    run_for(kMaxFailureBackoff);  // the longest pause before a retry
+    run_for(kMaxFailureBackoff);  // the longest backoff before a retry
     const auto first = running_tasks();
     ASSERT_GT(first, 0U);
     run_for(Seconds(90));
--- a/tests/core/scheduling/gangs_and_services_test.cpp
+++ b/tests/core/scheduling/gangs_and_services_test.cpp
@@ -196,7 +196,7 @@
 
 // Guards against lost tasks that go undetected: the tasks of a gang share one attempt, and a task
 // that was missing from its machine's heartbeats was not noticed while another task of the gang was
-// listed there. The gang was never stopped, and the task counted as running for ever.
+// listed there. The gang was never stopped, and the task counted as running indefinitely.
 TEST(Gang, TaskMissingFromHeartbeatsIsDetectedBesideAnotherTaskOfTheGang) {
   TestCluster cluster({"a"});
   cluster.submit(TestCluster::spec(Shape::gang, 2, kQuarterMachine));
@@ -227,18 +227,18 @@
 TEST(Gang, FirstGangThatIsShortHasPrecedenceInItsDomain) {
   GangReservations reservations;
   reservations.new_round();
-  reservations.note_short("a");
-  EXPECT_TRUE(reservations.another_is_short("a"));
-  EXPECT_TRUE(reservations.another_is_short(""));  // the empty domain overlaps with every zone
-  EXPECT_FALSE(reservations.another_is_short("b"));
+  reservations.mark_short("a");
+  EXPECT_TRUE(reservations.earlier_gang_is_short("a"));
+  EXPECT_TRUE(reservations.earlier_gang_is_short(""));  // the empty domain overlaps with every zone
+  EXPECT_FALSE(reservations.earlier_gang_is_short("b"));
   // Gangs that are short reserve machines in at most half of the zones, so that other gangs can
   // start in the rest.
-  EXPECT_FALSE(reservations.may_be_short("a", 4));
-  EXPECT_TRUE(reservations.may_be_short("b", 4));
-  reservations.note_short("b");
-  EXPECT_FALSE(reservations.may_be_short("c", 4));
+  EXPECT_FALSE(reservations.allows_incomplete_reservation("a", 4));
+  EXPECT_TRUE(reservations.allows_incomplete_reservation("b", 4));
+  reservations.mark_short("b");
+  EXPECT_FALSE(reservations.allows_incomplete_reservation("c", 4));
   reservations.new_round();
-  EXPECT_FALSE(reservations.another_is_short("a"));
+  EXPECT_FALSE(reservations.earlier_gang_is_short("a"));
 }
 
 TEST(Service, ScaleOutSpreadsMachinesOverZones) {
@@ -380,8 +380,8 @@
   }
 }
 
-// Guards against a task that runs twice: a leader that is cut off may have a successor, which may
-// renew the lease of a machine that is silent only to the old leader.
+// Guards against a task that runs twice: a partitioned leader may have a successor, which may renew
+// the lease of a machine that is silent only to the old leader.
 TEST(Leases, ExpireOnlyIfNoSuccessorMayRenewThem) {
   for (const bool cut_off : {false, true}) {
     TestCluster cluster({"a"});
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -272,11 +272,11 @@
   const auto& job = state.jobs.back();
   EXPECT_EQ(job.id, "req-9");
   EXPECT_EQ(job.waited, Seconds(40));
-  const std::vector<core::SavedRunTime> saved{{1, Seconds(7)}, {3, Seconds(0.5)}};
-  EXPECT_EQ(job.saved, saved);
+  const std::vector<core::CheckpointedRunTime> saved{{1, Seconds(7)}, {3, Seconds(0.5)}};
+  EXPECT_EQ(job.checkpointed, saved);
   EXPECT_EQ(job.failed_on, std::vector<core::MachineId>{"m-1"});
   EXPECT_EQ(job.failures, 2);
-  EXPECT_EQ(job.pause, Seconds(8));
+  EXPECT_EQ(job.backoff, Seconds(8));
   ASSERT_EQ(state.machines.size(), 1U);
   EXPECT_EQ(state.machines[0].id, "m-1");
   EXPECT_EQ(state.machines[0].errors, 2);
