--- a/src/config/history_settings.cpp
+++ b/src/config/history_settings.cpp
@@ -33,7 +33,7 @@
 
 HistorySettings parse_history_settings(const std::string& yaml) {
   HistorySettings out;
-  const auto choice = [](auto& field, auto values) -> FieldSetter {
+  const auto choice_setter = [](auto& field, auto values) -> FieldSetter {
     return [&field, values](const YAML::Node& node, const std::string& name) {
       const auto found = values.find(text(node, name));
       std::string known;
@@ -45,7 +45,7 @@
   };
   using history::SyncPolicy;
   const FieldSetters setters{
-      {"home", choice(out.location,
+      {"home", choice_setter(out.location,
                       std::map<std::string, HistoryLocation>{
                           {"off", HistoryLocation::off},
                           {"directory", HistoryLocation::directory},
@@ -54,18 +54,18 @@
                            const std::string& name) { out.directory = text(node, name); }},
       {"key_file", [&out](const YAML::Node& node,
                           const std::string& name) { out.key = load_key(text(node, name), name); }},
-      {"interval_s", seconds_field(out.log.snapshot_interval, {1, 86400})},
+      {"interval_s", seconds_setter(out.log.snapshot_interval, {1, 86400})},
       {"sync",
-       choice(out.log.sync, std::map<std::string, SyncPolicy>{{"never", SyncPolicy::never},
+       choice_setter(out.log.sync, std::map<std::string, SyncPolicy>{{"never", SyncPolicy::never},
                                                               {"interval", SyncPolicy::interval},
                                                               {"always", SyncPolicy::always}})},
-      {"sync_every_s", seconds_field(out.log.sync_interval, {0.01, 3600})},
+      {"sync_every_s", seconds_setter(out.log.sync_interval, {0.01, 3600})},
       {"most_mb",
        [&out](const YAML::Node& node, const std::string& name) {
          out.log.max_bytes_between_snapshots =
              static_cast<std::uint64_t>(number(node, name, {1, 1e6}) * 1024 * 1024);
        }},
-      {"most_age_s", seconds_field(out.max_age, {1, 30 * 86400.0})},
+      {"most_age_s", seconds_setter(out.max_age, {1, 30 * 86400.0})},
   };
   read_fields(yaml, "history settings", setters);
   if (out.location == HistoryLocation::directory && out.directory.empty())
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -19,7 +19,7 @@
   throw SettingsError(field + ": " + problem);
 }
 
-std::string text_at(const toml::table& table, const std::string& where, const char* key) {
+std::string text_field(const toml::table& table, const std::string& where, const char* key) {
   const std::string field = where + key;
   const auto* node = table.get(key);
   if (node == nullptr) fail(field, "is missing");
@@ -29,8 +29,8 @@
   return *value;
 }
 
-std::string address_at(const toml::table& table, const std::string& where, const char* key) {
-  auto value = text_at(table, where, key);
+std::string address_field(const toml::table& table, const std::string& where, const char* key) {
+  auto value = text_field(table, where, key);
   try {
     net::parse_endpoint(value);
   } catch (const std::invalid_argument& problem) {
@@ -39,7 +39,7 @@
   return value;
 }
 
-double number_at(const toml::table& table, const std::string& where, const char* key, double min,
+double number_field(const toml::table& table, const std::string& where, const char* key, double min,
                  std::optional<double> fallback = {}) {
   const std::string field = where + key;
   const auto* node = table.get(key);
@@ -57,7 +57,7 @@
   return value;
 }
 
-const toml::table& table_at(const toml::table& table, const std::string& where, const char* key) {
+const toml::table& table_field(const toml::table& table, const std::string& where, const char* key) {
   const auto* node = table.get(key);
   if (node == nullptr) fail(where + key, "is missing");
   if (!node->is_table()) fail(where + key, "must be a table");
@@ -65,7 +65,7 @@
 }
 
 template <typename Each>
-void each_table(const toml::table& table, const std::string& where, const char* key, Each each) {
+void for_each_table(const toml::table& table, const std::string& where, const char* key, Each each) {
   const auto* node = table.get(key);
   if (node == nullptr) return;
   if (!node->is_array()) fail(where + key, "must be a list of tables");
@@ -78,26 +78,26 @@
 }
 
 void read_addresses(const toml::table& root, Settings& settings) {
-  settings.member = text_at(root, "", "member");
-  settings.zone = text_at(root, "", "site");
-  settings.public_address = address_at(root, "", "public_addr");
-  settings.peer_address = address_at(root, "", "mesh_addr");
+  settings.member = text_field(root, "", "member");
+  settings.zone = text_field(root, "", "site");
+  settings.public_address = address_field(root, "", "public_addr");
+  settings.peer_address = address_field(root, "", "mesh_addr");
 }
 
 void read_peers(const toml::table& root, Settings& settings) {
   std::set<std::string> members{settings.member};
-  each_table(root, "", "siblings", [&](const toml::table& item, const std::string& path) {
-    settings.peers.push_back({text_at(item, path, "member"), text_at(item, path, "site"),
-                              address_at(item, path, "peer_addr")});
+  for_each_table(root, "", "siblings", [&](const toml::table& item, const std::string& path) {
+    settings.peers.push_back({text_field(item, path, "member"), text_field(item, path, "site"),
+                              address_field(item, path, "peer_addr")});
     const auto& member = settings.peers.back().member;
     if (!members.insert(member).second) fail(path + "member", "'" + member + "' is named twice");
   });
 }
 
 void read_services(const toml::table& root, Settings& settings) {
-  const auto& services = table_at(root, "", "services");
-  settings.cloud_address = address_at(services, "services.", "cloud");
-  settings.state_address = address_at(services, "services.", "state");
+  const auto& services = table_field(root, "", "services");
+  settings.cloud_address = address_field(services, "services.", "cloud");
+  settings.state_address = address_field(services, "services.", "state");
 }
 
 void read_zones(const toml::table& table, Settings& settings) {
@@ -111,23 +111,23 @@
 }
 
 void read_deployment(const toml::table& table, Settings& settings) {
-  const auto nodes = number_at(table, "settings.", "nodes", 1);
+  const auto nodes = number_field(table, "settings.", "nodes", 1);
   if (static_cast<std::size_t>(nodes) != settings.nodes())
     fail("settings.nodes", "must be the number of siblings plus one");
   read_zones(table, settings);
   settings.clock_skew = std::chrono::milliseconds(
-      static_cast<long>(std::ceil(number_at(table, "settings.", "skew_ms", 0))));
+      static_cast<long>(std::ceil(number_field(table, "settings.", "skew_ms", 0))));
 }
 
 void read_teams(const toml::table& table, Settings& settings) {
   std::set<std::string> names;
-  each_table(table, "settings.", "teams", [&](const toml::table& item, const std::string& path) {
+  for_each_table(table, "settings.", "teams", [&](const toml::table& item, const std::string& path) {
     core::Team team;
-    team.name = text_at(item, path, "name");
-    team.guaranteed_cpus = number_at(item, path, "cpus", 0, 0.0);
-    team.max_cpus = number_at(item, path, "cpus_max", 0, 0.0);
-    team.guaranteed_gpus = number_at(item, path, "gpus", 0, 0.0);
-    team.max_gpus = number_at(item, path, "gpus_max", 0, 0.0);
+    team.name = text_field(item, path, "name");
+    team.guaranteed_cpus = number_field(item, path, "cpus", 0, 0.0);
+    team.max_cpus = number_field(item, path, "cpus_max", 0, 0.0);
+    team.guaranteed_gpus = number_field(item, path, "gpus", 0, 0.0);
+    team.max_gpus = number_field(item, path, "gpus_max", 0, 0.0);
     if (!names.insert(team.name).second) fail(path + "name", "'" + team.name + "' is named twice");
     settings.teams.push_back(team);
   });
@@ -135,14 +135,14 @@
 }
 
 void read_objectives(const toml::table& table, Settings& settings) {
-  each_table(table, "settings.", "objectives",
+  for_each_table(table, "settings.", "objectives",
              [&](const toml::table& item, const std::string& path) {
                Objective objective;
-               objective.kind = text_at(item, path, "kind");
+               objective.kind = text_field(item, path, "kind");
                objective.job_class = item["class"].value_or(std::string());
-               objective.within = core::Seconds(number_at(item, path, "within_s", 0, 0.0));
-               objective.share = number_at(item, path, "share", 0, 0.0);
-               objective.times = number_at(item, path, "times", 0, 1.0);
+               objective.within = core::Seconds(number_field(item, path, "within_s", 0, 0.0));
+               objective.share = number_field(item, path, "share", 0, 0.0);
+               objective.times = number_field(item, path, "times", 0, 1.0);
                settings.objectives.push_back(objective);
              });
 }
@@ -161,29 +161,29 @@
 
 void read_workers(const toml::table& table, Settings& settings) {
   const std::string path = "settings.workers.";
-  const auto& workers = table_at(table, "settings.", "workers");
+  const auto& workers = table_field(table, "settings.", "workers");
   auto& times = settings.workers;
-  times.heartbeat_interval = core::Seconds(number_at(workers, path, "report_s", 0.1));
-  times.lease = core::Seconds(number_at(workers, path, "lease_s", 1));
-  times.cancel = core::Seconds(number_at(workers, path, "cancel_s", 1));
-  times.gang_wait = core::Seconds(number_at(workers, path, "gang_wait_s", 0, 30.0));
-  times.gang_peer = core::Seconds(number_at(workers, path, "gang_peer_s", 0, 4.0));
+  times.heartbeat_interval = core::Seconds(number_field(workers, path, "report_s", 0.1));
+  times.lease = core::Seconds(number_field(workers, path, "lease_s", 1));
+  times.cancel = core::Seconds(number_field(workers, path, "cancel_s", 1));
+  times.gang_wait = core::Seconds(number_field(workers, path, "gang_wait_s", 0, 30.0));
+  times.gang_peer = core::Seconds(number_field(workers, path, "gang_peer_s", 0, 4.0));
   check_cancel_time(settings, path + "cancel_s");
 }
 
 void read_service_limits(const toml::table& table, Settings& settings) {
-  const auto& state = table_at(table, "settings.", "state");
-  settings.state_requests_per_s = number_at(state, "settings.state.", "rps", 1);
-  settings.state_writes_per_s = number_at(state, "settings.state.", "write_rps", 1);
-  settings.state_value_kib = number_at(state, "settings.state.", "value_kb", 1);
+  const auto& state = table_field(table, "settings.", "state");
+  settings.state_requests_per_s = number_field(state, "settings.state.", "rps", 1);
+  settings.state_writes_per_s = number_field(state, "settings.state.", "write_rps", 1);
+  settings.state_value_kib = number_field(state, "settings.state.", "value_kb", 1);
   settings.state_changes_per_transaction =
-      static_cast<std::size_t>(number_at(state, "settings.state.", "txn_ops", 3));
-  const auto& cloud = table_at(table, "settings.", "cloud");
-  settings.cloud_requests_per_s = number_at(cloud, "settings.cloud.", "rps", 0.1);
-  settings.cloud_list_lag = core::Seconds(number_at(cloud, "settings.cloud.", "list_lag_s", 0));
-  const auto& limits = table_at(table, "settings.", "limits");
+      static_cast<std::size_t>(number_field(state, "settings.state.", "txn_ops", 3));
+  const auto& cloud = table_field(table, "settings.", "cloud");
+  settings.cloud_requests_per_s = number_field(cloud, "settings.cloud.", "rps", 0.1);
+  settings.cloud_list_lag = core::Seconds(number_field(cloud, "settings.cloud.", "list_lag_s", 0));
+  const auto& limits = table_field(table, "settings.", "limits");
   settings.max_sockets =
-      static_cast<std::size_t>(number_at(limits, "settings.limits.", "max_sockets", 50));
+      static_cast<std::size_t>(number_field(limits, "settings.limits.", "max_sockets", 50));
 }
 
 // Fields are read in the order of the file, so the first error in the file is reported.
@@ -192,7 +192,7 @@
   read_addresses(root, settings);
   read_peers(root, settings);
   read_services(root, settings);
-  const auto& table = table_at(root, "", "settings");
+  const auto& table = table_field(root, "", "settings");
   read_deployment(table, settings);
   read_teams(table, settings);
   read_objectives(table, settings);
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -65,7 +65,7 @@
 struct OperatorSettings {
   core::Tuning tuning;
   /// Address of the diagnostics endpoint; empty: none.
-  std::string why_address;
+  std::string diagnostics_address;
 };
 
 /// The functions below throw SettingsError at the first error. `source` names the file in messages.
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string text_of_address(const YAML::Node& node, const std::string& name) {
+std::string read_address(const YAML::Node& node, const std::string& name) {
   auto address = text(node, name);
   try {
     net::parse_endpoint(address);
@@ -20,7 +20,7 @@
   return address;
 }
 
-FieldSetter number_field(double& field, Range range) {
+FieldSetter number_setter(double& field, Range range) {
   return [&field, range](const YAML::Node& node, const std::string& name) {
     field = number(node, name, range);
   };
@@ -28,46 +28,46 @@
 
 // Decimal places are cut off.
 template <class Integer>
-FieldSetter count_field(Integer& field, Range range) {
+FieldSetter count_setter(Integer& field, Range range) {
   return [&field, range](const YAML::Node& node, const std::string& name) {
     field = static_cast<Integer>(number(node, name, range));
   };
 }
 
-FieldSetter flag_field(bool& field) {
+FieldSetter flag_setter(bool& field) {
   return [&field](const YAML::Node& node, const std::string& name) { field = flag(node, name); };
 }
 
-FieldSetter address_field(std::string& field) {
+FieldSetter address_setter(std::string& field) {
   return [&field](const YAML::Node& node, const std::string& name) {
-    field = text_of_address(node, name);
+    field = read_address(node, name);
   };
 }
 
 FieldSetters setters_of(OperatorSettings& settings) {
   auto& tuning = settings.tuning;
   return {
-      {"bin_unit_s", seconds_field(tuning.bin_unit, {0.01, 3600})},
-      {"round_s", seconds_field(tuning.round_interval, {0.1, 60})},
-      {"quick_round_s", seconds_field(tuning.min_round_interval, {0.02, 60})},
-      {"clearing_wait_s", seconds_field(tuning.consolidation_wait, {1, 3600})},
-      {"clearing_use", number_field(tuning.consolidation_threshold, {0, 1})},
-      {"idle_wait_s", seconds_field(tuning.idle_wait, {0, 3600})},
-      {"boot_late_factor", number_field(tuning.boot_late_factor, {1, 100})},
-      {"refused_rest_s", seconds_field(tuning.refused_cooldown, {0.5, 3600})},
-      {"silent_after_s", seconds_field(tuning.silent_after, {2, 3600})},
-      {"lost_after_takeover_s", seconds_field(tuning.lost_after_failover, {3, 3600})},
-      {"lost_after_s", seconds_field(tuning.lost_after, {3, 3600})},
-      {"dear_patience_s", seconds_field(tuning.on_demand_wait, {0, 3600})},
-      {"dear_idle_wait_s", seconds_field(tuning.on_demand_idle_wait, {0, 3600})},
-      {"quarantine_errors", count_field(tuning.quarantine_errors, {1, 1000})},
-      {"most_given_up", number_field(tuning.max_declared_dead_share, {0, 1})},
-      {"begin_within_s", seconds_field(tuning.begin_within, {10, 86'400})},
-      {"still_alive", number_field(tuning.assumed_alive_share, {0, 1})},
-      {"most_orders", count_field(tuning.max_commands_in_flight, {8, 100'000})},
-      {"commit_starts", flag_field(tuning.commit_starts)},
-      {"bound_tasks_may_move", flag_field(tuning.bound_tasks_may_move)},
-      {"why_address", address_field(settings.why_address)},
+      {"bin_unit_s", seconds_setter(tuning.bin_unit, {0.01, 3600})},
+      {"round_s", seconds_setter(tuning.round_interval, {0.1, 60})},
+      {"quick_round_s", seconds_setter(tuning.min_round_interval, {0.02, 60})},
+      {"clearing_wait_s", seconds_setter(tuning.consolidation_wait, {1, 3600})},
+      {"clearing_use", number_setter(tuning.consolidation_threshold, {0, 1})},
+      {"idle_wait_s", seconds_setter(tuning.idle_wait, {0, 3600})},
+      {"boot_late_factor", number_setter(tuning.boot_late_factor, {1, 100})},
+      {"refused_rest_s", seconds_setter(tuning.refused_cooldown, {0.5, 3600})},
+      {"silent_after_s", seconds_setter(tuning.silent_after, {2, 3600})},
+      {"lost_after_takeover_s", seconds_setter(tuning.lost_after_failover, {3, 3600})},
+      {"lost_after_s", seconds_setter(tuning.lost_after, {3, 3600})},
+      {"dear_patience_s", seconds_setter(tuning.on_demand_wait, {0, 3600})},
+      {"dear_idle_wait_s", seconds_setter(tuning.on_demand_idle_wait, {0, 3600})},
+      {"quarantine_errors", count_setter(tuning.quarantine_errors, {1, 1000})},
+      {"most_given_up", number_setter(tuning.max_declared_dead_share, {0, 1})},
+      {"begin_within_s", seconds_setter(tuning.begin_within, {10, 86'400})},
+      {"still_alive", number_setter(tuning.assumed_alive_share, {0, 1})},
+      {"most_orders", count_setter(tuning.max_commands_in_flight, {8, 100'000})},
+      {"commit_starts", flag_setter(tuning.commit_starts)},
+      {"bound_tasks_may_move", flag_setter(tuning.bound_tasks_may_move)},
+      {"why_address", address_setter(settings.diagnostics_address)},
   };
 }
 
--- a/src/config/yaml_fields.hpp
+++ b/src/config/yaml_fields.hpp
@@ -56,7 +56,7 @@
   return node.Scalar();
 }
 
-inline FieldSetter seconds_field(core::Seconds& field, Range range) {
+inline FieldSetter seconds_setter(core::Seconds& field, Range range) {
   return [&field, range](const YAML::Node& node, const std::string& name) {
     field = core::Seconds(number(node, name, range));
   };
--- a/src/diagnostics/cost_breakdown.cpp
+++ b/src/diagnostics/cost_breakdown.cpp
@@ -27,13 +27,13 @@
 
 Shares shares_of(const core::Machine& machine) {
   Shares out{};
-  const auto whole_machine = [&](Use use) {
+  const auto single_use = [&](Use use) {
     out[static_cast<std::size_t>(use)] = 1;
     return out;
   };
-  if (!machine.up()) return whole_machine(Use::booting);
+  if (!machine.up()) return single_use(Use::booting);
   if (machine.tasks.empty())
-    return whole_machine(machine.reserved_for.empty() ? Use::empty : Use::reserved);
+    return single_use(machine.reserved_for.empty() ? Use::empty : Use::reserved);
   double sum = 0;
   for (const auto& [key, assignment] : machine.tasks) {
     const auto share = share_of(assignment.resources, machine.capacity);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -73,8 +73,8 @@
       server_(io, net::parse_endpoint(settings_.public_address), server_limits(settings_),
               request_handler(), RequestRouter::client_kind) {
   recorder_ = make_recorder();
-  if (!operators.why_address.empty())
-    operator_api_ = make_operator_api(net::parse_endpoint(operators.why_address));
+  if (!operators.diagnostics_address.empty())
+    operator_api_ = make_operator_api(net::parse_endpoint(operators.diagnostics_address));
   update_connection_limits();
   job_replica_.start();
   election_.start();
--- a/src/solver/exact.cpp
+++ b/src/solver/exact.cpp
@@ -73,10 +73,10 @@
   std::uint32_t max_placed(std::size_t j) const {
     const auto& job = problem_.jobs[j];
     if (decided_[j]) return state_.placed(j);
-    std::uint64_t room = 0;
-    for (std::size_t m = 0; m < problem_.machines.size(); ++m) room += state_.max_more_tasks(j, m);
+    std::uint64_t max_added = 0;
+    for (std::size_t m = 0; m < problem_.machines.size(); ++m) max_added += state_.max_more_tasks(j, m);
     const auto most = state_.placed(j) + static_cast<std::uint32_t>(std::min<std::uint64_t>(
-                                             room, job.tasks - state_.placed(j)));
+                                             max_added, job.tasks - state_.placed(j)));
     return job.shape == Shape::gang && most < job.tasks ? state_.placed(j) : most;
   }
 
--- a/src/solver/filling.cpp
+++ b/src/solver/filling.cpp
@@ -162,10 +162,10 @@
 
 // Removes tasks of one other job from the machine until a task fits, and places them elsewhere.
 bool TaskPlacer::make_room_on(std::size_t j, std::size_t m, int depth) {
-  Relaxation any_amount;
-  any_amount.resources.fill(true);
+  Relaxation ignoring_resources;
+  ignoring_resources.resources.fill(true);
   ++steps_;
-  if (state_.max_more_tasks(j, m, any_amount) == 0) return false;
+  if (state_.max_more_tasks(j, m, ignoring_resources) == 0) return false;
   for (std::size_t other = 0; other < problem_.jobs.size(); ++other) {
     ++steps_;
     if (other == j || problem_.jobs[other].shape == Shape::gang) continue;
