--- a/src/config/history_settings.cpp
+++ b/src/config/history_settings.cpp
@@ -46,19 +46,19 @@
   using history::SyncPolicy;
   const FieldSetters setters{
       {"home", choice_setter(out.location,
-                      std::map<std::string, HistoryLocation>{
-                          {"off", HistoryLocation::off},
-                          {"directory", HistoryLocation::directory},
-                          {"state-service", HistoryLocation::state_service}})},
+                             std::map<std::string, HistoryLocation>{
+                                 {"off", HistoryLocation::off},
+                                 {"directory", HistoryLocation::directory},
+                                 {"state-service", HistoryLocation::state_service}})},
       {"directory", [&out](const YAML::Node& node,
                            const std::string& name) { out.directory = text(node, name); }},
       {"key_file", [&out](const YAML::Node& node,
                           const std::string& name) { out.key = load_key(text(node, name), name); }},
       {"interval_s", seconds_setter(out.log.snapshot_interval, {1, 86400})},
-      {"sync",
-       choice_setter(out.log.sync, std::map<std::string, SyncPolicy>{{"never", SyncPolicy::never},
-                                                              {"interval", SyncPolicy::interval},
-                                                              {"always", SyncPolicy::always}})},
+      {"sync", choice_setter(out.log.sync,
+                             std::map<std::string, SyncPolicy>{{"never", SyncPolicy::never},
+                                                               {"interval", SyncPolicy::interval},
+                                                               {"always", SyncPolicy::always}})},
       {"sync_every_s", seconds_setter(out.log.sync_interval, {0.01, 3600})},
       {"most_mb",
        [&out](const YAML::Node& node, const std::string& name) {
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -40,7 +40,7 @@
 }
 
 double number_field(const toml::table& table, const std::string& where, const char* key, double min,
-                 std::optional<double> fallback = {}) {
+                    std::optional<double> fallback = {}) {
   const std::string field = where + key;
   const auto* node = table.get(key);
   if (node == nullptr) {
@@ -57,7 +57,8 @@
   return value;
 }
 
-const toml::table& table_field(const toml::table& table, const std::string& where, const char* key) {
+const toml::table& table_field(const toml::table& table, const std::string& where,
+                               const char* key) {
   const auto* node = table.get(key);
   if (node == nullptr) fail(where + key, "is missing");
   if (!node->is_table()) fail(where + key, "must be a table");
@@ -65,7 +66,8 @@
 }
 
 template <typename Each>
-void for_each_table(const toml::table& table, const std::string& where, const char* key, Each each) {
+void for_each_table(const toml::table& table, const std::string& where, const char* key,
+                    Each each) {
   const auto* node = table.get(key);
   if (node == nullptr) return;
   if (!node->is_array()) fail(where + key, "must be a list of tables");
@@ -104,7 +106,7 @@
   const auto* zones = table.get("zones");
   if (zones == nullptr || !zones->is_array()) fail("settings.zones", "must be a list of zones");
   for (const auto& zone : *zones->as_array()) {
-    if (!zone.is_string()) fail("settings.zones", "must hold strings");
+    if (!zone.is_string()) fail("settings.zones", "must be a list of strings");
     settings.zones.push_back(*zone.value<std::string>());
   }
   if (settings.zones.empty()) fail("settings.zones", "must not be empty");
@@ -121,30 +123,32 @@
 
 void read_teams(const toml::table& table, Settings& settings) {
   std::set<std::string> names;
-  for_each_table(table, "settings.", "teams", [&](const toml::table& item, const std::string& path) {
-    core::Team team;
-    team.name = text_field(item, path, "name");
-    team.guaranteed_cpus = number_field(item, path, "cpus", 0, 0.0);
-    team.max_cpus = number_field(item, path, "cpus_max", 0, 0.0);
-    team.guaranteed_gpus = number_field(item, path, "gpus", 0, 0.0);
-    team.max_gpus = number_field(item, path, "gpus_max", 0, 0.0);
-    if (!names.insert(team.name).second) fail(path + "name", "'" + team.name + "' is named twice");
-    settings.teams.push_back(team);
-  });
+  for_each_table(table, "settings.", "teams",
+                 [&](const toml::table& item, const std::string& path) {
+                   core::Team team;
+                   team.name = text_field(item, path, "name");
+                   team.guaranteed_cpus = number_field(item, path, "cpus", 0, 0.0);
+                   team.max_cpus = number_field(item, path, "cpus_max", 0, 0.0);
+                   team.guaranteed_gpus = number_field(item, path, "gpus", 0, 0.0);
+                   team.max_gpus = number_field(item, path, "gpus_max", 0, 0.0);
+                   if (!names.insert(team.name).second)
+                     fail(path + "name", "'" + team.name + "' is named twice");
+                   settings.teams.push_back(team);
+                 });
   if (settings.teams.empty()) fail("settings.teams", "must not be empty");
 }
 
 void read_objectives(const toml::table& table, Settings& settings) {
   for_each_table(table, "settings.", "objectives",
-             [&](const toml::table& item, const std::string& path) {
-               Objective objective;
-               objective.kind = text_field(item, path, "kind");
-               objective.job_class = item["class"].value_or(std::string());
-               objective.within = core::Seconds(number_field(item, path, "within_s", 0, 0.0));
-               objective.share = number_field(item, path, "share", 0, 0.0);
-               objective.times = number_field(item, path, "times", 0, 1.0);
-               settings.objectives.push_back(objective);
-             });
+                 [&](const toml::table& item, const std::string& path) {
+                   Objective objective;
+                   objective.kind = text_field(item, path, "kind");
+                   objective.job_class = item["class"].value_or(std::string());
+                   objective.within = core::Seconds(number_field(item, path, "within_s", 0, 0.0));
+                   objective.share = number_field(item, path, "share", 0, 0.0);
+                   objective.times = number_field(item, path, "times", 0, 1.0);
+                   settings.objectives.push_back(objective);
+                 });
 }
 
 // The promised cancellation time must leave a leader time to serve requests, see
@@ -186,7 +190,8 @@
       static_cast<std::size_t>(number_field(limits, "settings.limits.", "max_sockets", 50));
 }
 
-// Fields are read in the order of the file, so the first error in the file is reported.
+// Fields are read in the order in which settings files list them, so the first error in the file is
+// reported.
 Settings from_table(const toml::table& root) {
   Settings settings;
   read_addresses(root, settings);
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -26,7 +26,7 @@
   };
 }
 
-// Decimal places are cut off.
+// Fractions are truncated.
 template <class Integer>
 FieldSetter count_setter(Integer& field, Range range) {
   return [&field, range](const YAML::Node& node, const std::string& name) {
--- a/src/diagnostics/cost_breakdown.cpp
+++ b/src/diagnostics/cost_breakdown.cpp
@@ -40,8 +40,8 @@
     out[static_cast<std::size_t>(use_of(assignment))] += share;
     sum += share;
   }
-  // The largest share of each task may be that of another resource, so the sum of these shares may
-  // exceed the used share of the machine and is scaled to it.
+  // Tasks may have their largest shares in different resources, so the sum of these shares may
+  // exceed the used share of the machine. It is scaled to the used share.
   const auto used = std::min(1.0, share_of(machine.used, machine.capacity));
   if (sum > 0)
     for (auto& share : out) share *= used / sum;
--- a/src/diagnostics/cost_breakdown.hpp
+++ b/src/diagnostics/cost_breakdown.hpp
@@ -18,8 +18,8 @@
 /// Sums of cost by use.
 class CostBreakdown {
  public:
-  /// Adds the cost since the last call, divided by the present use of each machine. The first call
-  /// adds nothing.
+  /// Adds the cost since the last call, divided among the present uses of each machine. The first
+  /// call adds nothing.
   void sample(const core::Fleet& fleet, core::TimePoint now);
 
   /// In the currency of the prices (prices are per hour).
--- a/src/solver/exact.cpp
+++ b/src/solver/exact.cpp
@@ -74,7 +74,8 @@
     const auto& job = problem_.jobs[j];
     if (decided_[j]) return state_.placed(j);
     std::uint64_t max_added = 0;
-    for (std::size_t m = 0; m < problem_.machines.size(); ++m) max_added += state_.max_more_tasks(j, m);
+    for (std::size_t m = 0; m < problem_.machines.size(); ++m)
+      max_added += state_.max_more_tasks(j, m);
     const auto most = state_.placed(j) + static_cast<std::uint32_t>(std::min<std::uint64_t>(
                                              max_added, job.tasks - state_.placed(j)));
     return job.shape == Shape::gang && most < job.tasks ? state_.placed(j) : most;
@@ -97,15 +98,15 @@
       std::sort(expandable.begin(), expandable.end(), [&](std::size_t a, std::size_t b) {
         return weight_density(a, r) > weight_density(b, r);
       });
-      Amount left = free.amounts[r];
+      Amount remaining = free.amounts[r];
       Amount sum = placed_weight;
       for (const auto j : expandable) {
         const auto& job = problem_.jobs[j];
         const std::int64_t tasks = placeable[j] - state_.placed(j);
         const auto size = job.per_task.amounts[r];
-        const auto fit = size == 0 ? tasks : std::min(tasks, (left + size - 1) / size);
+        const auto fit = size == 0 ? tasks : std::min(tasks, (remaining + size - 1) / size);
         sum += job.weight() * fit;
-        left -= std::min(left, size * fit);
+        remaining -= std::min(remaining, size * fit);
       }
       if (least < 0 || sum < least) least = sum;
     }
@@ -120,16 +121,16 @@
   Amount min_loss(std::size_t j) const {
     const auto& job = problem_.jobs[j];
     if (job.running_tasks.empty() || !job.movable) return 0;
-    std::int64_t left = 0;
+    std::int64_t displaced = 0;
     std::int64_t running = 0;
     for (std::size_t m = 0; m < problem_.machines.size(); ++m) {
       const auto running_here = job.running_on(m);
       running += running_here;
       const auto placeable =
           state_.tasks_on(j, m) + (decided_[j] ? 0 : state_.max_more_tasks(j, m));
-      if (running_here > placeable) left += running_here - placeable;
+      if (running_here > placeable) displaced += running_here - placeable;
     }
-    return job.loss * (job.shape == Shape::gang && left > 0 ? running : left);
+    return job.loss * (job.shape == Shape::gang && displaced > 0 ? running : displaced);
   }
 
   bool out_of_steps() const { return steps_ >= max_steps_; }
@@ -147,8 +148,8 @@
     decided_[j] = false;
   }
 
-  // For each machine the nearest earlier one that is interchangeable with it for all jobs that are
-  // still to be placed.
+  // For each machine the nearest earlier machine that is interchangeable with it for all jobs that
+  // are still to be placed.
   std::vector<std::optional<std::size_t>> interchangeable_predecessors(std::size_t depth) const {
     std::vector<std::optional<std::size_t>> predecessors(problem_.machines.size());
     for (std::size_t m = 1; m < predecessors.size(); ++m)
--- a/src/solver/fast.cpp
+++ b/src/solver/fast.cpp
@@ -16,7 +16,7 @@
 
 using JobOrder = std::vector<std::size_t>;
 
-// By priority; among equal priorities the largest job first, since it is the hardest to place.
+// By priority; of equal priorities the largest job first, since it is the hardest to place.
 JobOrder by_priority_and_size(const Problem& problem) {
   Resources all;
   for (const auto& machine : problem.machines) all += machine.capacity;
@@ -122,7 +122,7 @@
     }
     shuffle_within_priority(order, problem_, random_);
     // In half of the rounds the jobs that were not evicted go first. Otherwise evicted jobs that
-    // come earlier in the order would always take their capacity back.
+    // come earlier in the order would always take back the capacity that they have just left.
     if (random_() % 2 == 0)
       std::stable_partition(order.begin(), order.end(), [&](std::size_t j) { return !evicted[j]; });
     place_all(placer, order);
--- a/src/solver/filling.cpp
+++ b/src/solver/filling.cpp
@@ -32,9 +32,9 @@
   return state_.tasks_on(j, m) - (job.movable ? 0 : job.running_on(m));
 }
 
-// Order of preference: machines that still lack tasks of the job that run there now, then machines
-// in use before empty ones, the lowest added mixing cost (DESIGN), rented machines before others,
-// the lowest price of empty machines, and the fullest machine.
+// Order of preference: machines where fewer tasks of the job are placed than run there now, then
+// machines in use before empty ones, the lowest added mixing cost (DESIGN), rented machines before
+// others, the lowest price of empty machines, and the fullest machine.
 std::vector<std::size_t> TaskPlacer::ranked_machines(std::size_t j,
                                                      std::optional<std::size_t> excluded_machine,
                                                      std::size_t max_machines) {
@@ -51,13 +51,13 @@
       mixing =
           mixing_cost(machine, std::min(bins->first, job.bin), std::max(bins->second, job.bin)) -
           mixing_cost(machine, bins->first, bins->second);
-    std::int64_t left = 0;  // free after one task, in thousandths, summed over resources
+    std::int64_t free_share = 0;  // free after one task, in thousandths, summed over resources
     for (std::size_t r = 0; r < kResourceCount; ++r)
       if (machine.capacity.amounts[r] > 0)
-        left += (state_.free(m).amounts[r] - job.per_task.amounts[r]) /
-                (machine.capacity.amounts[r] / 1000 + 1);
+        free_share += (state_.free(m).amounts[r] - job.per_task.amounts[r]) /
+                      (machine.capacity.amounts[r] / 1000 + 1);
     ranked.emplace_back(Rank{job.running_on(m) <= state_.tasks_on(j, m), !bins, mixing,
-                             !machine.rented, bins ? 0 : machine.price, left},
+                             !machine.rented, bins ? 0 : machine.price, free_share},
                         m);
   }
   max_machines = std::min(max_machines, ranked.size());
@@ -74,8 +74,8 @@
     if (state_.placed(j) == job.tasks) return;
     ++steps_;
     auto count = state_.max_more_tasks(j, m);
-    // At most as many tasks as run there now, so that the other tasks of the job can stay on their
-    // own machines.
+    // At most as many tasks as run on the machine now, so that the other running tasks of the job
+    // can stay on their machines.
     if (const auto running_here = job.running_on(m); running_here > state_.tasks_on(j, m))
       count = std::min(count, running_here - state_.tasks_on(j, m));
     if (count > 0) change(j, m, count);
@@ -100,7 +100,7 @@
     if (job.shape == Shape::gang && state_.placed(j) < job.tasks) undo_to(start);
     return;
   }
-  // The zone that takes the most tasks, the first among equals.
+  // Selects the zone that takes the most tasks; of equal zones the first.
   std::vector<std::string> zones;
   for (const auto m : machines)
     if (std::find(zones.begin(), zones.end(), state_.zone_of(m)) == zones.end())
@@ -139,8 +139,8 @@
   const auto& job = problem_.jobs[j];
   const auto start = undo_point();
   if (job.shape != Shape::gang) return make_room_for_one(j, depth, {});
-  // Zones are not tried one by one: the neighbourhood search does that by evicting and placing the
-  // gang again.
+  // Zones are not tried one by one: the neighbourhood search tries them when it evicts the gang and
+  // places it again.
   while (state_.placed(j) < job.tasks) {
     const auto machines = ranked_machines(j, {}, 1);
     if (!machines.empty()) {
@@ -160,7 +160,8 @@
   return false;
 }
 
-// Removes tasks of one other job from the machine until a task fits, and places them elsewhere.
+// Removes tasks of one other job from the machine until a task of job `j` fits, and places the
+// removed tasks on other machines.
 bool TaskPlacer::make_room_on(std::size_t j, std::size_t m, int depth) {
   Relaxation ignoring_resources;
   ignoring_resources.resources.fill(true);
@@ -182,8 +183,8 @@
       continue;
     }
     change(j, m, 1);
-    bool all = true;
-    while (all && unplaced > 0) {
+    bool all_placed = true;
+    while (all_placed && unplaced > 0) {
       const auto elsewhere = ranked_machines(other, m, 1);
       if (!elsewhere.empty()) {
         const auto count = std::min(unplaced, state_.max_more_tasks(other, elsewhere.front()));
@@ -192,10 +193,10 @@
       } else if (depth > 0 && make_room_for_one(other, depth - 1, m)) {
         --unplaced;
       } else {
-        all = false;
+        all_placed = false;
       }
     }
-    if (all) return true;
+    if (all_placed) return true;
     undo_to(start);
   }
   return false;
--- a/src/solver/reasons.hpp
+++ b/src/solver/reasons.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Explains why tasks of a job are not placed: the smallest set of constraints without which one
 /// more task, or the whole gang, would fit, and a change that would let it fit. The sets are tried
-/// one after the other, smaller ones first. Owns no state.
+/// in order of size, the smallest first. Owns no state.
 #pragma once
 
 #include "solver/state.hpp"
--- a/src/solver/solver.hpp
+++ b/src/solver/solver.hpp
@@ -19,8 +19,8 @@
   /// Rounds of large neighbourhood search.
   std::uint32_t rounds = 60;
   std::uint64_t seed = 1;
-  /// Machines inspected for a job. After this many the search moves no more tasks to make room and
-  /// starts no further round.
+  /// Steps are machines inspected for a job, and jobs inspected as candidates for a move. After
+  /// this many the search moves no more tasks to make room and starts no further round.
   std::uint64_t max_steps = 2'000'000;
 };
 
@@ -37,13 +37,13 @@
 };
 
 SearchResult search_fast(const Problem& problem, const SearchOptions& options = {});
-/// Stops after `max_steps`; then the result is unproven and only its bound holds. `fast_options`
-/// are those of the fast search that gives the initial placement.
+/// Stops after `max_steps`; then `proven` is false, and only `bound` limits the optimal score.
+/// `fast_options` apply to the fast search that gives the initial placement.
 ExactResult search_exact(const Problem& problem, std::uint64_t max_steps = 20'000'000,
                          const SearchOptions& fast_options = {});
 
-/// Moves nothing: running tasks stay, and free capacity is filled in order of priority. The
-/// baseline for both searches.
+/// Moves no task: running tasks stay, and free capacity is filled in order of priority. Baseline to
+/// compare both searches with.
 SearchResult place_greedily(const Problem& problem);
 
 /// Bound of the score: no placement is better than it in any part.
--- a/src/solver/state.hpp
+++ b/src/solver/state.hpp
@@ -40,7 +40,7 @@
   Placement placement_;
   std::vector<std::uint32_t> placed_;
   std::vector<Resources> free_;
-  std::vector<std::optional<std::size_t>> team_index_;  // by job; none: no limit
+  std::vector<std::optional<std::size_t>> team_index_;  // by job; none: no team
   std::vector<Resources> team_use_;
   std::vector<std::size_t> zone_index_;                    // by machine
   std::vector<std::vector<std::uint32_t>> tasks_by_zone_;  // by job and zone
--- a/src/solver/steps.cpp
+++ b/src/solver/steps.cpp
@@ -68,7 +68,8 @@
     }
   }
 
-  // Moves the tasks that have room on their target machines; a gang moves whole.
+  // Moves the tasks that have room on their target machines; a gang moves with all its tasks at
+  // once.
   bool move_tasks(std::size_t j) {
     if (is_gang(j)) return move_gang(j);
     bool moved = false;
@@ -113,8 +114,8 @@
     return true;
   }
 
-  // No task can move: stops the task, or the gang, that loses the least work. It is started again
-  // at the end.
+  // Called when no task can move: stops the task, or the gang, that loses the least work. `start`
+  // starts the stopped tasks on their target machines at the end.
   bool stop_cheapest_task() {
     std::optional<std::pair<std::size_t, std::size_t>> cheapest;
     Amount min_loss = 0;
@@ -138,7 +139,8 @@
     return true;
   }
 
-  // All tasks that had to leave their machines have left, so the missing tasks have room.
+  // Starts the missing tasks of the job. They fit, since all tasks that had to leave a machine have
+  // left it.
   void start(std::size_t j) {
     TransitionStep step{TransitionStep::Kind::start, j, {}, 0};
     for (std::size_t m = 0; m < problem_.machines.size(); ++m)
--- a/src/solver/steps.hpp
+++ b/src/solver/steps.hpp
@@ -17,7 +17,7 @@
   };
   Kind kind = Kind::start;
   std::size_t job = 0;
-  std::vector<Change> changes;  ///< of a move: the machine that is left comes first
+  std::vector<Change> changes;  ///< of a move: the machines that tasks leave come first
   Amount loss = 0;              ///< lost work of the tasks that this step stops
 };
 
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -86,7 +86,8 @@
   EXPECT_EQ(parse_operator_settings("").tuning.round_interval, core::Tuning{}.round_interval);
   EXPECT_THROW(parse_operator_settings("clearing_wiat_s: 45"), SettingsError);
   EXPECT_THROW(parse_operator_settings("round_s: fast"), SettingsError);
-  EXPECT_EQ(parse_operator_settings("why_address: 127.0.0.1:7400").diagnostics_address, "127.0.0.1:7400");
+  EXPECT_EQ(parse_operator_settings("why_address: 127.0.0.1:7400").diagnostics_address,
+            "127.0.0.1:7400");
   EXPECT_THROW(parse_operator_settings("why_address: here"), SettingsError);
   EXPECT_THROW(parse_operator_settings("round_s: 1000"), SettingsError);
   const auto tuning =
--- a/tests/diagnostics/placement_explanation_test.cpp
+++ b/tests/diagnostics/placement_explanation_test.cpp
@@ -19,17 +19,17 @@
 class PlacementExplanation : public ::testing::Test {
  protected:
   PlacementExplanation() {
-    core::LeaderElected takeover;
-    takeover.settings.teams = teams_;
-    takeover.settings.cloud_calls_per_s = 3;
-    takeover.token = kToken;
-    takeover.former_leases_end = now_;
-    controller_ = core::make_controller(takeover, now_);
+    core::LeaderElected elected_event;
+    elected_event.settings.teams = teams_;
+    elected_event.settings.cloud_calls_per_s = 3;
+    elected_event.token = kToken;
+    elected_event.former_leases_end = now_;
+    controller_ = core::make_controller(elected_event, now_);
     controller_->set_catalog(types_);
     for (const char* name : {"m-1", "m-2"}) {
-      workers_[name] = {name,   "10.0.0.1:1", "big", name[2] == '1' ? "a" : "b", false, 1, 1,
-                        kToken, {},           {}};
-      controller_->heartbeat(workers_[name], now_);
+      heartbeats_[name] = {name,   "10.0.0.1:1", "big", name[2] == '1' ? "a" : "b", false, 1, 1,
+                           kToken, {},           {}};
+      controller_->heartbeat(heartbeats_[name], now_);
     }
   }
 
@@ -48,13 +48,13 @@
     controller_->job_opened(record, now_);
   }
 
-  // Runs 30 scheduling rounds with workers that execute each command at once.
+  // Runs 30 scheduling rounds with agents that execute each command at once.
   void run_rounds() {
     for (int i = 0; i < 30; ++i) {
       now_ += std::chrono::milliseconds(200);
-      for (auto& [name, worker] : workers_) {
-        ++worker.heartbeat_sequence;
-        controller_->heartbeat(worker, now_);
+      for (auto& [name, heartbeat] : heartbeats_) {
+        ++heartbeat.heartbeat_sequence;
+        controller_->heartbeat(heartbeat, now_);
       }
       controller_->tick(now_, true, now_);
       for (const auto& action : controller_->take_actions()) {
@@ -62,13 +62,14 @@
           controller_->machine_saved(save->record.id, true, true);
         const auto* batch = std::get_if<core::SendCommands>(&action);
         if (batch == nullptr) continue;
-        auto& worker = workers_.at(batch->machine);
+        auto& heartbeat = heartbeats_.at(batch->machine);
         for (const auto& command : batch->commands)
           if (command.type == core::CommandType::start)
-            worker.tasks.push_back(
+            heartbeat.tasks.push_back(
                 {command.task, command.attempt, core::TaskState::running, {}, false});
-        ++worker.heartbeat_sequence;
-        controller_->commands_answered(batch->machine, responses_arrive_ ? &worker : nullptr, now_);
+        ++heartbeat.heartbeat_sequence;
+        controller_->commands_answered(batch->machine, responses_arrive_ ? &heartbeat : nullptr,
+                                       now_);
       }
     }
   }
@@ -89,7 +90,7 @@
   bool responses_arrive_ = true;  ///< whether the responses to commands arrive
   TimePoint now_{std::chrono::hours(1)};
   core::Revision revision_ = 100;
-  std::map<std::string, core::Heartbeat> workers_;
+  std::map<std::string, core::Heartbeat> heartbeats_;
   std::unique_ptr<core::Controller> controller_;
 };
 
@@ -119,14 +120,14 @@
   open("failed", 1, {4, 0, 1});
   run_rounds();
   responses_arrive_ = true;
-  for (auto& [name, worker] : workers_)
-    for (auto& status : worker.tasks)
+  for (auto& [name, heartbeat] : heartbeats_)
+    for (auto& status : heartbeat.tasks)
       status = {status.task, status.attempt, core::TaskState::exited, core::ExitCause::error,
                 false};
   run_rounds();
   const auto held = explain("failed");
   EXPECT_EQ(codes(held), Codes{"delayed_start"});
-  EXPECT_EQ(held.waiting, 0U) << "no other machine may take it yet";
+  EXPECT_EQ(held.waiting, 0U) << "no other machine may take the task yet";
   open("next", 9, {4, 0, 1});
   run_rounds();
   EXPECT_EQ(explain("next").set_aside.at("returned"), 1U);
--- a/tests/golden/golden_history_test.cpp
+++ b/tests/golden/golden_history_test.cpp
@@ -33,8 +33,8 @@
       throw std::runtime_error("golden history " + GetParam() + " is missing");
     return path.string();
   }
-  /// The number of events up to which the current program makes the recorded decisions, with the
-  /// digests there; null if it does so to the end of the history.
+  /// The number of events up to which the current program makes the recorded decisions, and the
+  /// digests at that event; null if it makes all recorded decisions to the end of the history.
   static Json read_agreement(const std::string& name) {
     const auto file = name + "-agreement.json";
     return std::filesystem::exists(path_of(file)) ? read_json(file) : Json{};
--- a/tests/simulation/agent_runner.cpp
+++ b/tests/simulation/agent_runner.cpp
@@ -152,9 +152,10 @@
 Seconds AgentRunner::draw_run_time(const TaskKey& key, const JobSpec& spec) {
   if (facts_.completed.contains(key)) return Seconds(0);
   if (spec.shape == Shape::service) return kServiceRunTime;
-  const auto whole = spec.estimate * environment_.uniform(kMinRunTimeFactor, kMaxRunTimeFactor) *
-                     run_time_factor(key, spec);
-  return std::max(kMinRunTime, whole - facts_.checkpoints[key]);
+  const auto full_run_time = spec.estimate *
+                             environment_.uniform(kMinRunTimeFactor, kMaxRunTimeFactor) *
+                             run_time_factor(key, spec);
+  return std::max(kMinRunTime, full_run_time - facts_.checkpoints[key]);
 }
 
 double AgentRunner::run_time_factor(const TaskKey& key, const JobSpec& spec) const {
--- a/tests/simulation/diagnosis.cpp
+++ b/tests/simulation/diagnosis.cpp
@@ -100,7 +100,7 @@
        << (job.suspected_faulty ? ", suspected" : "") << ", team uses "
        << controller.fleet().team_use(job.spec().team).cpus << ", ended attempts "
        << controller.ended_attempts().use_of(job.spec().team).cpus << ", "
-       << controller.ended_attempts().retiring().size() << " machines settled";
+       << controller.ended_attempts().retiring().size() << " retiring machines";
 }
 
 void Diagnosis::describe_waiting_jobs(std::ostream& text, const std::string& team) const {
--- a/tests/simulation/fleet_leader.hpp
+++ b/tests/simulation/fleet_leader.hpp
@@ -26,7 +26,7 @@
   /// Advances the core by one step, unless the processor is still busy with earlier events.
   void step();
   /// Calls `handle` once the processor is free for the event. Drops the event if the leader has
-  /// ended by then.
+  /// ended before that.
   void queue_event(FleetEnvironment::Callback handle);
   /// Sets whether the cloud fails all requests to return machines.
   void set_cloud_down(bool down) { cloud_down_ = down; }
--- a/tests/simulation/fleet_simulation.hpp
+++ b/tests/simulation/fleet_simulation.hpp
@@ -22,8 +22,8 @@
   /// Runs the simulation for `length`, or until a check fails.
   void run(Seconds length);
   /// Ends the leader's process; the next controller is elected after `kElectionTime`. With
-  /// `EndedNodes::all`, all controllers end and the election takes place after their restart, 3 s
-  /// later.
+  /// `EndedNodes::all`, all controllers end and restart after `kRestartTime`, 3 s, and the election
+  /// follows after `kElectionTimeAfterRestart`.
   void end_leader(EndedNodes ended = EndedNodes::leader);
   /// Kills `count` machines, spread over the fleet.
   void kill_machines(std::size_t count);
--- a/tests/simulation/fleet_simulation_test.cpp
+++ b/tests/simulation/fleet_simulation_test.cpp
@@ -24,7 +24,7 @@
              << " s\n";
 }
 
-// Runs a fleet and ends its leader `times` times, every 8 s.
+// Runs a fleet and ends its leader, or all controllers, `times` times, every 8 s.
 FleetResult run_with_failovers(const FleetConfig& config, int times,
                                EndedNodes ended = EndedNodes::leader) {
   FleetSimulation fleet(config);
@@ -81,8 +81,8 @@
   EXPECT_GT(result.completed, config.machines * config.tasks_per_machine);
 }
 
-// With 1 ms per event, a leader needs 2 s for one heartbeat of each machine and must send its
-// queries more slowly.
+// With 1 ms of processor time per event, a leader needs 2 s for one heartbeat of each of the 2000
+// machines and must send its queries more slowly.
 TEST(FleetSimulation, NoLeaseExpiresAndNoMachineIsReturnedUnderASlowLeader) {
   FleetConfig config;
   config.event_processing_time = std::chrono::milliseconds(1);
@@ -115,7 +115,7 @@
 }
 
 // Thousands of tasks wait for a few silent machines. Waiting longer costs more than the machines
-// are worth, so the leader declares them dead and recovers within 3 s of its election.
+// are worth, so the leader declares these machines dead and recovers within 3 s of its election.
 TEST(FleetSimulation, SilentMachinesAreDeclaredDeadWhenWaitingCostsMore) {
   const auto result = run_with_dead_machines(20, CloudState::up);
   EXPECT_GE(result.stats.declared_dead, 20U);
@@ -145,7 +145,7 @@
 // Prints the figures for docs/reconciliation.md. Runs only with VIOLETPULLEY_STORM_SIZES=1.
 TEST(FleetSimulation, PrintsFailoverFiguresOfSeveralFleetSizes) {
   if (std::getenv("VIOLETPULLEY_STORM_SIZES") == nullptr)
-    GTEST_SKIP() << "long run by hand; set VIOLETPULLEY_STORM_SIZES=1 to run it";
+    GTEST_SKIP() << "long run that CI skips; set VIOLETPULLEY_STORM_SIZES=1 to run it";
   for (const std::size_t machines : {100, 1000, 2000, 5000}) {
     FleetConfig config;
     config.machines = machines;
--- a/tests/simulation/job_registry.cpp
+++ b/tests/simulation/job_registry.cpp
@@ -6,8 +6,8 @@
   facts_.specs[spec.id] = spec;
   const JobRecord record{spec, environment_.wall_now(), ++store_.revision};
   store_.jobs[spec.id] = record;
-  // The change reaches the leader after a delay. It is dropped if the job has been closed by then
-  // or if no leader exists; the next leader reads the job from the store.
+  // The change reaches the leader after a delay. The change is dropped if the job has been closed
+  // meanwhile or no leader exists; the next leader reads the job from the store.
   publish([this, record] {
     if (leaders_.current() != nullptr && is_open(record.spec.id))
       leaders_.feed(*leaders_.current(), JobOpened{record});
--- a/tests/simulation/leaders.cpp
+++ b/tests/simulation/leaders.cpp
@@ -40,8 +40,8 @@
       nullptr, Leadership(kAgentTimes, kClockSkew), store_.leader_token, false, false, {}});
   current_->leadership.won(store_.leader_token, kStoreLease, now);
   current_->leadership.record_read_barrier(now);
-  // Leaders may differ in whether they commit starts. One that does not clears the mark that all
-  // placements are recorded.
+  // Leaders may differ in whether they commit starts. A leader that does not commit starts clears
+  // the mark that all placements are recorded.
   Tuning tuning;
   tuning.commit_starts =
       commit_policy_ == CommitPolicy::all_leaders ||
@@ -52,7 +52,7 @@
   current_->controller = make_controller(event, now);
   if (observer_.event) observer_.event(current_->token, now, event);
   feed(*current_, CatalogReceived{machine_types()});
-  announce_former_leaders_gone();
+  report_former_leaders_gone();
 }
 
 ControllerSettings Leaders::make_settings(const Tuning& tuning) const {
@@ -73,9 +73,9 @@
   return recovered;
 }
 
-// With a probability, reports that all other controllers follow the new leader, unless a former
-// leader still runs by then.
-void Leaders::announce_former_leaders_gone() {
+// With probability `kFormerLeadersGoneChance`, tells the new leader after a delay that all other
+// controllers follow it, unless a former leader still runs then.
+void Leaders::report_former_leaders_gone() {
   if (!environment_.chance(kFormerLeadersGoneChance)) return;
   environment_.after(environment_.uniform_seconds(0.1, 3), [this, token = current_->token] {
     if (current_ && current_->token == token && !former_) feed(*current_, FormerLeadersGone{});
--- a/tests/simulation/leaders.hpp
+++ b/tests/simulation/leaders.hpp
@@ -14,7 +14,7 @@
 
 namespace violetpulley::core::simulated {
 
-/// The process of a leader and what the process can reach.
+/// The process of a leader, and which parts of the system the process can reach.
 struct LeaderProcess {
   std::unique_ptr<Controller> controller;
   Leadership leadership;
@@ -91,7 +91,7 @@
  private:
   ControllerSettings make_settings(const Tuning& tuning) const;
   RecoveredState read_recovered_state() const;
-  void announce_former_leaders_gone();
+  void report_former_leaders_gone();
   void step_leader(LeaderProcess& leader);
   void renew_leadership(LeaderProcess& leader);
 
--- a/tests/simulation/network.cpp
+++ b/tests/simulation/network.cpp
@@ -101,8 +101,8 @@
                      [this, heartbeat, sent] { receive(heartbeat, sent); });
 }
 
-// Delivers a duplicate after a delay of 1 s up to three leases. By then the machine may have ended
-// and another controller may lead.
+// Delivers a duplicate after a delay of 1 s up to three leases. Meanwhile the machine may have
+// ended and another controller may have become the leader.
 void Network::deliver_late_copy(const Heartbeat& heartbeat) {
   const auto delay = environment_.optional_fault_seconds(1, 3 * kAgentTimes.lease.count());
   environment_.after(delay, [this, heartbeat] {
--- a/tests/simulation/store.cpp
+++ b/tests/simulation/store.cpp
@@ -31,19 +31,19 @@
                         : Seconds(0);
   const auto delay = environment_.uniform_seconds(kMinChangeDelay, kMaxUsualChangeDelay) + more;
   environment_.after(delay, [this, deliver = std::move(deliver), leader_exists] {
-    if (leader_exists() && changes_stalled) return held_changes_.push_back(deliver);
+    if (leader_exists() && changes_stalled) return stalled_changes_.push_back(deliver);
     deliver();
   });
 }
 
 void Store::resume_changes() {
   changes_stalled = false;
-  for (const auto& deliver : std::exchange(held_changes_, {})) deliver();
+  for (const auto& deliver : std::exchange(stalled_changes_, {})) deliver();
 }
 
 void Store::reset_for_new_leader() {
   refuses_leader = changes_stalled = false;
-  held_changes_.clear();
+  stalled_changes_.clear();
 }
 
 }  // namespace violetpulley::core::simulated
--- a/tests/simulation/store.hpp
+++ b/tests/simulation/store.hpp
@@ -28,12 +28,12 @@
   /// Whether changes of jobs may still arrive late. Stays true after the service was slow until all
   /// changes delayed by it have arrived.
   bool changes_may_be_delayed() const;
-  /// Calls `deliver` when a change of a job reaches the leader. If changes are stalled by then, the
-  /// call waits for `resume_changes`.
+  /// Calls `deliver` when a change of a job reaches the leader. If changes are stalled at that
+  /// time, the call waits for `resume_changes`.
   void publish_change(Callback deliver, const std::function<bool()>& leader_exists);
-  /// Ends the stall and delivers the changes held back.
+  /// Ends the stall and delivers the changes that it delayed.
   void resume_changes();
-  /// Drops the changes held back for the former leader, since a new leader reads the current
+  /// Drops the stalled changes for the former leader, since a new leader reads the current
   /// records, and ends the refusal of the leader and the stall.
   void reset_for_new_leader();
   /// Whether a fault of the service is active.
@@ -56,7 +56,7 @@
 
  private:
   Environment& environment_;
-  std::vector<Callback> held_changes_;
+  std::vector<Callback> stalled_changes_;
 };
 
 }  // namespace violetpulley::core::simulated
--- a/tests/simulation/world_test.cpp
+++ b/tests/simulation/world_test.cpp
@@ -31,7 +31,7 @@
 class CombinedFaults : public SeededWorld {};
 class CorrelatedFaults : public SeededWorld {};
 
-// VIOLETPULLEY_EXTRA_SEEDS adds that many seeds to each suite, for long runs by hand.
+// VIOLETPULLEY_EXTRA_SEEDS adds that many seeds to each suite, for long runs outside CI.
 auto seeds(int first, int default_count) {
   const char* extra = std::getenv("VIOLETPULLEY_EXTRA_SEEDS");
   const int count = default_count + (extra == nullptr ? 0 : std::atoi(extra));
--- a/tests/solver/exhaustive_search.hpp
+++ b/tests/solver/exhaustive_search.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Reference for the solver: tries every distribution of the tasks of all jobs and keeps the best
-/// one that breaks no limit. Deliberately independent of the code in src/solver: it uses only its
-/// types. Feasible for small cases only. Owns no state.
+/// one that breaks no limit. Independent of the code in src/solver, except for its types. Feasible
+/// for small cases only. Owns no state.
 #pragma once
 
 #include <functional>
@@ -36,16 +36,16 @@
       if (!type) return "type";
       for (std::size_t r = 0; r < 3; ++r) load[m][r] += tasks * job.per_task.amounts[r];
     }
-    if (placed > job.tasks) return "too many";
-    if (job.shape == Shape::gang && placed > 0 && placed < job.tasks) return "half a gang";
-    if (job.same_zone && zones.size() > 1) return "two zones";
+    if (placed > job.tasks) return "number of tasks";
+    if (job.shape == Shape::gang && placed > 0 && placed < job.tasks) return "gang placed in part";
+    if (job.same_zone && zones.size() > 1) return "same_zone";
     for (const auto& zone : zones)
       if (job.spread && zone.second > (job.tasks + 1) / 2) return "spread";
     for (std::size_t r = 0; r < 2; ++r) used[job.team][r] += placed * job.per_task.amounts[r];
   }
   for (std::size_t m = 0; m < problem.machines.size(); ++m)
     for (std::size_t r = 0; r < 3; ++r)
-      if (load[m][r] > problem.machines[m].capacity.amounts[r]) return "room";
+      if (load[m][r] > problem.machines[m].capacity.amounts[r]) return "capacity";
   for (const auto& team : problem.teams)
     for (std::size_t r = 0; r < 2; ++r)
       if (team.limit.amounts[r] != 0 && used[team.name][r] > team.limit.amounts[r]) return "team";
--- a/tests/solver/solver_test.cpp
+++ b/tests/solver/solver_test.cpp
@@ -27,9 +27,9 @@
 
 Machine machine(const std::string& id, double processors, const std::string& zone = "a",
                 double memory = 64, double accelerators = 0) {
-  const Resources room{{std::llround(processors * kOne), std::llround(accelerators * kOne),
-                        std::llround(memory * kOne)}};
-  return {id, "t", zone, false, true, room, kOne};
+  const Resources capacity{{std::llround(processors * kOne), std::llround(accelerators * kOne),
+                            std::llround(memory * kOne)}};
+  return {id, "t", zone, false, true, capacity, kOne};
 }
 
 Job job(const std::string& id, std::uint32_t tasks, double processors, double memory = 0) {
@@ -74,7 +74,7 @@
   }
   const auto jobs = 1 + pick(12);
   // With many jobs and machines, few allowed machines per job keep the exhaustive search feasible.
-  const bool few_places = jobs > 4 && machines > 3;
+  const bool few_choices = jobs > 4 && machines > 3;
   PlacementState state(out);
   for (std::int64_t j = 0; j < jobs; ++j) {
     Job added;
@@ -82,11 +82,11 @@
     if (teams > 0 && !one_in(3)) added.team = "team" + std::to_string(pick(teams));
     added.shape = static_cast<Shape>(pick(3));
     added.priority = static_cast<int>(pick(3)) - 1;
-    added.tasks = static_cast<std::uint32_t>(1 + pick(few_places ? 2 : 4));
+    added.tasks = static_cast<std::uint32_t>(1 + pick(few_choices ? 2 : 4));
     const Amount sizes[] = {kOne / 2, kOne, kOne, 2 * kOne, 3 * kOne, kOne / 10};
-    added.per_task = {{sizes[pick(few_places ? 5 : 6)], one_in(6) ? kOne : 0, pick(4) * kOne}};
-    if (few_places || one_in(4)) added.types = {types[pick(2)]};
-    if (one_in(few_places ? 2 : 5)) added.zone = zones[pick(zone_count)];
+    added.per_task = {{sizes[pick(few_choices ? 5 : 6)], one_in(6) ? kOne : 0, pick(4) * kOne}};
+    if (few_choices || one_in(4)) added.types = {types[pick(2)]};
+    if (one_in(few_choices ? 2 : 5)) added.zone = zones[pick(zone_count)];
     added.same_zone = one_in(5);
     added.spread = one_in(5);
     added.spot_allowed = !one_in(3);
@@ -136,7 +136,7 @@
       if (!problem.machines.empty()) return "no_machines is set although there are machines";
       continue;
     }
-    // Whether the job is possible on empty machines, from all placements of this job alone. Its
+    // Whether the job fits on empty machines, found from all placements of this job alone. Its
     // running tasks are ignored, also those that may not be moved.
     Problem alone = problem;
     alone.jobs = {problem.jobs[j]};
@@ -217,7 +217,7 @@
   }
   if (exact.best.score.better_than(exact.bound))
     out.failure = std::string("the best result is better than the bound");
-  // Without the result of the fast search as the initial placement.
+  // The options let the fast search do nothing, so the exact search starts without its result.
   const auto alone = search_exact(problem, 1'000'000, {0, 0, 1, 0});
   if (alone.proven && exact.proven && alone.best.score != exact.best.score)
     out.failure = std::string("the exact search without the fast search proves another optimum");
--- a/tests/store/read_barrier_test.cpp
+++ b/tests/store/read_barrier_test.cpp
@@ -122,16 +122,16 @@
   replica.start();
   until([&] { return replica.find("req-1") != nullptr; });
   // The replica reads all jobs again, as after a failed watch.
-  deployment_.state.set_lists_held(true);
+  deployment_.state.set_lists_stalled(true);
   replica.start();
-  until([&] { return deployment_.state.held_list_count() > 0; });
+  until([&] { return deployment_.state.stalled_list_count() > 0; });
   cancel_and_wait(leader, "req-1");
   std::optional<bool> fresh;
   replica.read_barrier(RequestPriority::safety, [&](bool ok) { fresh = ok; });
   until([&] { return fresh.has_value(); });
   ASSERT_TRUE(*fresh);
   ASSERT_EQ(replica.find("req-1"), nullptr);
-  deployment_.state.set_lists_held(false);
+  deployment_.state.set_lists_stalled(false);
   submit(client_, "req-2");
   until([&] { return replica.find("req-2") != nullptr; });
   EXPECT_EQ(replica.find("req-1"), nullptr) << "a finished job was reopened";
--- a/tests/support/fake_cloud.hpp
+++ b/tests/support/fake_cloud.hpp
@@ -105,7 +105,7 @@
                      });
   }
 
-  /// Turns to the leader that a 421 response names, otherwise to the next node.
+  /// Switches to the leader that a 421 response names, otherwise to the next node.
   void choose_next_node(const std::optional<net::Response>& response) {
     if (response && response->status == 421) {
       const auto body = Json::parse(response->body);
@@ -178,8 +178,8 @@
         const auto found = agents_.find(id.get<std::string>());
         if (found == agents_.end()) continue;
         starts_of_returned_machines_ += found->second->executed_starts();
-        // The agent may be answering a request, so its destruction is deferred until that has
-        // ended.
+        // The agent may be answering a request, so its destruction is deferred until the
+        // request has been answered.
         asio::post(io_, [returned_agent = std::shared_ptr<Agent>(std::move(found->second))] {});
         agents_.erase(found);
       }
--- a/tests/support/fake_state_service.hpp
+++ b/tests/support/fake_state_service.hpp
@@ -15,8 +15,8 @@
  public:
   explicit StateService(asio::io_context& io) : io_(io) { add_endpoint(); }
 
-  /// Adds an endpoint and returns its index. A client with an endpoint of its own can be given
-  /// faults that affect no other client.
+  /// Adds an endpoint and returns its index. Faults of an endpoint that only one client uses
+  /// affect no other client.
   std::size_t add_endpoint() {
     const auto index = endpoints_.size();
     endpoints_.emplace_back().server = std::make_unique<net::HttpServer>(
@@ -30,7 +30,7 @@
     return text_of(endpoints_.at(endpoint).server->local_endpoint());
   }
   /// While `on`, the endpoint answers every request with 503. Changes made meanwhile are not sent
-  /// to its open watches; these respond at the next change or when they expire.
+  /// to its open watches; the watches are answered at the next change or when they expire.
   void set_refused(std::size_t endpoint, bool on) { endpoints_.at(endpoint).refused = on; }
   /// While `on`, all endpoints refuse requests. Leases do not expire during the outage and have
   /// their full duration again afterwards.
@@ -44,13 +44,13 @@
     endpoints_.at(endpoint).response_delay = delay;
   }
   /// While `on`, lists are read when they are requested, but their responses are held back until
-  /// this is switched off.
-  void set_lists_held(bool on) {
-    lists_on_hold_ = on;
+  /// the fault is switched off.
+  void set_lists_stalled(bool on) {
+    lists_stalled_ = on;
     if (!on)
-      for (auto& send_list : std::exchange(held_lists_, {})) send_list();
+      for (auto& send_list : std::exchange(stalled_lists_, {})) send_list();
   }
-  std::size_t held_list_count() const { return held_lists_.size(); }
+  std::size_t stalled_list_count() const { return stalled_lists_.size(); }
   /// Responses to requests for changes report a revision that is `lag` too low; 0 ends the fault.
   void set_revision_lag(std::uint64_t lag) { revision_lag_ = lag; }
   /// Transactions sent to the endpoint are executed after `delay` and never answered; 0 ends the
@@ -189,8 +189,8 @@
         rows.push_back({{"k", key}, {"v", entry.value}, {"stamp", entry.revision}});
     const net::Response response{
         200, Json{{"rows", rows}, {"truncated", false}, {"ledger", revision_}}.dump(), {}};
-    if (!lists_on_hold_) return respond(response);
-    held_lists_.push_back([respond, response] { respond(response); });
+    if (!lists_stalled_) return respond(response);
+    stalled_lists_.push_back([respond, response] { respond(response); });
   }
 
   /// Responds with the changes after `since`. Returns false without a response if there are none,
@@ -258,8 +258,8 @@
   std::uint64_t revision_lag_ = 0;
   std::size_t late_executions_ = 0;
   bool outage_ = false;
-  bool lists_on_hold_ = false;
-  std::vector<std::function<void()>> held_lists_;
+  bool lists_stalled_ = false;
+  std::vector<std::function<void()>> stalled_lists_;
   std::deque<Endpoint> endpoints_;
 };
 
--- a/tests/support/leader_with_agents.hpp
+++ b/tests/support/leader_with_agents.hpp
@@ -101,8 +101,8 @@
       if (command.type == CommandType::acknowledge) agent.ended.erase(command.task);
     }
   }
-  /// How long a task of the job runs. Without bound for a service, and for a job that the
-  /// controller no longer has, since a delayed start of that job may still arrive at an agent.
+  /// Run time of a task of the job. Unlimited for a service, and for a job that the controller no
+  /// longer has: a delayed start of such a job may still arrive at an agent.
   Seconds run_time_of(const JobId& id) const {
     const auto found = controller_->jobs().find(id);
     if (found == controller_->jobs().end()) return kUnboundedRunTime;
