--- a/bench/history_bench.cpp
+++ b/bench/history_bench.cpp
@@ -283,7 +283,7 @@
         history::Reader(files, {}).recover(replay, [](const history::CorruptionError&) {});
     std::printf(
         "recovery %s: %8llu records, %8.1f MB on disk, %6.3f s, %6.1f MB more memory, %llu jobs\n",
-        with_snapshots ? "with snapshots   " : "without snapshots",
+        with_snapshots ? "with saves   " : "without saves",
         static_cast<unsigned long long>(contents.record_count()), static_cast<double>(bytes) / 1e6,
         cpu_seconds() - started_at, resident_mb() - resident_mb_before,
         static_cast<unsigned long long>(jobs));
@@ -355,14 +355,11 @@
     std::filesystem::remove_all(path);
   }
   const double parse_s = measure_heartbeat_parsing(tasks);
-  std::printf("parsing a heartbeat of %u tasks: %.2f us\n", tasks, parse_s * 1e6);
+  std::printf("reading a report of %u tasks off the wire: %.2f us\n", tasks, parse_s * 1e6);
   std::printf(
       "overhead at %d machines, %zu tasks on them, %s: %llu records, %llu jobs; off %.2f us, on "
-      "%.2f "
-      "us "
-      "per record (+%.1f%%), of which writing %.2f us, snapshots %.2f us; %llu snapshots, longest "
-      "slice %.1f "
-      "ms; %.1f MB on disk\n",
+      "%.2f us a record (+%.1f%%), of which writing %.2f us, saves %.2f us; %llu saves, longest "
+      "slice %.1f ms; %.1f MB on disk\n",
       machines, tasks_on_machines, key ? "signed" : "unsigned",
       static_cast<unsigned long long>(records), static_cast<unsigned long long>(jobs),
       cpu_s[0] / static_cast<double>(records) * 1e6, cpu_s[1] / static_cast<double>(records) * 1e6,
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -106,7 +106,7 @@
   const auto* zones = table.get("zones");
   if (zones == nullptr || !zones->is_array()) fail("settings.zones", "must be a list of zones");
   for (const auto& zone : *zones->as_array()) {
-    if (!zone.is_string()) fail("settings.zones", "must be a list of strings");
+    if (!zone.is_string()) fail("settings.zones", "must hold strings");
     settings.zones.push_back(*zone.value<std::string>());
   }
   if (settings.zones.empty()) fail("settings.zones", "must not be empty");
--- a/src/config/yaml_fields.hpp
+++ b/src/config/yaml_fields.hpp
@@ -52,7 +52,7 @@
 
 inline std::string text(const YAML::Node& node, const std::string& name) {
   if (!node.IsScalar() || node.Scalar().empty())
-    throw SettingsError(name + ": must be a non-empty string" + line_of(node));
+    throw SettingsError(name + ": must be a text that is not empty" + line_of(node));
   return node.Scalar();
 }
 
--- a/tests/diagnostics/placement_explanation_test.cpp
+++ b/tests/diagnostics/placement_explanation_test.cpp
@@ -127,7 +127,7 @@
   run_rounds();
   const auto held = explain("failed");
   EXPECT_EQ(codes(held), Codes{"delayed_start"});
-  EXPECT_EQ(held.waiting, 0U) << "no other machine may take the task yet";
+  EXPECT_EQ(held.waiting, 0U) << "no other machine may take it yet";
   open("next", 9, {4, 0, 1});
   run_rounds();
   EXPECT_EQ(explain("next").set_aside.at("returned"), 1U);
--- a/tests/solver/exhaustive_search.hpp
+++ b/tests/solver/exhaustive_search.hpp
@@ -37,8 +37,8 @@
       for (std::size_t r = 0; r < 3; ++r) load[m][r] += tasks * job.per_task.amounts[r];
     }
     if (placed > job.tasks) return "number of tasks";
-    if (job.shape == Shape::gang && placed > 0 && placed < job.tasks) return "gang placed in part";
-    if (job.same_zone && zones.size() > 1) return "same_zone";
+    if (job.shape == Shape::gang && placed > 0 && placed < job.tasks) return "half a gang";
+    if (job.same_zone && zones.size() > 1) return "two zones";
     for (const auto& zone : zones)
       if (job.spread && zone.second > (job.tasks + 1) / 2) return "spread";
     for (std::size_t r = 0; r < 2; ++r) used[job.team][r] += placed * job.per_task.amounts[r];
