--- a/tests/simulation/correlated_faults.cpp
+++ b/tests/simulation/correlated_faults.cpp
@@ -14,7 +14,7 @@
 constexpr double kZonePartitionChance = 0.001;
 constexpr double kMassCancellationChance = 0.001;
 constexpr double kFailoverChainChance = 0.0006;
-constexpr double kControllerAbsenceChance = 0.0006;
+constexpr double kLeaderlessPeriodChance = 0.0006;
 
 constexpr double kAllMachinesChance = 0.5;
 constexpr double kCancelledJobChance = 0.5;
@@ -38,8 +38,8 @@
   if (environment_.optional_fault_chance(kZonePartitionChance)) partition_zone();
   if (environment_.optional_fault_chance(kMassCancellationChance)) cancel_many();
   if (environment_.optional_fault_chance(kFailoverChainChance)) begin_failover_chain();
-  if (leaders_.has_single_leader() && environment_.optional_fault_chance(kControllerAbsenceChance))
-    begin_controller_absence();
+  if (leaders_.has_single_leader() && environment_.optional_fault_chance(kLeaderlessPeriodChance))
+    begin_leaderless_period();
 }
 
 std::string CorrelatedFaults::draw_zone() {
@@ -113,8 +113,8 @@
   }
 }
 
-void CorrelatedFaults::begin_controller_absence() {
-  ++counts_.controller_absences;
+void CorrelatedFaults::begin_leaderless_period() {
+  ++counts_.leaderless_periods;
   leaders_.end_leader();
   leaders_.schedule_election(Seconds(environment_.optional_fault_uniform(1, 2) * lease()));
 }
--- a/tests/simulation/correlated_faults.hpp
+++ b/tests/simulation/correlated_faults.hpp
@@ -13,7 +13,7 @@
 struct CorrelatedFaultCounts {
   std::size_t outbound_partitions = 0;
   std::size_t zone_partitions = 0;
-  std::size_t controller_absences = 0;
+  std::size_t leaderless_periods = 0;
   std::size_t failover_chains = 0;
   std::size_t mass_cancellations = 0;
 };
@@ -38,7 +38,7 @@
   std::vector<JobId> draw_jobs_to_cancel();
   void hang_machines_of(const std::vector<JobId>& jobs, Seconds length);
   void begin_failover_chain();
-  void begin_controller_absence();
+  void begin_leaderless_period();
 
   Environment& environment_;
   const Store& store_;
--- a/tests/simulation/world_test.cpp
+++ b/tests/simulation/world_test.cpp
@@ -158,8 +158,8 @@
   print_longest_cancellation(world);
   std::cout << "; waiting beside free capacity " << world.liveness().longest_wait().count()
             << " s; " << counts.outbound_partitions << " outbound partitions, "
-            << counts.zone_partitions << " zone partitions, " << counts.controller_absences
-            << " absences of all controllers, " << counts.failover_chains << " failover chains, "
+            << counts.zone_partitions << " zone partitions, " << counts.leaderless_periods
+            << " periods without a leader, " << counts.failover_chains << " failover chains, "
             << counts.mass_cancellations << " mass cancellations\n";
   print_digest(world, seed());
 }
