--- a/src/diagnostics/cost_breakdown.cpp
+++ b/src/diagnostics/cost_breakdown.cpp
@@ -27,21 +27,21 @@
 
 Shares shares_of(const core::Machine& machine) {
   Shares out{};
-  const auto whole_machine = [&](Use use) {
+  const auto single_use = [&](Use use) {
     out[static_cast<std::size_t>(use)] = 1;
     return out;
   };
-  if (!machine.up()) return whole_machine(Use::booting);
+  if (!machine.up()) return single_use(Use::booting);
   if (machine.tasks.empty())
-    return whole_machine(machine.reserved_for.empty() ? Use::empty : Use::reserved);
+    return single_use(machine.reserved_for.empty() ? Use::empty : Use::reserved);
   double sum = 0;
   for (const auto& [key, assignment] : machine.tasks) {
     const auto share = share_of(assignment.resources, machine.capacity);
     out[static_cast<std::size_t>(use_of(assignment))] += share;
     sum += share;
   }
-  // The largest share of each task may be that of another resource, so the sum of these shares may
-  // exceed the used share of the machine and is scaled to it.
+  // Tasks may have their largest shares in different resources, so the sum of these shares may
+  // exceed the used share of the machine. It is scaled to the used share.
   const auto used = std::min(1.0, share_of(machine.used, machine.capacity));
   if (sum > 0)
     for (auto& share : out) share *= used / sum;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -73,8 +73,8 @@
       server_(io, net::parse_endpoint(settings_.public_address), server_limits(settings_),
               request_handler(), RequestRouter::client_kind) {
   recorder_ = make_recorder();
-  if (!operator_settings.why_address.empty())
-    operator_api_ = make_operator_api(net::parse_endpoint(operator_settings.why_address));
+  if (!operator_settings.diagnostics_address.empty())
+    operator_api_ = make_operator_api(net::parse_endpoint(operator_settings.diagnostics_address));
   update_connection_limits();
   job_replica_.start();
   election_.start();
