--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -212,18 +212,19 @@
   try_cancel(id, kCancelRetries, respond);
 }
 
-void UserApi::look_up_and_cancel(const core::JobId& id, int tries_left,
+void UserApi::look_up_and_cancel(const core::JobId& id, int remaining_tries,
                                  const net::Responder& respond) {
-  look_up(id, [this, id, tries_left, respond](Lookup found) {
+  look_up(id, [this, id, remaining_tries, respond](Lookup found) {
     if (found != Lookup::open) return answer(id, found, respond);
-    if (tries_left == 0) return respond(store_unavailable());
-    try_cancel(id, tries_left - 1, respond);
+    if (remaining_tries == 0) return respond(store_unavailable());
+    try_cancel(id, remaining_tries - 1, respond);
   });
 }
 
-void UserApi::try_cancel(const core::JobId& id, int tries_left, const net::Responder& respond) {
+void UserApi::try_cancel(const core::JobId& id, int remaining_tries,
+                         const net::Responder& respond) {
   const auto* record = job_replica_.find(id);
-  if (record == nullptr) return look_up_and_cancel(id, tries_left, respond);
+  if (record == nullptr) return look_up_and_cancel(id, remaining_tries, respond);
   // One transaction replaces the job record by the end record, so a job cannot be both done and
   // cancelled.
   const store::Transaction transaction{
@@ -232,12 +233,12 @@
        {store::kEndPrefix + id, Json{{"state", kEndedCancelled}}, std::nullopt}}};
   store_.commit(
       transaction, RequestPriority::safety,
-      lifetime_.guard([this, id, tries_left, respond](const store::TransactionResult& result) {
-        cancel_answered(id, tries_left, result, respond);
+      lifetime_.guard([this, id, remaining_tries, respond](const store::TransactionResult& result) {
+        cancel_answered(id, remaining_tries, result, respond);
       }));
 }
 
-void UserApi::cancel_answered(const core::JobId& id, int tries_left,
+void UserApi::cancel_answered(const core::JobId& id, int remaining_tries,
                               const store::TransactionResult& result,
                               const net::Responder& respond) {
   if (result.outcome == Outcome::ok) {
@@ -246,8 +247,9 @@
     spdlog::info("job {} cancelled", id);
     return answer(id, Lookup::cancelled, respond);
   }
-  if (result.outcome != Outcome::conflict || tries_left == 0) return respond(store_unavailable());
-  look_up_and_cancel(id, tries_left, respond);
+  if (result.outcome != Outcome::conflict || remaining_tries == 0)
+    return respond(store_unavailable());
+  look_up_and_cancel(id, remaining_tries, respond);
 }
 
 }  // namespace violetpulley::api
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -66,11 +66,12 @@
   void refuse_unless_known(const core::JobId& id, const Refusal& refusal,
                            const net::Responder& respond);
 
-  void try_cancel(const core::JobId& id, int tries_left, const net::Responder& respond);
-  void cancel_answered(const core::JobId& id, int tries_left,
+  void try_cancel(const core::JobId& id, int remaining_tries, const net::Responder& respond);
+  void cancel_answered(const core::JobId& id, int remaining_tries,
                        const store::TransactionResult& result, const net::Responder& respond);
   /// Responds if the job has ended, and tries again to cancel the job if it is open.
-  void look_up_and_cancel(const core::JobId& id, int tries_left, const net::Responder& respond);
+  void look_up_and_cancel(const core::JobId& id, int remaining_tries,
+                          const net::Responder& respond);
   /// Caches a final state, which never changes, and evicts the oldest one beyond the limit.
   void cache_final_state(const core::JobId& id, core::FinalState state);
 
--- a/src/commands/history.cpp
+++ b/src/commands/history.cpp
@@ -131,9 +131,9 @@
     reader.read_segment(segment.name, [&](const history::Record& record, std::uint64_t number) {
       if (!started_at) started_at = record.at;
       const auto time = core::Seconds(record.at - *started_at).count();
-      const auto subjects = history::subjects_of(record);
-      if (time < options.from_s || time > options.to_s || !matches(subjects.jobs, options.job) ||
-          !matches(subjects.machines, options.machine))
+      const auto mentioned = history::mentioned_entities_of(record);
+      if (time < options.from_s || time > options.to_s || !matches(mentioned.jobs, options.job) ||
+          !matches(mentioned.machines, options.machine))
         return true;
       if (options.json)
         std::cout << history::to_json(record, number).dump() << "\n";
--- a/src/commands/pack.cpp
+++ b/src/commands/pack.cpp
@@ -104,14 +104,14 @@
   }
 }
 
-std::string remedy_text(const solver::Remedy& remedy) {
-  switch (remedy.kind) {
-    case solver::Remedy::Kind::move:
-      return fmt::format("it fits if {} tasks move, one of {} away from {}", remedy.moves,
-                         remedy.job, remedy.machine);
-    case solver::Remedy::Kind::wait:
-      return fmt::format("it fits when all tasks up to bin {} have ended", remedy.bin);
-    case solver::Remedy::Kind::none:
+std::string suggested_plan_text(const solver::SuggestedPlan& suggested_plan) {
+  switch (suggested_plan.kind) {
+    case solver::SuggestedPlan::Kind::move:
+      return fmt::format("it fits if {} tasks move, one of {} away from {}", suggested_plan.moves,
+                         suggested_plan.job, suggested_plan.machine);
+    case solver::SuggestedPlan::Kind::wait:
+      return fmt::format("it fits when all tasks up to bin {} have ended", suggested_plan.bin);
+    case solver::SuggestedPlan::Kind::none:
       break;
   }
   return "";
@@ -127,7 +127,7 @@
                                         : "it waits:");
     for (const auto reason : explanation.reasons)
       fmt::print("    {}: {}\n", code_of(reason), sentence_of(reason, job));
-    if (const auto text = remedy_text(explanation.remedy); !text.empty())
+    if (const auto text = suggested_plan_text(explanation.suggested_plan); !text.empty())
       fmt::print("    {}\n", text);
   }
 }
@@ -178,7 +178,7 @@
                         {"impossible", explanation.impossible},
                         {"no_machines", explanation.no_machines},
                         {"reasons", reasons},
-                        {"remedy", remedy_text(explanation.remedy)}});
+                        {"remedy", suggested_plan_text(explanation.suggested_plan)}});
   }
   return out;
 }
--- a/src/core/dispatch/socket_budget.hpp
+++ b/src/core/dispatch/socket_budget.hpp
@@ -57,9 +57,9 @@
   // A tenth of all sockets stays unused where possible, so that a socket leak of this process is
   // noticed before it causes failures.
   const auto remainder = divisible - shares.heartbeats;
-  const auto spare = std::min(all / 10, remainder - 2 * min_share);
-  shares.commands = std::max(min_share, (remainder - spare) / 2);
-  shares.users = std::max(min_share, remainder - spare - shares.commands);
+  const auto unassigned = std::min(all / 10, remainder - 2 * min_share);
+  shares.commands = std::max(min_share, (remainder - unassigned) / 2);
+  shares.users = std::max(min_share, remainder - unassigned - shares.commands);
   return shares;
 }
 
--- a/src/core/failover/reconciler.cpp
+++ b/src/core/failover/reconciler.cpp
@@ -128,19 +128,21 @@
   if (!recovery_.recovering() || now - elected_at_ < kMinResponseWait) return;
   std::map<std::string, SilenceCount> zones;
   SilenceCount fleet;
-  Seconds cost_of_returning{0};
+  Seconds cost_of_declaring_all_dead{0};
   for (const auto& [id, machine] : fleet_.all()) {
     if (!machine.up()) continue;
     const bool is_silent = silent(machine);
     fleet.add(is_silent);
     zones[machine.zone].add(is_silent);
-    if (is_silent && !machine.releasing) cost_of_returning += cost_of_declaring_dead(machine);
+    if (is_silent && !machine.releasing)
+      cost_of_declaring_all_dead += cost_of_declaring_dead(machine);
   }
   const auto max_share = settings_.tuning.max_declared_dead_share;
   responsive_zones_.clear();
   for (const auto& [zone, count] : zones)
     if (count.is_within(max_share)) responsive_zones_.insert(zone);
-  wait_budget_exhausted_ = fleet.is_within(max_share) && cost_.total() >= cost_of_returning;
+  wait_budget_exhausted_ =
+      fleet.is_within(max_share) && cost_.total() >= cost_of_declaring_all_dead;
 }
 
 std::vector<const Machine*> Reconciler::machines_with_free_cpus(TimePoint now) const {
--- a/src/core/scheduling/candidate_queue.cpp
+++ b/src/core/scheduling/candidate_queue.cpp
@@ -74,13 +74,13 @@
 
 std::vector<Candidate> CandidateQueue::build(TimePoint now) const {
   std::vector<Candidate> queue;
-  auto prioritized_starts_left = starvation_guard_.prioritized_starts_allowed();
+  auto remaining_prioritized_starts = starvation_guard_.prioritized_starts_allowed();
   std::map<std::string, Resources> demand_by_team;
   for (auto* job : startable_jobs_by_age(now)) {
     const auto& team = job->spec().team;
     auto& demand = demand_by_team.try_emplace(team, fleet_.team_use(team)).first->second;
-    queue.push_back(make_candidate(*job, demand, prioritized_starts_left > 0, now));
-    if (queue.back().starving) --prioritized_starts_left;
+    queue.push_back(make_candidate(*job, demand, remaining_prioritized_starts > 0, now));
+    if (queue.back().starving) --remaining_prioritized_starts;
   }
   std::stable_sort(queue.begin(), queue.end(), scheduled_before);
   return queue;
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -96,7 +96,7 @@
   gang_scheduler_.new_round();
   place_queue(packer, queue, schedulable, now);
   starvation_guard_.reserve_machine(queue, now);
-  if (starts_left_ > 0) uncordon_draining(queue, now);
+  if (remaining_starts_ > 0) uncordon_draining(queue, now);
   preemption_.preempt_for_services(queue, now);
   out_.count_inspections(fleet_.all().size() + packer.inspections());
   reconciler_.accrue_waiting_cost(now);
@@ -173,7 +173,7 @@
 // second one uses all machines.
 void Scheduler::place_queue(BinPacker& packer, const Queue& queue,
                             const std::vector<Machine*>& schedulable, TimePoint now) {
-  starts_left_ = std::max(kMinStarts, kStartsPerCommandBatch * commands_.window().size());
+  remaining_starts_ = std::max(kMinStarts, kStartsPerCommandBatch * commands_.window().size());
   for (const auto pass : {ImagePass::holders_only, ImagePass::all_machines})
     for (const auto& candidate : queue) {
       if (starvation_guard_.blocked_by_quota_reservation(candidate)) continue;
@@ -194,7 +194,7 @@
 
 bool Scheduler::may_place(const Candidate& candidate) const {
   const auto& job = *candidate.job;
-  if (job.gang() || job.waiting.empty() || starts_left_ == 0) return false;
+  if (job.gang() || job.waiting.empty() || remaining_starts_ == 0) return false;
   if (!task_starter_.within_limit(job.spec())) return false;
   // Only the first task of a starving job is prioritized; its other tasks take their usual
   // position.
@@ -279,8 +279,8 @@
       return false;
     choices.task_placed(*machine);
     starvation_guard_.update_prioritized_starts(candidate);
-    --starts_left_;
-    if (starts_left_ == 0 || rules.one_task_only) return false;
+    --remaining_starts_;
+    if (remaining_starts_ == 0 || rules.one_task_only) return false;
     if (rules.zone_constrained) return true;
   }
   return false;
@@ -321,7 +321,7 @@
 // before the fleet is known: right after all controllers have restarted, machines that have not
 // sent a heartbeat yet would seem to be missing.
 void Scheduler::scale_out(const Queue& queue, TimePoint now) {
-  if (starts_left_ == 0)
+  if (remaining_starts_ == 0)
     out_.request_scheduling_round();
   else if (reconciler_.fleet_known(now))
     scale_out_.round(queue, now);
--- a/src/core/scheduling/scheduler.hpp
+++ b/src/core/scheduling/scheduler.hpp
@@ -122,7 +122,7 @@
   CandidateQueue candidate_queue_;
   TimePoint last_round_{};
   /// Number of starts that remain in the current round.
-  std::size_t starts_left_ = 0;
+  std::size_t remaining_starts_ = 0;
 };
 
 }  // namespace violetpulley::core
--- a/src/core/scheduling/starvation_guard.cpp
+++ b/src/core/scheduling/starvation_guard.cpp
@@ -23,11 +23,13 @@
 
 /// The time until an assignment is expected to end and free its resources.
 struct ExpectedEnd {
-  Seconds time_left;
+  Seconds remaining_time;
   const Assignment* assignment;
 };
 
-bool ends_before(const ExpectedEnd& a, const ExpectedEnd& b) { return a.time_left < b.time_left; }
+bool ends_before(const ExpectedEnd& a, const ExpectedEnd& b) {
+  return a.remaining_time < b.remaining_time;
+}
 
 /// Whether the assignment has no expected end: a replica that is not being stopped.
 bool runs_indefinitely(const Assignment& assignment) {
@@ -37,9 +39,9 @@
 std::vector<ExpectedEnd> expected_ends(const Machine& machine, TimePoint now) {
   std::vector<ExpectedEnd> ends;
   for (const auto& [key, assignment] : machine.tasks) {
-    const auto left =
+    const auto remaining_time =
         runs_indefinitely(assignment) ? kUnboundedRunTime : remaining_of(assignment, now);
-    ends.push_back({left, &assignment});
+    ends.push_back({remaining_time, &assignment});
   }
   std::sort(ends.begin(), ends.end(), ends_before);
   return ends;
@@ -164,13 +166,13 @@
 Machine* StarvationGuard::soonest_free_machine(const Job& job, TimePoint now) {
   const auto zones = task_starter_.zone_use(job);
   Machine* soonest = nullptr;
-  Seconds min_left = kUnboundedRunTime;
+  Seconds min_wait = kUnboundedRunTime;
   for (auto& [id, machine] : fleet_.all()) {
     if (!may_reserve(machine, job, zones, now)) continue;
-    const auto left = time_until_capacity(machine, job.spec(), now);
-    if (left >= min_left) continue;
+    const auto wait = time_until_capacity(machine, job.spec(), now);
+    if (wait >= min_wait) continue;
     soonest = &machine;
-    min_left = left;
+    min_wait = wait;
   }
   return soonest;
 }
@@ -181,7 +183,7 @@
   if (spec.per_task.fits_in(free)) return Seconds(0);
   for (const auto& end : expected_ends(machine, now)) {
     free += end.assignment->resources;
-    if (spec.per_task.fits_in(free)) return end.time_left;
+    if (spec.per_task.fits_in(free)) return end.remaining_time;
   }
   return kUnboundedRunTime;
 }
--- a/src/history/describe.cpp
+++ b/src/history/describe.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-void add_heartbeat(Subjects& out, const core::Heartbeat& heartbeat) {
+void add_heartbeat(MentionedEntities& out, const core::Heartbeat& heartbeat) {
   out.machines.push_back(heartbeat.machine);
   for (const auto& task : heartbeat.tasks) out.jobs.push_back(task.task.job);
 }
@@ -71,8 +71,8 @@
 
 }  // namespace
 
-Subjects subjects_of(const Record& record) {
-  Subjects out;
+MentionedEntities mentioned_entities_of(const Record& record) {
+  MentionedEntities out;
   const auto* event = std::get_if<core::Event>(&record.content);
   if (event == nullptr) return out;
   const auto visit = [&]<typename T>(const T& e) {
@@ -120,14 +120,14 @@
 }
 
 nlohmann::json to_json(const Record& record, std::uint64_t number) {
-  const auto subjects = subjects_of(record);
+  const auto mentioned = mentioned_entities_of(record);
   return {{"record", number},
           {"token", record.token},
           {"at_s", core::Seconds(record.at.time_since_epoch()).count()},
           {"kind", kind_of(record)},
           {"text", describe(record)},
-          {"jobs", subjects.jobs},
-          {"machines", subjects.machines}};
+          {"jobs", mentioned.jobs},
+          {"machines", mentioned.machines}};
 }
 
 }  // namespace violetpulley::history
--- a/src/history/describe.hpp
+++ b/src/history/describe.hpp
@@ -10,12 +10,12 @@
 namespace violetpulley::history {
 
 /// The jobs and machines that a record concerns.
-struct Subjects {
+struct MentionedEntities {
   std::vector<core::JobId> jobs;
   std::vector<core::MachineId> machines;
 };
 /// The jobs and machines named in the record's event; empty for recorded actions.
-Subjects subjects_of(const Record& record);
+MentionedEntities mentioned_entities_of(const Record& record);
 
 /// The name of the record's event; "acted" for recorded actions.
 std::string kind_of(const Record& record);
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -246,7 +246,7 @@
 // have sent such a status, no former leader is left (docs/safety.md, "Older leaders that are known
 // to be gone"). A peer of an older program version names no key; then the leader waits until the
 // leases of former leaders have expired.
-void Leader::note_follower(const std::string& member, core::FencingToken followed_token) {
+void Leader::handle_follower_status(const std::string& member, core::FencingToken followed_token) {
   if (followed_token != token_ || !controller_ || !controller_->recovering()) return;
   const auto& peers = services_.settings.peers;
   const auto known = std::any_of(peers.begin(), peers.end(),
@@ -258,7 +258,7 @@
   feed(core::FormerLeadersGone{});
 }
 
-void Leader::note_peer_receives_heartbeats(core::TimePoint now) {
+void Leader::handle_peer_receives_heartbeats(core::TimePoint now) {
   if (controller_ && controller_->possibly_isolated(now)) feed(core::PeerReceivesHeartbeats{}, now);
 }
 
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -51,9 +51,9 @@
   void handle_heartbeat(const net::Request& request, const net::Responder& respond);
   /// A peer has reported that it does not lead. `followed_token`: fencing token of the newest
   /// leader key that the peer has seen.
-  void note_follower(const std::string& member, core::FencingToken followed_token);
+  void handle_follower_status(const std::string& member, core::FencingToken followed_token);
   /// A peer has reported that agents send heartbeats to it.
-  void note_peer_receives_heartbeats(core::TimePoint now);
+  void handle_peer_receives_heartbeats(core::TimePoint now);
   /// The job replica has received a new job.
   void job_opened(const core::JobRecord& record);
   /// The job replica has removed a job that has ended.
--- a/src/node/health.cpp
+++ b/src/node/health.cpp
@@ -10,8 +10,8 @@
 
 }  // namespace
 
-void HealthMonitor::note_peer_status(const std::string& member, core::TimePoint now,
-                                     std::chrono::milliseconds store_silence) {
+void HealthMonitor::record_peer_status(const std::string& member, core::TimePoint now,
+                                       std::chrono::milliseconds store_silence) {
   peers_[member] = {now, now - store_silence};
 }
 
--- a/src/node/health.hpp
+++ b/src/node/health.hpp
@@ -19,11 +19,11 @@
       : has_peers_(has_peers), store_answered_(now) {}
 
   /// The state service has answered this node.
-  void note_store_answer(core::TimePoint now) { store_answered_ = now; }
+  void record_store_answer(core::TimePoint now) { store_answered_ = now; }
   /// A peer has sent its status. `store_silence`: time since the state service last answered the
   /// peer.
-  void note_peer_status(const std::string& member, core::TimePoint now,
-                        std::chrono::milliseconds store_silence);
+  void record_peer_status(const std::string& member, core::TimePoint now,
+                          std::chrono::milliseconds store_silence);
   /// When the state service last answered this node.
   core::TimePoint store_answered() const { return store_answered_; }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -206,7 +206,7 @@
   store_.get(store::kCatalogKey, RequestPriority::background,
              lifetime_.guard([this](const store::GetResult& result) {
                if (result.outcome == Outcome::ok || result.outcome == Outcome::not_found)
-                 health_.note_store_answer(Clock::now());
+                 health_.record_store_answer(Clock::now());
              }));
 }
 
@@ -248,10 +248,11 @@
 void Node::handle_peer_status(const peers::Status& status) {
   const auto now = Clock::now();
   const milliseconds store_silence(std::min<std::uint64_t>(status.store_silence_ms, kMaxSilenceMs));
-  health_.note_peer_status(status.member, now, store_silence);
-  if (leader_ && status.token == 0) leader_->note_follower(status.member, status.followed_token);
+  health_.record_peer_status(status.member, now, store_silence);
+  if (leader_ && status.token == 0)
+    leader_->handle_follower_status(status.member, status.followed_token);
   if (leader_ && status.agents_silence_ms < kRecentHeartbeatMs)
-    leader_->note_peer_receives_heartbeats(now);
+    leader_->handle_peer_receives_heartbeats(now);
   for (const auto& count : status.counts)
     if (job_replica_.find(count.id) != nullptr)
       reported_counts_[count.id] = {count.done, count.running};
--- a/src/solver/fast.cpp
+++ b/src/solver/fast.cpp
@@ -60,7 +60,7 @@
     auto order = by_priority_and_size(problem_);
     for (std::uint32_t i = 0; i < options_.job_orders; ++i) {
       for (const bool keep_movable : {true, false}) {
-        TaskPlacer placer(problem_, current_placement(problem_, keep_movable), steps_left());
+        TaskPlacer placer(problem_, current_placement(problem_, keep_movable), remaining_steps());
         place_all(placer, order);
         keep_if_better(placer);
         if (std::all_of(problem_.jobs.begin(), problem_.jobs.end(),
@@ -69,8 +69,8 @@
       }
       shuffle_within_priority(order, problem_, random_);
     }
-    for (std::uint32_t i = 0; i < options_.rounds && !problem_.machines.empty() && steps_left() > 0;
-         ++i)
+    for (std::uint32_t i = 0;
+         i < options_.rounds && !problem_.machines.empty() && remaining_steps() > 0; ++i)
       search_neighbourhood(order);
     return std::move(best_);
   }
@@ -84,7 +84,7 @@
       }
   }
 
-  std::uint64_t steps_left() const {
+  std::uint64_t remaining_steps() const {
     return options_.max_steps > best_.steps ? options_.max_steps - best_.steps : 0;
   }
 
@@ -108,7 +108,7 @@
   }
 
   void search_neighbourhood(JobOrder order) {
-    TaskPlacer placer(problem_, best_.placement, steps_left());
+    TaskPlacer placer(problem_, best_.placement, remaining_steps());
     const auto machines = 1 + random_() % 3;
     std::vector<bool> evicted(problem_.jobs.size());
     for (std::uint64_t i = 0; i < machines; ++i) {
--- a/src/solver/reasons.cpp
+++ b/src/solver/reasons.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMaxRemedySteps = 200'000;  // bounds the response time
+constexpr std::uint64_t kMaxPlanSearchSteps = 200'000;  // bounds the response time
 
 std::uint32_t fill_zone(PlacementState& state, std::size_t j,
                         const std::optional<std::string>& zone, const Relaxation& relaxed) {
@@ -35,11 +35,11 @@
   return out;
 }
 
-Remedy remedy_of(const Problem& problem, const Placement& placement, std::size_t j) {
-  Remedy out;
-  TaskPlacer placer(problem, placement, kMaxRemedySteps);
+SuggestedPlan suggest_plan(const Problem& problem, const Placement& placement, std::size_t j) {
+  SuggestedPlan out;
+  TaskPlacer placer(problem, placement, kMaxPlanSearchSteps);
   if (placer.make_room(j, kMaxEjectionChain)) {
-    out.kind = Remedy::Kind::move;
+    out.kind = SuggestedPlan::Kind::move;
     for (std::size_t other = 0; other < problem.jobs.size(); ++other)
       for (std::size_t m = 0; m < problem.machines.size(); ++m) {
         const auto now = placer.state().tasks_on(other, m);
@@ -59,7 +59,7 @@
           problem.jobs[other].shape != Shape::service)
         after_bin[other].assign(problem.machines.size(), 0);
     if (!fits(PlacementState(problem, after_bin), j)) continue;
-    out.kind = Remedy::Kind::wait;
+    out.kind = SuggestedPlan::Kind::wait;
     out.bin = bin;
     return out;
   }
@@ -176,7 +176,7 @@
     return fits(placed_state, j, relaxation_of(set));
   });
   if (sufficient != kSets.end()) out.reasons = *sufficient;
-  if (!out.impossible) out.remedy = remedy_of(problem, placement, j);
+  if (!out.impossible) out.suggested_plan = suggest_plan(problem, placement, j);
   return out;
 }
 
--- a/src/solver/reasons.hpp
+++ b/src/solver/reasons.hpp
@@ -17,7 +17,7 @@
 std::string sentence_of(Reason reason, const Job& job);
 Relaxation relaxation_of(const std::vector<Reason>& reasons);
 
-struct Remedy {
+struct SuggestedPlan {
   enum class Kind { none, wait, move };
   Kind kind = Kind::none;
   int bin = 0;            ///< wait: until all tasks up to this run-time bin have ended
@@ -31,7 +31,7 @@
   bool impossible = false;    ///< the job does not fit even on empty machines
   bool no_machines = false;   ///< the problem has no machines; then `reasons` is empty
   std::vector<Reason> reasons;
-  Remedy remedy;
+  SuggestedPlan suggested_plan;
 };
 
 /// Whether one more task of the job, or the whole gang, fits beside the placed tasks.
--- a/src/store/request_pacer.cpp
+++ b/src/store/request_pacer.cpp
@@ -66,7 +66,7 @@
                                             std::optional<net::Response> response) {
                           // A watch may stay open throughout an outage, so a missing response does
                           // not show that the state service is silent.
-                          if (response) note_response(response, now);
+                          if (response) handle_response(response, now);
                           done(std::move(response));
                         }));
 }
@@ -106,7 +106,7 @@
   client_.request(std::move(request), timeout,
                   lifetime_.guard([this, queue_id, sent = Clock::now(), queued = std::move(queued)](
                                       std::optional<net::Response> response) mutable {
-                    note_response(response, sent);
+                    handle_response(response, sent);
                     if (response && response->status == net::kStatusTooManyRequests &&
                         Clock::now() < queued.retry_until) {
                       queues_[queue_id].push_front(std::move(queued));
@@ -117,8 +117,8 @@
                   }));
 }
 
-void RequestPacer::note_response(const std::optional<net::Response>& response,
-                                 core::TimePoint sent) {
+void RequestPacer::handle_response(const std::optional<net::Response>& response,
+                                   core::TimePoint sent) {
   if (response)
     unanswered_since_.reset();
   else if (!unanswered_since_)
--- a/src/store/request_pacer.hpp
+++ b/src/store/request_pacer.hpp
@@ -71,7 +71,7 @@
   void send_queued();
   core::Duration send_queued_in(QueueId queue_id);
   void send_now(QueuedRequest queued, QueueId queue_id);
-  void note_response(const std::optional<net::Response>& response, core::TimePoint sent);
+  void handle_response(const std::optional<net::Response>& response, core::TimePoint sent);
   void back_off();
 
   asio::io_context& io_;
--- a/tests/core/machines/ended_attempts_test.cpp
+++ b/tests/core/machines/ended_attempts_test.cpp
@@ -49,7 +49,7 @@
           return !entry.second.returned && entry.second.tasks.contains(task);
         }));
   }
-  JobRecord narrow_job(const JobId& id, TaskIndex tasks) const {
+  JobRecord job_of_limited_team(const JobId& id, TaskIndex tasks) const {
     auto record = job_record(id, tasks);
     record.spec.team = "narrow";  // its limit is 8 CPUs, and each task takes 4
     return record;
@@ -59,12 +59,12 @@
 TEST_F(EndedAttemptsTest, ADoneTaskThatMayBeStartedAgainCountsAgainstItsTeamsLimit) {
   elect_leader(3, 0);
   run_for(Seconds(2));
-  start_without_responses(narrow_job("req-1", 2));
+  start_without_responses(job_of_limited_team("req-1", 2));
   ASSERT_EQ(running_tasks(), 2U);
   auto& agent = machine_of({"req-1", 0})->second;
   const auto delayed = end_task(agent, {"req-1", 0});
   run_for(Seconds(4));
-  controller_->job_opened(narrow_job("req-2", 2), now_);
+  controller_->job_opened(job_of_limited_team("req-2", 2), now_);
   run_for(Seconds(4));
   restart_agent_and_deliver(agent, {delayed});
   EXPECT_LE(running_tasks(), 2U) << "quota: 8 CPUs at most, and each task takes 4";
@@ -73,14 +73,14 @@
 TEST_F(EndedAttemptsTest, ATeamAtItsLimitStartsNewTasksOnceMachinesWithEndedAttemptsAreReturned) {
   elect_leader(3, 0);
   run_for(Seconds(2));
-  start_without_responses(narrow_job("req-1", 2));
+  start_without_responses(job_of_limited_team("req-1", 2));
   ASSERT_EQ(running_tasks(), 2U);
   for (const TaskIndex index : {0U, 1U})
     end_task(machine_of({"req-1", index})->second, {"req-1", index});
   run_for(Seconds(4));
   ASSERT_TRUE(finished_jobs_.contains("req-1"));
   EXPECT_TRUE(returned_machines_.empty()) << scale_in_causes_;
-  controller_->job_opened(narrow_job("req-2", 2), now_);
+  controller_->job_opened(job_of_limited_team("req-2", 2), now_);
   run_for(Seconds(40));
   EXPECT_EQ(running_tasks(), 2U) << "no task may wait for 90 s while there is free capacity";
 }
--- a/tests/core/scheduling/starvation_guard_test.cpp
+++ b/tests/core/scheduling/starvation_guard_test.cpp
@@ -129,7 +129,7 @@
 // Capacity is withheld for other jobs only for a limited time: unless there are failures, no task
 // waits for 90 s while a suitable machine has free capacity and its team's quota suffices
 // (docs/design.md, "Held back").
-class HoldBackLimit : public LeaderWithAgents {
+class WithheldCapacityLimit : public LeaderWithAgents {
  protected:
   JobRecord job_with_cpus(const JobId& id, TaskIndex tasks, double cpus,
                           Seconds estimate = Seconds(300)) {
@@ -142,7 +142,7 @@
 
 // Guards against starving jobs that reserve their team's quota one after the other for longer than
 // the limit of a reservation.
-TEST_F(HoldBackLimit, QuotaReservationForAStarvingJobExpires) {
+TEST_F(WithheldCapacityLimit, QuotaReservationForAStarvingJobExpires) {
   elect_leader(4, 0);
   run_for(Seconds(2));
   const auto open = [this](const JobId& id, double cpus) {
@@ -161,7 +161,7 @@
   EXPECT_TRUE(first_start_times_.contains("req-3"));
 }
 
-TEST_F(HoldBackLimit, StalledGangReservationIsReleasedForOtherJobs) {
+TEST_F(WithheldCapacityLimit, StalledGangReservationIsReleasedForOtherJobs) {
   elect_leader(2, 0);
   run_for(Seconds(2));
   auto gang = job_with_cpus("req-1", 3, 16);
@@ -176,7 +176,7 @@
 
 // Guards against a reservation without a time limit: the tasks on the reserved machine may run for
 // long.
-TEST_F(HoldBackLimit, MachineReservationForAStarvingJobExpires) {
+TEST_F(WithheldCapacityLimit, MachineReservationForAStarvingJobExpires) {
   elect_leader(1, 0);
   run_for(Seconds(2));
   controller_->job_opened(job_with_cpus("req-1", 1, 8), now_);
@@ -192,7 +192,7 @@
 
 // Guards against free capacity that stays unused for minutes on a draining machine: its only task
 // has been restarted before, so it may not be moved and runs on.
-TEST_F(HoldBackLimit, DrainingMachineIsUncordonedForAJobThatHasWaited) {
+TEST_F(WithheldCapacityLimit, DrainingMachineIsUncordonedForAJobThatHasWaited) {
   recovered_progress_ = {{"req-0", 0, {}, {{0, 0}}}};
   elect_leader(2, 1, 1);
   run_for(Seconds(2));
@@ -208,7 +208,7 @@
 
 // Guards against a job that avoids all suitable machines indefinitely because its tasks have failed
 // on each of them.
-TEST_F(HoldBackLimit, JobUsesMachinesAgainAfterItsFailuresExpire) {
+TEST_F(WithheldCapacityLimit, JobUsesMachinesAgainAfterItsFailuresExpire) {
   elect_leader(2, 0);
   for (int i = 0; i < 2; ++i) agents_[machine_id(i)].faulty = true;
   run_for(Seconds(2));
@@ -224,7 +224,7 @@
 
 // Guards against bound tasks that wait indefinitely: a machine whose registration was not committed
 // yet was drained as underused while a task was bound to it.
-TEST_F(HoldBackLimit, MachineWithBoundTasksIsNotDrained) {
+TEST_F(WithheldCapacityLimit, MachineWithBoundTasksIsNotDrained) {
   elect_leader(1, 0);
   run_for(Seconds(2));
   controller_->job_opened(job_with_cpus("req-1", 1, 16), now_);
--- a/tests/end_to_end/loopback_test.cpp
+++ b/tests/end_to_end/loopback_test.cpp
@@ -213,11 +213,11 @@
   EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", "{").status, 400);
   EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", "[]").status, 400);
   EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", R"({"id":"req-2"})").status, 400);
-  auto lacking = Json::parse(job("req-2", 1));
-  lacking.erase("stow_s");
-  EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", lacking.dump()).status, 400);
-  lacking["id"] = "req-1";
-  EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", lacking.dump()).status, 200)
+  auto submission_without_stow_s = Json::parse(job("req-2", 1));
+  submission_without_stow_s.erase("stow_s");
+  EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", submission_without_stow_s.dump()).status, 400);
+  submission_without_stow_s["id"] = "req-1";
+  EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", submission_without_stow_s.dump()).status, 200)
       << "known, whatever it holds";
   EXPECT_EQ(ask("n-0", "POST", "/v1/jobs", job("req-2", 1, 99)).status, 422);
   EXPECT_EQ(ask("n-0", "GET", "/v1/jobs/req-2").status, 404);
--- a/tests/solver/solver_test.cpp
+++ b/tests/solver/solver_test.cpp
@@ -357,8 +357,8 @@
     EXPECT_EQ(steps[1].job, 1U);
   }
   const auto why = explain(problem, current_placement(problem), 0);
-  EXPECT_EQ(why.remedy.kind, Remedy::Kind::move);
-  EXPECT_EQ(why.remedy.moves, 2U);
+  EXPECT_EQ(why.suggested_plan.kind, SuggestedPlan::Kind::move);
+  EXPECT_EQ(why.suggested_plan.moves, 2U);
 }
 
 TEST(Solver, ASwapOfTwoJobsStopsNoTaskTwice) {
