--- a/src/history/heartbeat_changes.cpp
+++ b/src/history/heartbeat_changes.cpp
@@ -54,27 +54,25 @@
   changes_.token = heartbeat.token;
   changes_.removed.clear();
   changes_.added.clear();
-  // Task lists usually keep their order, so one pass finds the unchanged entries. Entries in
-  // another order are encoded as removed and added, which only takes more bytes.
-  std::size_t old_index = 0;
+  // One pass: lists usually keep their order, and moved entries only take more bytes.
+  std::size_t prior = 0;
   for (std::size_t index = 0; index < fingerprints_.size(); ++index) {
-    if (old_index < previous.size() && previous[old_index] == fingerprints_[index]) {
-      ++old_index;
+    if (prior < previous.size() && previous[prior] == fingerprints_[index]) {
+      ++prior;
       continue;
     }
-    const auto match = std::find(previous.begin() + static_cast<std::ptrdiff_t>(old_index),
+    const auto match = std::find(previous.begin() + static_cast<std::ptrdiff_t>(prior),
                                  previous.end(), fingerprints_[index]);
     if (match == previous.end()) {
       changes_.added.emplace_back(static_cast<std::uint32_t>(index), heartbeat.tasks[index]);
       continue;
     }
     const auto found = static_cast<std::size_t>(match - previous.begin());
-    for (; old_index < found; ++old_index)
-      changes_.removed.push_back(static_cast<std::uint32_t>(old_index));
-    ++old_index;
+    for (; prior < found; ++prior) changes_.removed.push_back(static_cast<std::uint32_t>(prior));
+    ++prior;
   }
-  for (; old_index < previous.size(); ++old_index)
-    changes_.removed.push_back(static_cast<std::uint32_t>(old_index));
+  for (; prior < previous.size(); ++prior)
+    changes_.removed.push_back(static_cast<std::uint32_t>(prior));
   previous.swap(fingerprints_);
   return &changes_;
 }
@@ -96,12 +94,12 @@
     for (; added != changes.added.end() && added->first == tasks.size(); ++added)
       tasks.push_back(added->second);
   };
-  for (std::uint32_t old_index = 0; old_index < last.tasks.size(); ++old_index) {
+  for (std::uint32_t prior = 0; prior < last.tasks.size(); ++prior) {
     append_added();
-    if (removed != changes.removed.end() && *removed == old_index)
+    if (removed != changes.removed.end() && *removed == prior)
       ++removed;
     else
-      tasks.push_back(std::move(last.tasks[old_index]));
+      tasks.push_back(std::move(last.tasks[prior]));
   }
   append_added();
   if (removed != changes.removed.end() || added != changes.added.end())
--- a/src/history/state_capture.cpp
+++ b/src/history/state_capture.cpp
@@ -51,20 +51,19 @@
   core::Controller::each_part(std::as_const(controller), add_plan);
   for (const auto& [id, machine] : controller.fleet().all()) pending_->machines[id];
   for (const auto& [id, job] : controller.jobs()) pending_->jobs[id];
-  const auto encode_before_change = [](Items& items, const std::string& id, const auto& item) {
+  const auto encode_original = [](Items& items, const std::string& id, const auto& item) {
     const auto found = items.find(id);
     if (found != items.end() && !found->second) found->second = encode_entry(id, item);
   };
   // The hooks may outlive the capture, hence the weak pointers.
   controller.before_changes(
-      [encode_before_change,
-       pending_items = std::weak_ptr(pending_)](const core::Machine& machine) {
+      [encode_original, pending_items = std::weak_ptr(pending_)](const core::Machine& machine) {
         if (const auto pending = pending_items.lock())
-          encode_before_change(pending->machines, machine.id, machine);
+          encode_original(pending->machines, machine.id, machine);
       },
-      [encode_before_change, pending_items = std::weak_ptr(pending_)](const core::Job& job) {
+      [encode_original, pending_items = std::weak_ptr(pending_)](const core::Job& job) {
         if (const auto pending = pending_items.lock())
-          encode_before_change(pending->jobs, job.spec().id, job);
+          encode_original(pending->jobs, job.spec().id, job);
       });
 }
 
